--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -98,8 +98,10 @@
     platform::MachineMessage message;
     message.kind = static_cast<platform::MachineKind>(kind);
     message.uid = 0x9b1f03aa5c7e2d41u;
-    for (const int code : {129, 132, 141, 150, 156, 165, 168, 174}) {
-      message.params[static_cast<std::uint8_t>(code)] = "value " + std::to_string(code);
+    for (const platform::Param param :
+         {platform::kClass, platform::kWait, platform::kTaskName, platform::kSaid, platform::kReport,
+          platform::kFigure, platform::kIdem, platform::kDescription}) {
+      message.params[param] = "value " + std::to_string(message.params.size());
     }
     message.cause = 41;
     const std::string bytes = platform::WriteMachineMessage(message);
