--- /dev/null
+++ b/cmake/package.cmake
@@ -0,0 +1,42 @@
+# mountflow_package(NAME SOURCES ... USES ...): a static library of one folder. USES names the packages and libraries
+# that it may use; an include of any other package fails to link.
+function(mountflow_package name)
+  cmake_parse_arguments(ARG "" "" "SOURCES;USES" ${ARGN})
+  add_library(mountflow_${name} STATIC ${ARG_SOURCES})
+  target_include_directories(mountflow_${name} PUBLIC ${PROJECT_SOURCE_DIR}/src ${PROJECT_SOURCE_DIR})
+  target_link_libraries(mountflow_${name} PUBLIC ${ARG_USES})
+endfunction()
+
+# mountflow_program(NAME SOURCE USES...): an installed program.
+function(mountflow_program name source)
+  add_executable(${name} ${source})
+  target_link_libraries(${name} PRIVATE ${ARGN} CLI11::CLI11)
+  install(TARGETS ${name} DESTINATION ${CMAKE_INSTALL_BINDIR})
+endfunction()
+
+# mountflow_test(LABEL SOURCE USES...): a test program named after its file. Recorded runs are in MOUNTFLOW_TEST_DATA.
+function(mountflow_test label source)
+  get_filename_component(name ${source} NAME_WE)
+  add_executable(${name} ${source})
+  target_include_directories(${name} PRIVATE ${PROJECT_SOURCE_DIR}/src ${PROJECT_SOURCE_DIR})
+  target_compile_definitions(${name} PRIVATE MOUNTFLOW_TEST_DATA="${PROJECT_SOURCE_DIR}/tests/data")
+  target_link_libraries(${name} PRIVATE ${ARGN} GTest::gtest_main)
+  set(timeout 600)
+  if(label MATCHES "whole|rehearsal")
+    set(timeout 120)
+  endif()
+  # One seed: the same verdict every time. Other seeds are for longer runs by hand.
+  gtest_discover_tests(${name} PROPERTIES LABELS ${label} TIMEOUT ${timeout} ENVIRONMENT "RC_PARAMS=seed=2026")
+endfunction()
+# mountflow_unit_test(SOURCE USES...): a test without sockets, which runs under the sanitizers too.
+function(mountflow_unit_test source)
+  mountflow_test(unit ${source} ${ARGN})
+  get_filename_component(name ${source} NAME_WE)
+  add_dependencies(unit_tests ${name})
+endfunction()
+# mountflow_process_test(LABEL SOURCE USES...): starts programs on loopback sockets.
+function(mountflow_process_test label source)
+  mountflow_test(${label} ${source} ${ARGN})
+  get_filename_component(name ${source} NAME_WE)
+  add_dependencies(${name} mountflowd mountflow-node mountflow-list mountflow-batch)
+endfunction()
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -10,21 +10,21 @@
 
   Settings settings;
   settings.classes.resize(1);
-  settings.classes[0].effect = Effect::kSafe;
-  settings.kinds = {{8.0, 16.0}};
-  settings.lists_free = true;
+  settings.classes[0].idempotency = Idempotency::kIdempotent;
+  settings.node_kinds = {{8.0, 16.0}};
+  settings.list_has_free_capacity = true;
   settings.max_attempts = 2;
   Scheduler scheduler(settings, /*seed=*/42);
 
-  FleetView view;
-  view.mode = ViewMode::kFull;
-  MachineEntry machine;
-  machine.machine = 7;
+  NodeListUpdate view;
+  view.kind = NodeListKind::kSnapshot;
+  NodeEntry machine;
+  machine.node = 7;
   machine.free_cores = 8.0;
   machine.free_memory = 16.0;
-  view.machines = {machine};
+  view.nodes = {machine};
 
-  TaskArrival arrival;
+  TaskSubmitted arrival;
   arrival.task.request = 1;
   arrival.task.deadline = 5'000'000;
   arrival.task.cores = 1.0;
@@ -34,8 +34,8 @@
   scheduler.Handle(1'000'000, view, &actions);
   scheduler.Handle(1'000'000, arrival, &actions);
   for (const Action& action : actions) {
-    if (const auto* offer = std::get_if<Offer>(&action)) {
-      std::cout << "offer request " << offer->request << " to machine " << offer->machine << "\n";
+    if (const auto* offer = std::get_if<StartAttempt>(&action)) {
+      std::cout << "offer request " << offer->request << " to machine " << offer->node << "\n";
       return 0;
     }
   }
--- a/door/door.cpp
+++ b/src/admission/admission.cpp
@@ -1,9 +1,9 @@
-#include "door/door.hpp"
+#include "admission/admission.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace mountflow::door {
+namespace mountflow::admission {
 namespace {
 
 constexpr Micros kHorizon = 100'000;  // of the busy share, and the least window of the cost
@@ -73,4 +73,4 @@
   return verdict;
 }
 
-}  // namespace mountflow::door
+}  // namespace mountflow::admission
--- a/door/door.hpp
+++ b/src/admission/admission.hpp
@@ -12,15 +12,15 @@
 // it counts only while the loop works without a pause, so that jobs which wait for slow
 // nodes keep nobody out. Who is refused is told when to ask again: each the next place in
 // a schedule of one job a cost, so that those who come back do not come together.
-#ifndef MOUNTFLOW_DOOR_DOOR_HPP_
-#define MOUNTFLOW_DOOR_DOOR_HPP_
+#ifndef MOUNTFLOW_ADMISSION_ADMISSION_HPP_
+#define MOUNTFLOW_ADMISSION_ADMISSION_HPP_
 
 #include <cstddef>
 #include <string>
 
 #include "mountflow/scheduler.hpp"
 
-namespace mountflow::door {
+namespace mountflow::admission {
 
 struct DoorOptions {
   double share = 0.25;             // of the owner's time, that may pass at the door
@@ -77,6 +77,6 @@
   Micros disk_owes_ = 0;
 };
 
-}  // namespace mountflow::door
+}  // namespace mountflow::admission
 
-#endif  // MOUNTFLOW_DOOR_DOOR_HPP_
+#endif  // MOUNTFLOW_ADMISSION_ADMISSION_HPP_
--- a/commands/common.cpp
+++ b/src/cli/common.cpp
@@ -1,4 +1,4 @@
-#include "commands/common.hpp"
+#include "cli/common.hpp"
 
 #include <time.h>
 
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-namespace mountflow::commands {
+namespace mountflow::cli {
 namespace {
 
 constexpr Micros kTimeout = 10'000'000;
@@ -72,40 +72,41 @@
   return true;
 }
 
-bool Call(const std::string& address, pbs::Request request, pbs::Reply* reply, std::string* error) {
-  client::Client client;
+bool Call(const std::string& address, pbs_protocol::Request request, pbs_protocol::Reply* reply,
+          std::string* error) {
+  pbs_client::Client client;
   return client.Connect(address, kTimeout, error) && client.Call(request, reply, kTimeout, error);
 }
 
-std::string Complaint(const pbs::Reply& reply) {
-  std::string text = pbs::Describe(reply.code);
-  if (reply.choice == pbs::Choice::kText && !reply.text.empty())
+std::string Complaint(const pbs_protocol::Reply& reply) {
+  std::string text = pbs_protocol::Describe(reply.code);
+  if (reply.choice == pbs_protocol::Choice::kText && !reply.text.empty())
     text += text.empty() ? reply.text : ": " + reply.text;
   return text;
 }
 
-pbs::Request Make(pbs::RequestType type, std::string id) {
-  pbs::Request r;
+pbs_protocol::Request Make(pbs_protocol::RequestType type, std::string id) {
+  pbs_protocol::Request r;
   r.type = type;
-  r.user = client::UserName() + "@" + client::HostName();
+  r.user = pbs_client::UserName() + "@" + pbs_client::HostName();
   r.id = std::move(id);
   return r;
 }
 
 int ForEachJob(const std::string& command, const std::vector<std::string>& operands,
-               const std::function<pbs::Request(const JobRef&)>& make) {
+               const std::function<pbs_protocol::Request(const JobRef&)>& make) {
   int status = 0;
   for (const std::string& operand : operands) {
     JobRef ref;
     std::string error;
-    pbs::Reply reply;
+    pbs_protocol::Reply reply;
     if (!ReadJobRef(operand, &ref, &error)) {
       std::fprintf(stderr, "%s: %s\n", command.c_str(), error.c_str());
       status = 1;
     } else if (!Call(ref.address, make(ref), &reply, &error)) {
       std::fprintf(stderr, "%s: cannot connect to server: %s\n", command.c_str(), error.c_str());
       status = 1;
-    } else if (reply.code != pbs::Code::kNone) {
+    } else if (reply.code != pbs_protocol::Code::kNone) {
       std::fprintf(stderr, "%s: %s %s\n", command.c_str(), Complaint(reply).c_str(), operand.c_str());
       status = 1;
     }
@@ -113,17 +114,17 @@
   return status;
 }
 
-void Put(pbs::Attributes* list, const std::string& name, const std::string& value,
+void Put(pbs_protocol::Attributes* list, const std::string& name, const std::string& value,
          const std::string& resource) {
-  for (pbs::Attribute& a : *list) {
+  for (pbs_protocol::Attribute& a : *list) {
     if (a.name != name || a.resource != resource) continue;
     a.value = value;
     return;
   }
-  list->push_back({name, resource, value, pbs::Op::kSet});
+  list->push_back({name, resource, value, pbs_protocol::Op::kSet});
 }
 
-bool ReadResources(const std::string& text, pbs::Attributes* list, std::string* error) {
+bool ReadResources(const std::string& text, pbs_protocol::Attributes* list, std::string* error) {
   for (const std::string& one : Split(text, ',')) {
     const std::size_t equals = one.find('=');
     if (equals == std::string::npos || equals == 0 || equals + 1 == one.size()) {
@@ -135,7 +136,7 @@
   return true;
 }
 
-bool ReadAdditional(const std::string& text, pbs::Attributes* list, std::string* error) {
+bool ReadAdditional(const std::string& text, pbs_protocol::Attributes* list, std::string* error) {
   std::string one;
   char quote = 0;
   const auto end = [&] {
@@ -212,4 +213,4 @@
   return true;
 }
 
-}  // namespace mountflow::commands
+}  // namespace mountflow::cli
--- a/commands/directives.cpp
+++ b/src/cli/directives.cpp
@@ -1,6 +1,6 @@
-#include "commands/directives.hpp"
+#include "cli/directives.hpp"
 
-namespace mountflow::commands {
+namespace mountflow::cli {
 namespace {
 
 bool IsBlank(char c) { return c == ' ' || c == '\t' || c == '\r'; }
@@ -76,4 +76,4 @@
   return result;
 }
 
-}  // namespace mountflow::commands
+}  // namespace mountflow::cli
--- a/commands/directives.hpp
+++ b/src/cli/directives.hpp
@@ -1,12 +1,12 @@
 // Options that a job script carries in its first lines.
-#ifndef MOUNTFLOW_COMMANDS_DIRECTIVES_HPP_
-#define MOUNTFLOW_COMMANDS_DIRECTIVES_HPP_
+#ifndef MOUNTFLOW_CLI_DIRECTIVES_HPP_
+#define MOUNTFLOW_CLI_DIRECTIVES_HPP_
 
 #include <string>
 #include <string_view>
 #include <vector>
 
-namespace mountflow::commands {
+namespace mountflow::cli {
 
 inline constexpr std::size_t kMostDirectives = 1000;     // lines
 inline constexpr std::size_t kMostDirectiveLine = 8192;  // bytes
@@ -21,6 +21,6 @@
 // Arguments are split at blanks, with ' " and \ as in the shell; nothing is expanded.
 Directives ReadDirectives(std::string_view script, std::string_view prefix);
 
-}  // namespace mountflow::commands
+}  // namespace mountflow::cli
 
-#endif  // MOUNTFLOW_COMMANDS_DIRECTIVES_HPP_
+#endif  // MOUNTFLOW_CLI_DIRECTIVES_HPP_
--- a/commands/main.cpp
+++ b/src/cli/main.cpp
@@ -2,10 +2,10 @@
 #include <cstdio>
 #include <string>
 
-#include "commands/common.hpp"
+#include "cli/common.hpp"
 
 int main(int argc, char** argv) {
-  using namespace mountflow::commands;
+  using namespace mountflow::cli;
   static const std::pair<const char*, int (*)(int, char**)> kCommands[] = {
       {"qsub", Qsub},     {"qstat", Qstat},     {"qdel", Qdel}, {"qhold", Qhold},   {"qrls", Qrls},
       {"qalter", Qalter}, {"qselect", Qselect}, {"qsig", Qsig}, {"qrerun", Qrerun}, {"qmove", Qmove}};
--- a/commands/manage.cpp
+++ b/src/cli/manage.cpp
@@ -3,9 +3,9 @@
 #include <cstdio>
 #include <optional>
 
-#include "commands/common.hpp"
+#include "cli/common.hpp"
 
-namespace mountflow::commands {
+namespace mountflow::cli {
 namespace {
 
 using Operands = std::vector<std::string>;
@@ -13,7 +13,7 @@
 // A command that sends one request a job and has no or one option.
 int Simple(int argc, char** argv, const char* name, const char* what, const char* option,
            const char* option_help, std::string value,
-           const std::function<pbs::Request(const JobRef&, const std::string&)>& make) {
+           const std::function<pbs_protocol::Request(const JobRef&, const std::string&)>& make) {
   CLI::App app{std::string(name) + ": " + what};
   app.set_help_flag("--help", "this text");
   Operands jobs;
@@ -24,8 +24,8 @@
   return ForEachJob(name, jobs, [&](const JobRef& ref) { return make(ref, value); });
 }
 
-pbs::Request Hold(pbs::RequestType type, const JobRef& ref, const std::string& types) {
-  pbs::Request r = Make(type, ref.id);
+pbs_protocol::Request Hold(pbs_protocol::RequestType type, const JobRef& ref, const std::string& types) {
+  pbs_protocol::Request r = Make(type, ref.id);
   r.command = 2;
   Put(&r.attributes, "Hold_Types", types);
   return r;
@@ -36,7 +36,7 @@
 int Qdel(int argc, char** argv) {
   return Simple(argc, argv, "qdel", "deletes batch jobs", nullptr, nullptr, "",
                 [](const JobRef& ref, const std::string&) {
-                  pbs::Request r = Make(pbs::RequestType::kDeleteJob, ref.id);
+                  pbs_protocol::Request r = Make(pbs_protocol::RequestType::kDeleteJob, ref.id);
                   r.command = 1;
                   return r;
                 });
@@ -45,30 +45,31 @@
 int Qhold(int argc, char** argv) {
   return Simple(argc, argv, "qhold", "holds batch jobs", "-h", "hold types, letters of u, o, s", "u",
                 [](const JobRef& ref, const std::string& types) {
-                  return Hold(pbs::RequestType::kHoldJob, ref, types);
+                  return Hold(pbs_protocol::RequestType::kHoldJob, ref, types);
                 });
 }
 
 int Qrls(int argc, char** argv) {
   return Simple(argc, argv, "qrls", "releases holds on batch jobs", "-h", "hold types, letters of u, o, s",
                 "u", [](const JobRef& ref, const std::string& types) {
-                  return Hold(pbs::RequestType::kReleaseJob, ref, types);
+                  return Hold(pbs_protocol::RequestType::kReleaseJob, ref, types);
                 });
 }
 
 int Qsig(int argc, char** argv) {
   return Simple(argc, argv, "qsig", "signals batch jobs", "-s", "signal, by name or number", "SIGTERM",
                 [](const JobRef& ref, const std::string& signal) {
-                  pbs::Request r = Make(pbs::RequestType::kSignalJob, ref.id);
+                  pbs_protocol::Request r = Make(pbs_protocol::RequestType::kSignalJob, ref.id);
                   r.signal = signal;
                   return r;
                 });
 }
 
 int Qrerun(int argc, char** argv) {
-  return Simple(
-      argc, argv, "qrerun", "reruns batch jobs", nullptr, nullptr, "",
-      [](const JobRef& ref, const std::string&) { return Make(pbs::RequestType::kRerunJob, ref.id); });
+  return Simple(argc, argv, "qrerun", "reruns batch jobs", nullptr, nullptr, "",
+                [](const JobRef& ref, const std::string&) {
+                  return Make(pbs_protocol::RequestType::kRerunJob, ref.id);
+                });
 }
 
 int Qmove(int argc, char** argv) {
@@ -80,7 +81,7 @@
   app.add_option("job", jobs, "job identifiers")->required();
   CLI11_PARSE(app, argc, argv);
   return ForEachJob("qmove", jobs, [&](const JobRef& ref) {
-    pbs::Request r = Make(pbs::RequestType::kMoveJob, ref.id);
+    pbs_protocol::Request r = Make(pbs_protocol::RequestType::kMoveJob, ref.id);
     r.destination = destination;
     return r;
   });
@@ -106,7 +107,7 @@
   app.add_option("-W", additional, "attribute=value,...")->allow_extra_args(false);
   app.add_option("job", jobs, "job identifiers")->required();
   CLI11_PARSE(app, argc, argv);
-  pbs::Attributes list;
+  pbs_protocol::Attributes list;
   std::string error;
   const auto fail = [&error] {
     std::fprintf(stderr, "qalter: %s\n", error.c_str());
@@ -131,7 +132,7 @@
     if (!ReadAdditional(one, &list, &error)) return fail();
   }
   return ForEachJob("qalter", jobs, [&](const JobRef& ref) {
-    pbs::Request r = Make(pbs::RequestType::kModifyJob, ref.id);
+    pbs_protocol::Request r = Make(pbs_protocol::RequestType::kModifyJob, ref.id);
     r.command = 2;
     r.attributes = list;
     return r;
@@ -141,11 +142,11 @@
 namespace {
 
 // "[.op.]value", the operator as POSIX qselect writes it.
-bool WithOperator(const std::string& text, std::string* value, pbs::Op* op) {
-  static const std::pair<const char*, pbs::Op> kOps[] = {{".eq.", pbs::Op::kEq}, {".ne.", pbs::Op::kNe},
-                                                         {".ge.", pbs::Op::kGe}, {".gt.", pbs::Op::kGt},
-                                                         {".le.", pbs::Op::kLe}, {".lt.", pbs::Op::kLt}};
-  *op = pbs::Op::kEq;
+bool WithOperator(const std::string& text, std::string* value, pbs_protocol::Op* op) {
+  static const std::pair<const char*, pbs_protocol::Op> kOps[] = {
+      {".eq.", pbs_protocol::Op::kEq}, {".ne.", pbs_protocol::Op::kNe}, {".ge.", pbs_protocol::Op::kGe},
+      {".gt.", pbs_protocol::Op::kGt}, {".le.", pbs_protocol::Op::kLe}, {".lt.", pbs_protocol::Op::kLt}};
+  *op = pbs_protocol::Op::kEq;
   *value = text;
   for (const auto& [name, number] : kOps) {
     if (text.rfind(name, 0) != 0) continue;
@@ -174,14 +175,14 @@
   app.add_option("-s", states, "states, letters of EHQRWC");
   app.add_option("-u", users, "user");
   CLI11_PARSE(app, argc, argv);
-  pbs::Request r = Make(pbs::RequestType::kSelectJobs);
+  pbs_protocol::Request r = Make(pbs_protocol::RequestType::kSelectJobs);
   std::string error, value;
-  pbs::Op op = pbs::Op::kEq;
+  pbs_protocol::Op op = pbs_protocol::Op::kEq;
   const auto fail = [](const std::string& text) {
     std::fprintf(stderr, "qselect: %s\n", text.c_str());
     return 1;
   };
-  const auto put = [&r](const char* attribute, const std::string& wanted, pbs::Op how,
+  const auto put = [&r](const char* attribute, const std::string& wanted, pbs_protocol::Op how,
                         const std::string& resource = "") {
     r.attributes.push_back({attribute, resource, wanted, how});
   };
@@ -191,20 +192,20 @@
       return fail("illegal -a value");
     put("Execution_Time", std::to_string(seconds), op);
   }
-  if (account) put("Account_Name", *account, pbs::Op::kEq);
-  if (hold) put("Hold_Types", *hold, pbs::Op::kEq);
-  if (name) put("Job_Name", *name, pbs::Op::kEq);
+  if (account) put("Account_Name", *account, pbs_protocol::Op::kEq);
+  if (hold) put("Hold_Types", *hold, pbs_protocol::Op::kEq);
+  if (name) put("Job_Name", *name, pbs_protocol::Op::kEq);
   if (priority) {
     if (!WithOperator(*priority, &value, &op)) return fail("illegal -p value");
     put("Priority", value, op);
   }
-  if (rerun) put("Rerunable", *rerun == "y" ? "True" : "False", pbs::Op::kEq);
+  if (rerun) put("Rerunable", *rerun == "y" ? "True" : "False", pbs_protocol::Op::kEq);
   if (states) {
     if (states->find_first_not_of("EHQRTWC") != std::string::npos)
       return fail("illegal -s value: expected EHQRWC");
-    put("job_state", *states, pbs::Op::kEq);
+    put("job_state", *states, pbs_protocol::Op::kEq);
   }
-  if (users) put("Job_Owner", *users, pbs::Op::kEq);
+  if (users) put("Job_Owner", *users, pbs_protocol::Op::kEq);
   for (const std::string& list : resources) {
     std::size_t from = 0;
     while (from <= list.size()) {
@@ -216,7 +217,7 @@
         if (!WithOperator(one.substr(dot), &value, &op)) return fail("illegal -l value: " + one);
         put("Resource_List", value, op, one.substr(0, dot));
       } else if (equals != std::string::npos) {
-        put("Resource_List", one.substr(equals + 1), pbs::Op::kEq, one.substr(0, equals));
+        put("Resource_List", one.substr(equals + 1), pbs_protocol::Op::kEq, one.substr(0, equals));
       } else {
         return fail("illegal -l value: expected resource.op.value, got '" + one + "'");
       }
@@ -228,13 +229,13 @@
   if (destination) {
     const std::size_t at = destination->find('@');
     if (at != std::string::npos) address = AddressOfServer(destination->substr(at + 1));
-    if (at != 0) put("queue", destination->substr(0, at), pbs::Op::kEq);
+    if (at != 0) put("queue", destination->substr(0, at), pbs_protocol::Op::kEq);
   }
-  pbs::Reply reply;
+  pbs_protocol::Reply reply;
   if (!Call(address, r, &reply, &error)) return fail("cannot connect to server: " + error);
-  if (reply.code != pbs::Code::kNone) return fail(Complaint(reply));
+  if (reply.code != pbs_protocol::Code::kNone) return fail(Complaint(reply));
   for (const std::string& id : reply.ids) std::printf("%s\n", id.c_str());
   return 0;
 }
 
-}  // namespace mountflow::commands
+}  // namespace mountflow::cli
--- a/commands/qstat.cpp
+++ b/src/cli/qstat.cpp
@@ -2,22 +2,22 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "commands/common.hpp"
+#include "cli/common.hpp"
 
-namespace mountflow::commands {
+namespace mountflow::cli {
 namespace {
 
-using pbs::StatusObject;
-using pbs::ValueOf;
+using pbs_protocol::StatusObject;
+using pbs_protocol::ValueOf;
 
 std::string Cut(std::string_view text, std::size_t most) { return std::string(text.substr(0, most)); }
 
 void Full(const StatusObject& o) {
-  const char* head = o.type == pbs::ObjectType::kJob     ? "Job Id"
-                     : o.type == pbs::ObjectType::kQueue ? "Queue"
-                                                         : "Server";
+  const char* head = o.type == pbs_protocol::ObjectType::kJob     ? "Job Id"
+                     : o.type == pbs_protocol::ObjectType::kQueue ? "Queue"
+                                                                  : "Server";
   std::printf("%s: %s\n", head, o.name.c_str());
-  for (const pbs::Attribute& a : o.attributes) {
+  for (const pbs_protocol::Attribute& a : o.attributes) {
     const std::string name = a.resource.empty() ? a.name : a.name + "." + a.resource;
     std::printf("    %s = %s\n", name.c_str(), a.value.c_str());
   }
@@ -82,11 +82,11 @@
   int status = 0;
   bool headed = false;
   for (const std::string& operand : operands) {
-    pbs::Request r = Make(pbs::RequestType::kStatusJob);
+    pbs_protocol::Request r = Make(pbs_protocol::RequestType::kStatusJob);
     std::string address = Daemons().front(), error;
     const bool job = !operand.empty() && operand[0] >= '0' && operand[0] <= '9' && !queues && !servers;
     if (servers) {
-      r.type = pbs::RequestType::kStatusServer;
+      r.type = pbs_protocol::RequestType::kStatusServer;
       if (!operand.empty()) address = AddressOfServer(operand);
     } else if (job) {
       JobRef ref;
@@ -101,16 +101,16 @@
       const std::size_t at = operand.find('@');
       r.id = operand.substr(0, at);
       if (at != std::string::npos) address = AddressOfServer(operand.substr(at + 1));
-      if (queues) r.type = pbs::RequestType::kStatusQueue;
+      if (queues) r.type = pbs_protocol::RequestType::kStatusQueue;
     }
-    if (history && r.type == pbs::RequestType::kStatusJob && !job) r.extension = "x";
-    pbs::Reply reply;
+    if (history && r.type == pbs_protocol::RequestType::kStatusJob && !job) r.extension = "x";
+    pbs_protocol::Reply reply;
     if (!Call(address, r, &reply, &error)) {
       std::fprintf(stderr, "qstat: cannot connect to server: %s\n", error.c_str());
       status = 1;
       continue;
     }
-    if (reply.code != pbs::Code::kNone) {
+    if (reply.code != pbs_protocol::Code::kNone) {
       std::fprintf(stderr, "qstat: %s %s\n", Complaint(reply).c_str(), operand.c_str());
       status = 1;
       continue;
@@ -128,4 +128,4 @@
   return status;
 }
 
-}  // namespace mountflow::commands
+}  // namespace mountflow::cli
--- a/commands/qsub.cpp
+++ b/src/cli/qsub.cpp
@@ -11,12 +11,12 @@
 #include <optional>
 #include <sstream>
 
-#include "commands/common.hpp"
-#include "commands/directives.hpp"
+#include "cli/common.hpp"
+#include "cli/directives.hpp"
 
 extern char** environ;
 
-namespace mountflow::commands {
+namespace mountflow::cli {
 namespace {
 
 struct Options {
@@ -79,7 +79,7 @@
   }
   char cwd[4096] = "";
   if (getcwd(cwd, sizeof cwd) != nullptr) add("PBS_O_WORKDIR", cwd);
-  add("PBS_O_HOST", client::HostName());
+  add("PBS_O_HOST", pbs_client::HostName());
   add("PBS_O_QUEUE", destination);
   if (o.all_variables) {
     for (char** one = environ; *one != nullptr; ++one) {
@@ -110,31 +110,32 @@
 // Waits for the answer, then for the end if that was asked for.
 int Block(const std::string& id, const std::string& server, bool until_end) {
   for (const char* what : {"wait=answer", "wait=end"}) {
-    pbs::Reply reply;
+    pbs_protocol::Reply reply;
     for (;;) {
-      client::Client client;
+      pbs_client::Client client;
       std::string error;
-      pbs::Request r = Make(pbs::RequestType::kStatusJob, id);
+      pbs_protocol::Request r = Make(pbs_protocol::RequestType::kStatusJob, id);
       r.extension = std::string(what) + ",seconds=300";
       if (!client.Connect(server, 10'000'000, &error) || !client.Call(r, &reply, 330'000'000, &error)) {
         return Fail("waiting for " + id + ": " + error);
       }
-      if (reply.code != pbs::Code::kNone || reply.objects.empty()) return Fail(Complaint(reply) + " " + id);
-      const std::string_view state = pbs::ValueOf(reply.objects[0].attributes, "job_state");
+      if (reply.code != pbs_protocol::Code::kNone || reply.objects.empty())
+        return Fail(Complaint(reply) + " " + id);
+      const std::string_view state = pbs_protocol::ValueOf(reply.objects[0].attributes, "job_state");
       const bool there = what == std::string("wait=end")
                              ? state == "C"
-                             : !pbs::ValueOf(reply.objects[0].attributes, "answer").empty();
+                             : !pbs_protocol::ValueOf(reply.objects[0].attributes, "answer").empty();
       if (there) break;
     }
-    const pbs::Attributes& list = reply.objects[0].attributes;
-    const std::string_view answer = pbs::ValueOf(list, "answer");
+    const pbs_protocol::Attributes& list = reply.objects[0].attributes;
+    const std::string_view answer = pbs_protocol::ValueOf(list, "answer");
     if (answer != "placed") {
       return Fail("job " + id + " " + std::string(answer) + ": " +
-                  std::string(pbs::ValueOf(list, "comment")));
+                  std::string(pbs_protocol::ValueOf(list, "comment")));
     }
     if (!until_end) return 0;
     if (what == std::string("wait=end")) {
-      const std::string status(pbs::ValueOf(list, "exit_status"));
+      const std::string status(pbs_protocol::ValueOf(list, "exit_status"));
       return status.empty() ? 1 : std::atoi(status.c_str()) & 255;
     }
   }
@@ -200,9 +201,9 @@
   }
   if (o.interactive) return Fail("-I: interactive jobs are not served; submit a script");
 
-  client::Submission s;
-  s.user = client::UserName() + "@" + client::HostName();
-  pbs::Attributes& list = s.attributes;
+  pbs_client::Submission s;
+  s.user = pbs_client::UserName() + "@" + pbs_client::HostName();
+  pbs_protocol::Attributes& list = s.attributes;
   std::string error;
   if (o.name) name = *o.name;
   if (name.empty() || name.size() > 236 || std::isspace(static_cast<unsigned char>(name[0]))) {
@@ -232,9 +233,9 @@
   if (getcwd(cwd, sizeof cwd) == nullptr) return Fail("the current directory cannot be told");
   const auto path = [&cwd](const std::optional<std::string>& stated) {
     // A path that ends in a slash gets the usual file name at the node.
-    if (!stated) return client::HostName() + ":" + cwd + "/";
+    if (!stated) return pbs_client::HostName() + ":" + cwd + "/";
     const std::size_t colon = stated->find(':');
-    const std::string host = colon == std::string::npos ? client::HostName() : stated->substr(0, colon);
+    const std::string host = colon == std::string::npos ? pbs_client::HostName() : stated->substr(0, colon);
     const std::string file = colon == std::string::npos ? *stated : stated->substr(colon + 1);
     return host + ":" + (!file.empty() && file[0] == '/' ? file : std::string(cwd) + "/" + file);
   };
@@ -278,11 +279,11 @@
   s.script = script;
   std::vector<std::string> daemons = Daemons();
   if (at != std::string::npos) daemons = {AddressOfServer(destination.substr(at + 1))};
-  const client::SubmitResult result = client::Submit(daemons, s);
+  const pbs_client::SubmitResult result = pbs_client::Submit(daemons, s);
   if (!result.ok) {
     std::string text = result.error;
-    if (result.code != pbs::Code::kNone && text != pbs::Describe(result.code)) {
-      text = std::string(pbs::Describe(result.code)) + ": " + text;
+    if (result.code != pbs_protocol::Code::kNone && text != pbs_protocol::Describe(result.code)) {
+      text = std::string(pbs_protocol::Describe(result.code)) + ": " + text;
     }
     return Fail(text);
   }
@@ -294,4 +295,4 @@
   return Block(result.id, result.server, block == "true");
 }
 
-}  // namespace mountflow::commands
+}  // namespace mountflow::cli
--- a/config/config.cpp
+++ b/src/config/config.cpp
@@ -216,7 +216,7 @@
   if (root.contains("list")) {
     const json& l = root["list"];
     if (l.value("kind", "consul") == "etcd") {
-      c.list.kind = registry::RegistryKind::kEtcd;
+      c.list.kind = discovery::RegistryKind::kEtcd;
       c.list.endpoints = {"127.0.0.1:2379"};
     }
     if (l.contains("address") && l.contains("addresses")) bad("/list", "address or addresses, not both");
@@ -224,15 +224,15 @@
     if (l.contains("addresses")) c.list.endpoints = Strings(l, "addresses");
     c.list.prefix = l.value("prefix", c.list.prefix);
     c.list.service = l.value("service", c.list.service);
-    if (!c.list.service.empty() && c.list.kind == registry::RegistryKind::kEtcd)
+    if (!c.list.service.empty() && c.list.kind == discovery::RegistryKind::kEtcd)
       bad("/list/service", "kind consul");
     c.list.token = l.value("token", c.list.token);
     c.list.user = l.value("user", c.list.user);
     c.list.password = l.value("password", c.list.password);
     const std::string mode = l.value("mode", "default");
-    c.list.mode = mode == "stale"        ? registry::ConsulMode::kStale
-                  : mode == "consistent" ? registry::ConsulMode::kConsistent
-                                         : registry::ConsulMode::kDefault;
+    c.list.mode = mode == "stale"        ? discovery::ConsulMode::kStale
+                  : mode == "consistent" ? discovery::ConsulMode::kConsistent
+                                         : discovery::ConsulMode::kDefault;
     c.list.wait = Time(l, "wait_s", c.list.wait);
     c.list.most_stale = Time(l, "most_stale_s", c.list.most_stale);
     c.list.least_pause = Time(l, "least_pause_s", c.list.least_pause);
@@ -277,7 +277,7 @@
     c.core.repeats.lost_wait = Time(r, "lost_wait_s", c.core.repeats.lost_wait);
     c.core.repeats.spread = r.value("spread", c.core.repeats.spread);
   }
-  if (c.core.settings.owner_wait != 0) c.core.repeats.settle_wait = c.core.settings.owner_wait;
+  if (c.core.settings.client_wait != 0) c.core.repeats.settle_wait = c.core.settings.client_wait;
   if (root.contains("managers")) {
     const auto managers = Strings(root, "managers");
     c.front.managers = {managers.begin(), managers.end()};
--- a/config/config.hpp
+++ b/src/config/config.hpp
@@ -10,23 +10,23 @@
 #include <string>
 #include <vector>
 
-#include "batch/front.hpp"
-#include "core/core.hpp"
+#include "discovery/client.hpp"
+#include "job_manager/job_manager.hpp"
 #include "ledger/book.hpp"
-#include "links/node_links.hpp"
-#include "registry/client.hpp"
+#include "node_sessions/node_sessions.hpp"
+#include "pbs_server/pbs_server.hpp"
 #include "tls/context.hpp"
 
 namespace mountflow::config {
 
 struct DaemonConfig {
-  core::CoreOptions core;
-  batch::FrontOptions front;
-  door::DoorOptions door;
-  links::LinkOptions links;
+  job_manager::JobManagerOptions core;
+  pbs_server::FrontOptions front;
+  admission::DoorOptions door;
+  node_sessions::LinkOptions links;
   std::string batch_address = "127.0.0.1:15001";
   std::string http_address = "127.0.0.1:15080";  // empty: no HTTP
-  registry::ClientOptions list;
+  discovery::ClientOptions list;
   tls::Options list_tls;             // to the registry; no files: none
   bool group_from_registry = false;  // size and own number come from there, not from the settings
   std::string group_prefix = "mountflow/daemons/";
--- a/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -15,13 +15,13 @@
 #include <random>
 #include <utility>
 
-#include "registry/entry.hpp"
-#include "registry/snapshot.hpp"
+#include "discovery/entry.hpp"
+#include "discovery/snapshot.hpp"
 
 namespace mountflow::daemon {
 namespace {
 
-constexpr net::ConnId kLinkSpace = 1ull << 62;  // link connections are numbered by NodeLinks
+constexpr event_loop::ConnId kLinkSpace = 1ull << 62;  // link connections are numbered by NodeLinks
 constexpr std::size_t kMostHttpBody = 2 << 20;
 constexpr Micros kRememberEvery = 10'000'000;
 constexpr std::size_t kMostHttpConns = 4096;  // beyond: closed at once
@@ -39,21 +39,21 @@
   return static_cast<std::uint64_t>(device()) << 32 | device();
 }
 
-void WriteLine(spdlog::logger& log, core::Level level, const nlohmann::json& line) {
+void WriteLine(spdlog::logger& log, job_manager::Level level, const nlohmann::json& line) {
   const std::string text = line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-  log.log(level == core::Level::kWarn ? spdlog::level::warn : spdlog::level::info, "{}", text);
+  log.log(level == job_manager::Level::kWarn ? spdlog::level::warn : spdlog::level::info, "{}", text);
 }
 
-registry::ClientOptions OthersOf(const config::DaemonConfig& config) {
-  registry::ClientOptions o = config.list;
+discovery::ClientOptions OthersOf(const config::DaemonConfig& config) {
+  discovery::ClientOptions o = config.list;
   o.prefix = config.group_prefix;
   o.service.clear();  // daemons are keys, wherever nodes are
   o.wait = std::min(o.wait, membership::VouchEvery(config.group_most_age));  // a read that ends vouches
   return o;
 }
 
-registry::RegistrarOptions OwnEntryOf(const config::DaemonConfig& config) {
-  registry::RegistrarOptions o;
+discovery::RegistrarOptions OwnEntryOf(const config::DaemonConfig& config) {
+  discovery::RegistrarOptions o;
   o.kind = config.list.kind;
   o.endpoints = config.list.endpoints;
   o.key = config.group_prefix + config.core.server;
@@ -108,22 +108,25 @@
 
 // ---- The four sides of the shell ----
 
-class Daemon::BatchSide : public net::Handler {
+class Daemon::BatchSide : public event_loop::Handler {
  public:
   explicit BatchSide(Daemon* d) : d_(d) {}
-  void OnAccepted(net::ListenerId, net::ConnId conn, const net::PeerInfo& info) override {
+  void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn,
+                  const event_loop::PeerInfo& info) override {
     if (d_->front_.sessions() >= kMostBatchConns) return d_->loop_->Abort(conn);
     d_->front_.Open(conn, d_->PeerOf(info));
   }
-  void OnReceived(net::ConnId conn, std::string_view bytes) override {
+  void OnReceived(event_loop::ConnId conn, std::string_view bytes) override {
     Timed timed(d_->measure_, &d_->spent_.front);
     d_->front_.Receive(d_->loop_->Now(), conn, bytes, d_->loop_->TurnBeforeBegan());
     if (!d_->front_.WantsRead(conn)) d_->loop_->PauseReading(conn, true);
   }
-  void OnSent(net::ConnId conn) override { Flush(conn); }
-  void OnClosed(net::ConnId conn, const std::string&) override { d_->front_.Close(d_->loop_->Now(), conn); }
+  void OnSent(event_loop::ConnId conn) override { Flush(conn); }
+  void OnClosed(event_loop::ConnId conn, const std::string&) override {
+    d_->front_.Close(d_->loop_->Now(), conn);
+  }
 
-  void Flush(net::ConnId conn) {
+  void Flush(event_loop::ConnId conn) {
     if (d_->touched_in_.count(conn) > 0) return;  // not durable yet
     std::string* output = d_->front_.OutputOf(conn);
     if (output == nullptr) return;
@@ -141,14 +144,15 @@
   Daemon* d_;
 };
 
-class Daemon::HttpSide : public net::Handler {
+class Daemon::HttpSide : public event_loop::Handler {
  public:
   explicit HttpSide(Daemon* d) : d_(d) {}
-  void OnAccepted(net::ListenerId, net::ConnId conn, const net::PeerInfo& info) override {
+  void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn,
+                  const event_loop::PeerInfo& info) override {
     if (conns_.size() >= kMostHttpConns) return d_->loop_->Abort(conn);
     conns_.emplace(conn, Conn{http::Reader(http::Reader::Side::kRequests, kMostHttpBody), d_->PeerOf(info)});
   }
-  void OnReceived(net::ConnId conn, std::string_view bytes) override {
+  void OnReceived(event_loop::ConnId conn, std::string_view bytes) override {
     const auto it = conns_.find(conn);
     if (it == conns_.end()) return;
     http::Reader& reader = it->second.reader;
@@ -172,37 +176,37 @@
     }
     conns_.erase(it);
   }
-  void OnClosed(net::ConnId conn, const std::string&) override { conns_.erase(conn); }
+  void OnClosed(event_loop::ConnId conn, const std::string&) override { conns_.erase(conn); }
 
  private:
   struct Conn {
     http::Reader reader;
-    batch::Peer peer;
+    pbs_server::Peer peer;
   };
   Daemon* d_;
-  std::map<net::ConnId, Conn> conns_;
+  std::map<event_loop::ConnId, Conn> conns_;
 };
 
-class Daemon::LinkSide : public net::Handler {
+class Daemon::LinkSide : public event_loop::Handler {
  public:
   explicit LinkSide(Daemon* d) : d_(d) {}
-  void OnConnected(net::ConnId conn) override {
+  void OnConnected(event_loop::ConnId conn) override {
     Timed timed(d_->measure_, &d_->spent_.links);
     d_->links_.Connected(d_->loop_->Now(), conn - kLinkSpace);
   }
-  void OnReceived(net::ConnId conn, std::string_view bytes) override {
+  void OnReceived(event_loop::ConnId conn, std::string_view bytes) override {
     Timed timed(d_->measure_, &d_->spent_.links);
     d_->links_.Received(d_->loop_->Now(), conn - kLinkSpace, bytes);
   }
-  void OnClosed(net::ConnId conn, const std::string&) override {
+  void OnClosed(event_loop::ConnId conn, const std::string&) override {
     d_->links_.Closed(d_->loop_->Now(), conn - kLinkSpace);
   }
-  void Do(const links::LinkAction& action) {
-    if (const auto* open = std::get_if<links::OpenConn>(&action)) {
+  void Do(const node_sessions::LinkAction& action) {
+    if (const auto* open = std::get_if<node_sessions::OpenConn>(&action)) {
       d_->loop_->Connect(open->address, this, kLinkSpace + open->conn);
-    } else if (const auto* send = std::get_if<links::SendBytes>(&action)) {
+    } else if (const auto* send = std::get_if<node_sessions::SendBytes>(&action)) {
       d_->loop_->Send(kLinkSpace + send->conn, send->bytes);
-    } else if (const auto* close = std::get_if<links::CloseConn>(&action)) {
+    } else if (const auto* close = std::get_if<node_sessions::CloseConn>(&action)) {
       d_->loop_->Close(kLinkSpace + close->conn);
     }
   }
@@ -211,59 +215,59 @@
   Daemon* d_;
 };
 
-class Daemon::ListSide : public net::Handler {
+class Daemon::ListSide : public event_loop::Handler {
  public:
   // `others`: the daemons' entries; only the list of nodes goes to the core.
-  ListSide(Daemon* d, registry::RegistryClient* client, bool others)
+  ListSide(Daemon* d, discovery::RegistryClient* client, bool others)
       : d_(d), client_(client), others_(others) {}
   void Poll() {
-    registry::RegistryClient& list = *client_;
+    discovery::RegistryClient& list = *client_;
     list.Tick(d_->loop_->Now());
     for (;;) {
       const auto actions = std::exchange(list.actions(), {});
       if (actions.empty()) break;
       for (const auto& action : actions) {
-        if (const auto* open = std::get_if<registry::OpenTo>(&action)) {
+        if (const auto* open = std::get_if<discovery::OpenTo>(&action)) {
           conn_ = d_->loop_->Connect(open->address, this, 0, d_->keys_.Session(open->address));
-        } else if (const auto* send = std::get_if<registry::SendData>(&action)) {
+        } else if (const auto* send = std::get_if<discovery::SendData>(&action)) {
           d_->loop_->Send(conn_, send->bytes);
         } else {
           d_->loop_->Close(std::exchange(conn_, 0));
         }
       }
     }
-    for (const core::ListView& view : list.TakeViews()) {
+    for (const job_manager::ListView& view : list.TakeViews()) {
       if (others_) continue;
       d_->core_.TakeList(d_->loop_->Now(), view);
       d_->view_changed_ = true;
     }
   }
-  void OnConnected(net::ConnId conn) override {
+  void OnConnected(event_loop::ConnId conn) override {
     if (conn == conn_) client_->Connected(d_->loop_->Now());
   }
-  void OnReceived(net::ConnId conn, std::string_view bytes) override {
+  void OnReceived(event_loop::ConnId conn, std::string_view bytes) override {
     if (conn == conn_) client_->Received(d_->loop_->Now(), bytes);
   }
-  void OnClosed(net::ConnId conn, const std::string& reason) override {
+  void OnClosed(event_loop::ConnId conn, const std::string& reason) override {
     if (conn != conn_) return;
     conn_ = 0;
     client_->Closed(d_->loop_->Now(), reason);
-    if (others_ || !d_->config_.core.settings.must_ask) return;
-    core::ListView failed;
-    failed.mode = ViewMode::kFailed;
+    if (others_ || !d_->config_.core.settings.list_on_request) return;
+    job_manager::ListView failed;
+    failed.kind = NodeListKind::kUnavailable;
     d_->core_.TakeList(d_->loop_->Now(), failed);
   }
 
  private:
   Daemon* d_;
-  registry::RegistryClient* client_;
+  discovery::RegistryClient* client_;
   bool others_;
-  net::ConnId conn_ = 0;
+  event_loop::ConnId conn_ = 0;
 };
 
 // ---- The daemon ----
 
-Daemon::Daemon(net::Loop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> log)
+Daemon::Daemon(event_loop::Loop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> log)
     : loop_(loop),
       config_(std::move(config)),
       log_(std::move(log)),
@@ -282,7 +286,7 @@
       list_side_(std::make_unique<ListSide>(this, &list_, false)),
       others_side_(std::make_unique<ListSide>(this, &others_, true)),
       keys_(config_.list_tls),
-      own_entry_side_(std::make_unique<registry::RegistrarLink>(loop, &own_entry_, &keys_)),
+      own_entry_side_(std::make_unique<discovery::RegistrarLink>(loop, &own_entry_, &keys_)),
       gate_(GateOf(config_)),
       book_(config_.billing_rules) {
   front_.SetDoor(&door_);
@@ -316,7 +320,7 @@
   std::vector<std::string> told;
   const bool open = log->Open(replay, &told, error);
   for (const std::string& text : told) {
-    WriteLine(*log_, core::Level::kWarn, {{"event", "storage"}, {"text", text}});
+    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", text}});
   }
   if (open && !expected.empty()) *error = config_.storage_folder + ": " + expected;
   if (!open || !expected.empty()) return false;
@@ -327,21 +331,21 @@
     if (write(fd, &one, sizeof one) < 0) return;
   });
   http_.SetBook(&book_);
-  core_.SetDoor([this](const core::JobSpec& spec) {
+  core_.SetDoor([this](const job_manager::JobSpec& spec) {
     const auto& tenants = core_.options().tenants;
     return book_.Refusal(spec.tenant < tenants.size() ? tenants[spec.tenant] : "", loop_->Now());
   });
   return true;
 }
 
-void Daemon::PostUse(const core::Used& used) {
+void Daemon::PostUse(const job_manager::Used& used) {
   if (!ledger_committer_) return;
   ledger::Use use;
   use.attempt = core_.NameOf(used.attempt);
-  const core::CoreOptions& o = core_.options();
+  const job_manager::JobManagerOptions& o = core_.options();
   use.tenant = used.tenant < o.tenants.size() ? o.tenants[used.tenant] : "";
   use.task_class = used.task_class < o.classes.size() ? o.classes[used.task_class] : "";
-  const core::ListedNode* node = core_.NodeOf(used.node);
+  const job_manager::ListedNode* node = core_.NodeOf(used.node);
   use.kind = node != nullptr ? node->kind : "";
   use.start = used.started, use.end = used.ended;
   use.millicores = std::llround(used.cores * 1000.0);
@@ -349,7 +353,7 @@
   const ledger::Decision decision = book_.Post(loop_->Now(), use);
   if (decision.verdict != ledger::Verdict::kPosted) {
     if (decision.verdict != ledger::Verdict::kTwice)
-      WriteLine(*log_, core::Level::kWarn,
+      WriteLine(*log_, job_manager::Level::kWarn,
                 {{"event", "ledger"}, {"text", "not counted: " + decision.reason}});
     return;
   }
@@ -383,7 +387,7 @@
   };
   storage::Replay replay;
   replay.snapshot = [&](std::uint64_t sequence, std::string_view state) {
-    if (!core::ForEachRecord(state, take) && expected.empty()) expected = "whole records";
+    if (!job_manager::ForEachRecord(state, take) && expected.empty()) expected = "whole records";
     if (!expected.empty()) expected = "snapshot at " + std::to_string(sequence) + ": expected " + expected;
   };
   replay.record = [&](std::uint64_t sequence, std::string_view record) {
@@ -393,7 +397,7 @@
   std::vector<std::string> told;
   const bool open = log->Open(replay, &told, error);
   for (const std::string& text : told) {
-    WriteLine(*log_, core::Level::kWarn, {{"event", "storage"}, {"text", text}});
+    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", text}});
   }
   if (!open) return false;
   if (!expected.empty() || !core_.Restored(loop_->Now(), &expected)) {
@@ -446,7 +450,7 @@
       std::size_t bytes = 0;
       for (const HttpReply& reply : now_held_.http) bytes += reply.bytes.size();
       const std::uint64_t number = gate_.Hold(turn, bytes);
-      for (const net::ConnId conn : now_held_.touched) touched_in_[conn] = number;
+      for (const event_loop::ConnId conn : now_held_.touched) touched_in_[conn] = number;
       now_held_.since = loop_->Now();
       held_[number] = std::exchange(now_held_, {});
     }
@@ -460,7 +464,7 @@
   while (const auto number = gate_.Next()) {
     const auto node = held_.extract(*number);
     const Held& held = node.mapped();
-    for (const links::LinkAction& action : held.actions) link_side_->Do(action);
+    for (const node_sessions::LinkAction& action : held.actions) link_side_->Do(action);
     for (const HttpReply& reply : held.http) {
       Send(reply);
       const auto behind = http_behind_.find(reply.conn);
@@ -468,7 +472,7 @@
       http_behind_.erase(behind);
       loop_->PauseReading(reply.conn, false);
     }
-    for (const net::ConnId conn : held.touched) {
+    for (const event_loop::ConnId conn : held.touched) {
       const auto it = touched_in_.find(conn);
       if (it == touched_in_.end() || it->second != *number) continue;  // it said more since
       touched_in_.erase(it);
@@ -485,7 +489,7 @@
   if (ledger_committer_) ledger = ledger_committer_->Status();
   gate_.Saw(jobs, ledger_committer_ ? &ledger : nullptr, ledger_turn_);
   for (const std::string& text : gate_.TakeComplaints()) {
-    WriteLine(*log_, core::Level::kWarn, {{"event", "storage"}, {"text", text}});
+    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", text}});
   }
   core_.RefuseNew(gate_.Refusal());
   door_.DiskOwes(held_.empty() ? 0 : loop_->Now() - held_.begin()->second.since);
@@ -501,16 +505,16 @@
   }
   std::string host;
   int port = 0;
-  net::SplitAddress(config_.batch_address, &host, &port);
+  event_loop::SplitAddress(config_.batch_address, &host, &port);
   if (config_.links.report_to.empty()) links_.SetReportTo(host + ":" + std::to_string(batch_port()));
   if (!config_.storage_folder.empty() && !OpenStorage(error)) return false;
   Recall();
   if (config_.group_from_registry) {
-    core::ListedNode self;  // an entry of the same form as a node's
+    job_manager::ListedNode self;  // an entry of the same form as a node's
     self.name = config_.core.server;
     self.address = host + ":" + std::to_string(batch_port());
     self.started = loop_->Now();
-    own_entry_.Want(loop_->Now(), registry::WriteEntry(self), true);
+    own_entry_.Want(loop_->Now(), discovery::WriteEntry(self), true);
   }
   loop_->SetAfterTurn([this] { Pump(); });
   loop_->SetMainTimer(loop_->Now(), [this] {
@@ -518,7 +522,7 @@
     links_.Tick(loop_->Now());
     front_.Tick(loop_->Now());
   });
-  core::LogEntry entry;
+  job_manager::LogEntry entry;
   entry.event = "started";
   entry.text =
       config_.core.server + " batch " + std::to_string(batch_port()) + " http " + std::to_string(http_port());
@@ -541,8 +545,8 @@
   return s;
 }
 
-batch::Peer Daemon::PeerOf(const net::PeerInfo& info) const {
-  batch::Peer peer;
+pbs_server::Peer Daemon::PeerOf(const event_loop::PeerInfo& info) const {
+  pbs_server::Peer peer;
   peer.address = info.address;
   if (!info.has_uid) return peer;
   peer.local = info.uid == 0 || info.uid == getuid();
@@ -551,8 +555,8 @@
   return peer;
 }
 
-void Daemon::Log(const core::LogEntry& e) {
-  const auto level = e.level == core::Level::kWarn ? spdlog::level::warn : spdlog::level::info;
+void Daemon::Log(const job_manager::LogEntry& e) {
+  const auto level = e.level == job_manager::Level::kWarn ? spdlog::level::warn : spdlog::level::info;
   if (!log_->should_log(level)) return;
   nlohmann::json line = {{"event", e.event}};
   if (e.job != 0) line["job"] = core_.IdOf(e.job);
@@ -562,16 +566,16 @@
   WriteLine(*log_, e.level, line);
 }
 
-void Daemon::Carry(const core::Output& output) {
+void Daemon::Carry(const job_manager::Output& output) {
   const Micros now = loop_->Now();
-  if (const auto* entry = std::get_if<core::LogEntry>(&output)) return Log(*entry);
-  if (const auto* answered = std::get_if<core::Answered>(&output)) {
+  if (const auto* entry = std::get_if<job_manager::LogEntry>(&output)) return Log(*entry);
+  if (const auto* answered = std::get_if<job_manager::Answered>(&output)) {
     door_.Answered();
     return front_.On(now, *answered);
   }
-  if (const auto* used = std::get_if<core::Used>(&output)) return PostUse(*used);
-  if (const auto* ended = std::get_if<core::Ended>(&output)) return front_.On(now, *ended);
-  if (std::holds_alternative<core::AskList>(output)) return list_.ReadAnew(now);
+  if (const auto* used = std::get_if<job_manager::Used>(&output)) return PostUse(*used);
+  if (const auto* ended = std::get_if<job_manager::Ended>(&output)) return front_.On(now, *ended);
+  if (std::holds_alternative<job_manager::AskList>(output)) return list_.ReadAnew(now);
   Timed timed(measure_, &spent_.links);
   links_.Take(now, output);
 }
@@ -580,18 +584,18 @@
 void Daemon::Pump() {
   keys_.Poll(loop_->Now());
   for (const std::string& text : keys_.TakeComplaints()) {
-    WriteLine(*log_, core::Level::kWarn, {{"event", "tls"}, {"text", text}});
+    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "tls"}, {"text", text}});
   }
   list_side_->Poll();
   if (config_.group_from_registry) PollGroup();
   bool admitted = false;
   for (;;) {
-    const std::vector<core::Output> outputs = std::exchange(core_.outputs(), {});
-    for (const core::Output& output : outputs) Carry(output);
-    const std::vector<core::NodeMessage> messages = std::exchange(links_.messages(), {});
+    const std::vector<job_manager::Output> outputs = std::exchange(core_.outputs(), {});
+    for (const job_manager::Output& output : outputs) Carry(output);
+    const std::vector<job_manager::NodeMessage> messages = std::exchange(links_.messages(), {});
     {
       Timed timed(measure_, &spent_.core);
-      for (const core::NodeMessage& message : messages) core_.Take(loop_->Now(), message);
+      for (const job_manager::NodeMessage& message : messages) core_.Take(loop_->Now(), message);
     }
     if (outputs.empty() && messages.empty()) {
       if (!admitted) {  // all that came for jobs that are in already went first
@@ -601,7 +605,7 @@
       }
       const auto touched = front_.TakeTouched();
       if (committer_) {
-        for (const net::ConnId conn : touched) {
+        for (const event_loop::ConnId conn : touched) {
           if (front_.SaysNothingKept(conn) && touched_in_.count(conn) == 0) {
             batch_side_->Flush(conn);
           } else {
@@ -611,23 +615,23 @@
         if (touched.empty() && !Hold()) break;
         continue;
       }
-      for (net::ConnId conn : touched) batch_side_->Flush(conn);
+      for (event_loop::ConnId conn : touched) batch_side_->Flush(conn);
       if (touched.empty()) break;
     }
   }
-  const std::vector<links::LinkAction> actions = std::exchange(links_.actions(), {});
-  for (const links::LinkAction& action : actions) link_side_->Do(action);
+  const std::vector<node_sessions::LinkAction> actions = std::exchange(links_.actions(), {});
+  for (const node_sessions::LinkAction& action : actions) link_side_->Do(action);
   if (committer_ && gate_.SnapshotDue(loop_->Now())) committer_->Snapshot(core_.Snapshot());
   for (const std::string& text : front_.TakeComplaints(loop_->Now())) {
-    WriteLine(*log_, core::Level::kWarn, {{"event", "bad request"}, {"text", text}});
+    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "bad request"}, {"text", text}});
   }
   Remember();
   for (const std::string& text : list_.TakeComplaints()) {
-    WriteLine(*log_, core::Level::kWarn, {{"event", "list"}, {"text", text}});
+    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "list"}, {"text", text}});
   }
   if (stopping_ && ((!Owes() && gate_.Empty()) || loop_->Now() >= stop_at_)) {
-    const core::Counts c = core_.Count();
-    WriteLine(*log_, core::Level::kInfo,
+    const job_manager::Counts c = core_.Count();
+    WriteLine(*log_, job_manager::Level::kInfo,
               {{"event", "stopped"},
                {"text", std::to_string(c.queued + c.waiting + c.held) + " jobs were not placed" +
                             (committer_ ? "; they are kept" : "")}});
@@ -646,27 +650,29 @@
     return;
   remembered_at_ = loop_->Now();
   view_changed_ = false;
-  registry::Snapshot snapshot;
+  discovery::Snapshot snapshot;
   snapshot.taken_at = remembered_at_;
-  core_.ForEachNode([&snapshot](MachineId, const core::ListedNode& node) { snapshot.nodes.push_back(node); });
+  core_.ForEachNode(
+      [&snapshot](NodeId, const job_manager::ListedNode& node) { snapshot.nodes.push_back(node); });
   std::string error;
-  if (registry::SaveSnapshot(config_.list_snapshot, snapshot, &error)) return;
-  WriteLine(*log_, core::Level::kWarn, {{"event", "list"}, {"text", "the view was not kept: " + error}});
+  if (discovery::SaveSnapshot(config_.list_snapshot, snapshot, &error)) return;
+  WriteLine(*log_, job_manager::Level::kWarn,
+            {{"event", "list"}, {"text", "the view was not kept: " + error}});
 }
 
 void Daemon::Recall() {
   if (config_.list_snapshot.empty()) return;
-  registry::Snapshot snapshot;
+  discovery::Snapshot snapshot;
   std::string error;
-  if (!registry::LoadSnapshot(config_.list_snapshot, &snapshot, &error)) {
-    return WriteLine(*log_, core::Level::kWarn,
+  if (!discovery::LoadSnapshot(config_.list_snapshot, &snapshot, &error)) {
+    return WriteLine(*log_, job_manager::Level::kWarn,
                      {{"event", "list"}, {"text", "no view from before: " + error}});
   }
-  core::ListView view;
-  view.mode = ViewMode::kRemembered;
+  job_manager::ListView view;
+  view.kind = NodeListKind::kCached;
   view.nodes = std::move(snapshot.nodes);
   const Micros age = loop_->Now() - std::min(loop_->Now(), snapshot.taken_at);
-  WriteLine(*log_, core::Level::kInfo,
+  WriteLine(*log_, job_manager::Level::kInfo,
             {{"event", "list"},
              {"text", "remembered " + std::to_string(view.nodes.size()) + " nodes, " +
                           std::to_string(age / 1000) + " ms old"}});
@@ -677,7 +683,7 @@
   own_entry_side_->Poll();
   others_side_->Poll();
   const Micros now = loop_->Now();
-  const registry::ViewStatus view = others_.Status(now);
+  const discovery::ViewStatus view = others_.Status(now);
   membership::GroupInput input;
   for (const auto& [key, kv] : others_.state().all())
     input.names.push_back(key.substr(config_.group_prefix.size()));
@@ -691,14 +697,14 @@
   if (const auto change = group_.Update(std::move(input))) {
     core_.TakeGroup(now, *change);
     log_->flush_on(spdlog::level::info);  // rare, and worth seeing at once
-    for (const core::Output& output : std::exchange(core_.outputs(), {})) Carry(output);
+    for (const job_manager::Output& output : std::exchange(core_.outputs(), {})) Carry(output);
     log_->flush_on(spdlog::level::warn);
   }
   for (const std::string& text : own_entry_.TakeComplaints()) {
-    WriteLine(*log_, core::Level::kWarn, {{"event", "list"}, {"text", text}});
+    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "list"}, {"text", text}});
   }
   for (const std::string& text : others_.TakeComplaints()) {
-    WriteLine(*log_, core::Level::kWarn, {{"event", "list"}, {"text", "daemons: " + text}});
+    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "list"}, {"text", "daemons: " + text}});
   }
 }
 
@@ -715,7 +721,7 @@
 }
 
 bool Daemon::Owes() const {
-  const core::Counts c = core_.Count();
+  const job_manager::Counts c = core_.Count();
   return c.queued > 0;  // with the module, or out at a node
 }
 
--- a/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -7,17 +7,17 @@
 #include <memory>
 #include <string>
 
-#include "batch/front.hpp"
 #include "config/config.hpp"
-#include "core/core.hpp"
 #include "daemon/http_front.hpp"
+#include "discovery/client.hpp"
+#include "discovery/registrar.hpp"
+#include "discovery/registrar_link.hpp"
+#include "event_loop/event_loop.hpp"
 #include "http/message.hpp"
-#include "links/node_links.hpp"
-#include "membership/group.hpp"
-#include "net/loop.hpp"
-#include "registry/client.hpp"
-#include "registry/registrar.hpp"
-#include "registry/registrar_link.hpp"
+#include "job_manager/job_manager.hpp"
+#include "membership/membership.hpp"
+#include "node_sessions/node_sessions.hpp"
+#include "pbs_server/pbs_server.hpp"
 #include "storage/committer.hpp"
 #include "storage/gate.hpp"
 #include "tls/keys.hpp"
@@ -35,7 +35,7 @@
 
 class Daemon {
  public:
-  Daemon(net::Loop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> log);
+  Daemon(event_loop::Loop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> log);
   ~Daemon();
 
   // Listens; false with the reason when an address cannot be had.
@@ -44,7 +44,7 @@
   void Stop();
   int batch_port() const;
   int http_port() const;
-  core::Core& core() { return core_; }
+  job_manager::JobManager& core() { return core_; }
   void Reload() { keys_.LookNow(); }  // the key files
   void MeasureParts();
   Spent spent() const;
@@ -57,13 +57,13 @@
   void Pump();
   // ---- Durable state: what a turn says goes out once its records are on disk ----
   struct HttpReply {
-    net::ConnId conn = 0;
+    event_loop::ConnId conn = 0;
     std::string bytes;
     bool close = false;
   };
   struct Held {
-    std::vector<links::LinkAction> actions;
-    std::vector<net::ConnId> touched;
+    std::vector<node_sessions::LinkAction> actions;
+    std::vector<event_loop::ConnId> touched;
     std::vector<HttpReply> http;
     Micros since = 0;
   };
@@ -74,44 +74,44 @@
   bool Release();  // the same
   void CheckStorage();
   bool OpenLedger(std::string* error);
-  void PostUse(const core::Used& used);
+  void PostUse(const job_manager::Used& used);
   bool TakeLedgerRecord(std::string_view record, std::string* expected);
-  void Carry(const core::Output& output);
-  void Log(const core::LogEntry& entry);
+  void Carry(const job_manager::Output& output);
+  void Log(const job_manager::LogEntry& entry);
   void Rearm();
   void PollGroup();
   void Remember();  // writes the last view to disk, now and then
   void Recall();    // and reads it at the start
   bool Owes() const;
-  batch::Peer PeerOf(const net::PeerInfo& info) const;
+  pbs_server::Peer PeerOf(const event_loop::PeerInfo& info) const;
 
-  net::Loop* loop_;
+  event_loop::Loop* loop_;
   config::DaemonConfig config_;
   std::shared_ptr<spdlog::logger> log_;
-  core::Core core_;
-  door::Door door_;
-  batch::Front front_;
+  job_manager::JobManager core_;
+  admission::Door door_;
+  pbs_server::Front front_;
   HttpFront http_;
-  links::NodeLinks links_;
-  registry::RegistryClient list_;
-  registry::RegistryClient others_;  // the daemons' entries; used where the group comes from the registry
-  registry::Registrar own_entry_;
+  node_sessions::NodeLinks links_;
+  discovery::RegistryClient list_;
+  discovery::RegistryClient others_;  // the daemons' entries; used where the group comes from the registry
+  discovery::Registrar own_entry_;
   membership::Group group_;
   std::unique_ptr<BatchSide> batch_side_;
   std::unique_ptr<HttpSide> http_side_;
   std::unique_ptr<LinkSide> link_side_;
   std::unique_ptr<ListSide> list_side_, others_side_;
   tls::Keys keys_;  // to the registry
-  std::unique_ptr<registry::RegistrarLink> own_entry_side_;
-  net::ListenerId batch_listener_ = 0, http_listener_ = 0;
+  std::unique_ptr<discovery::RegistrarLink> own_entry_side_;
+  event_loop::ListenerId batch_listener_ = 0, http_listener_ = 0;
   std::unique_ptr<storage::PosixFiles> files_;
   std::unique_ptr<storage::Committer> committer_;
   int durable_fd_ = -1;
   Held now_held_;  // of this turn
   storage::Gate gate_;
-  std::map<std::uint64_t, Held> held_;               // by the gate's number
-  std::map<net::ConnId, std::size_t> http_behind_;   // replies of HTTP connections that are held
-  std::map<net::ConnId, std::uint64_t> touched_in_;  // the newest of held_ that has it
+  std::map<std::uint64_t, Held> held_;                      // by the gate's number
+  std::map<event_loop::ConnId, std::size_t> http_behind_;   // replies of HTTP connections that are held
+  std::map<event_loop::ConnId, std::uint64_t> touched_in_;  // the newest of held_ that has it
   // The ledger has a log of its own. Its records go through the jobs' log first, in the commit that takes the
   // end of the attempt, and count at a start where the ledger's log lacks them: so neither can be lost alone.
   ledger::Book book_;
--- a/daemon/http_front.cpp
+++ b/src/daemon/http_front.cpp
@@ -24,30 +24,31 @@
                           request.keep_alive);
 }
 
-int StatusOf(core::Verdict verdict) {
+int StatusOf(job_manager::Verdict verdict) {
   switch (verdict) {
-    case core::Verdict::kOk:
+    case job_manager::Verdict::kOk:
       return 200;
-    case core::Verdict::kUnknownJob:
+    case job_manager::Verdict::kUnknownJob:
       return 404;
-    case core::Verdict::kPermission:
+    case job_manager::Verdict::kPermission:
       return 403;
-    case core::Verdict::kBadState:
-    case core::Verdict::kNotRunning:
-    case core::Verdict::kExists:
+    case job_manager::Verdict::kBadState:
+    case job_manager::Verdict::kNotRunning:
+    case job_manager::Verdict::kExists:
       return 409;
-    case core::Verdict::kBadValue:
+    case job_manager::Verdict::kBadValue:
       return 400;
-    case core::Verdict::kFull:
-    case core::Verdict::kStopping:
+    case job_manager::Verdict::kFull:
+    case job_manager::Verdict::kStopping:
       return 503;
   }
   return 500;
 }
 
-json Show(const core::Core& core, const core::Job& job, const batch::Vocabulary& words) {
+json Show(const job_manager::JobManager& core, const job_manager::Job& job,
+          const pbs_server::Vocabulary& words) {
   json j = {{"id", core.IdOf(job.number)}};
-  for (const pbs::Attribute& a : batch::ForStatus(core, job, words)) {
+  for (const pbs_protocol::Attribute& a : pbs_server::ForStatus(core, job, words)) {
     if (a.resource.empty()) {
       j[a.name] = a.value;
     } else {
@@ -59,12 +60,13 @@
 
 }  // namespace
 
-std::string HttpFront::Handle(Micros now, const http::Message& r, const batch::Peer& peer, Micros arrived) {
+std::string HttpFront::Handle(Micros now, const http::Message& r, const pbs_server::Peer& peer,
+                              Micros arrived) {
   const std::string user = peer.user;
   said_nothing_kept_ = false;
   if (r.path == "/v1/status" && r.method == "GET") {
-    const core::Counts c = core_->Count();
-    const registry::ViewStatus v = list_->Status(now);
+    const job_manager::Counts c = core_->Count();
+    const discovery::ViewStatus v = list_->Status(now);
     return Reply(r, 200,
                  {{"server", core_->options().server},
                   {"jobs",
@@ -116,7 +118,7 @@
   }
   if (r.path == "/v1/nodes" && r.method == "GET") {
     json nodes = json::array();
-    core_->ForEachNode([&nodes](MachineId id, const core::ListedNode& n) {
+    core_->ForEachNode([&nodes](NodeId id, const job_manager::ListedNode& n) {
       nodes.push_back({{"name", n.name},
                        {"machine", id},
                        {"address", n.address},
@@ -124,7 +126,7 @@
                        {"room", n.room},
                        {"kind", n.kind},
                        {"started_us", n.started},
-                       {"state", n.state == MachineState::kDraining ? "draining" : "ready"},
+                       {"state", n.state == NodeState::kDraining ? "draining" : "ready"},
                        {"free_cores", n.free_cores},
                        {"free_memory", n.free_memory}});
     });
@@ -138,7 +140,7 @@
   if (r.path.compare(0, kJobs.size() + 1, kJobs + "/") == 0) {
     const std::string id = r.path.substr(kJobs.size() + 1);
     if (r.method == "GET") {
-      const core::Job* job = core_->Find(core_->NumberOf(id));
+      const job_manager::Job* job = core_->Find(core_->NumberOf(id));
       if (job == nullptr) return Problem(r, 404, "no job " + id);
       return Reply(r, 200, Show(*core_, *job, options_->words));
     }
@@ -170,9 +172,9 @@
       {"join", {"Join_Path", ""}},
       {"variables", {"Variable_List", ""}},
       {"life", {"life", ""}}};
-  pbs::Attributes list;
+  pbs_protocol::Attributes list;
   std::string queue;
-  core::JobSpec spec;
+  job_manager::JobSpec spec;
   spec.user = user;
   for (const auto& [name, value] : body.items()) {
     if (!value.is_string() && !value.is_number() && !value.is_boolean()) {
@@ -190,31 +192,32 @@
     } else {
       const auto known = kNames.find(name);
       if (known == kNames.end()) return Problem(r, 400, "/" + name + ": unknown member");
-      list.push_back({known->second.first, known->second.second, text, pbs::Op::kSet});
+      list.push_back({known->second.first, known->second.second, text, pbs_protocol::Op::kSet});
     }
   }
-  const batch::Problem problem = batch::Read(list, queue, options_->words, false, &spec);
-  if (problem.code != pbs::Code::kNone) return Problem(r, 400, problem.text);
+  const pbs_server::Problem problem = pbs_server::Read(list, queue, options_->words, false, &spec);
+  if (problem.code != pbs_protocol::Code::kNone) return Problem(r, 400, problem.text);
   if (door_ != nullptr) {
-    door::Asked asked;
+    admission::Asked asked;
     asked.now = now;
     asked.arrived = arrived;
     asked.give_up =
         arrived + (spec.owner_time != 0 ? spec.owner_time : core_->options().hard_limits[spec.task_class]);
     if (spec.owner_deadline != 0) asked.give_up = std::min(asked.give_up, spec.owner_deadline);
     asked.unanswered = core_->Count().queued;
-    const door::Verdict verdict = door_->Ask(asked);
+    const admission::Verdict verdict = door_->Ask(asked);
     if (!verdict.admit) {
       said_nothing_kept_ = true;
       return Problem(r, 503, verdict.reason, verdict.wait);
     }
   }
-  const core::Submitted done = core_->Submit(now, core_->NewJobNumber(), std::move(spec));
-  if (done.verdict == core::Verdict::kExists) {
+  const job_manager::Submitted done = core_->Submit(now, core_->NewJobNumber(), std::move(spec));
+  if (done.verdict == job_manager::Verdict::kExists) {
     return Reply(r, 200, Show(*core_, *core_->Find(done.job), options_->words));
   }
-  said_nothing_kept_ = done.verdict == core::Verdict::kFull || done.verdict == core::Verdict::kStopping;
-  if (done.verdict != core::Verdict::kOk) return Problem(r, StatusOf(done.verdict), done.reason);
+  said_nothing_kept_ =
+      done.verdict == job_manager::Verdict::kFull || done.verdict == job_manager::Verdict::kStopping;
+  if (done.verdict != job_manager::Verdict::kOk) return Problem(r, StatusOf(done.verdict), done.reason);
   return Reply(r, 201, Show(*core_, *core_->Find(done.job), options_->words));
 }
 
@@ -226,7 +229,7 @@
     id.resize(slash);
   }
   const std::uint64_t number = core_->NumberOf(id);
-  core::Verdict v = core::Verdict::kBadValue;
+  job_manager::Verdict v = job_manager::Verdict::kBadValue;
   if (r.method == "DELETE" && verb.empty()) {
     v = core_->Delete(now, number, acts);
   } else if (r.method == "POST" && verb == "hold") {
@@ -238,14 +241,15 @@
   } else {
     return Problem(r, 405, "expected DELETE, or POST of hold, release or rerun");
   }
-  if (v != core::Verdict::kOk) return Problem(r, StatusOf(v), pbs::Describe(batch::CodeOf(v)));
+  if (v != job_manager::Verdict::kOk)
+    return Problem(r, StatusOf(v), pbs_protocol::Describe(pbs_server::CodeOf(v)));
   return Reply(r, 200, Show(*core_, *core_->Find(number), options_->words));
 }
 
 std::string HttpFront::ListJobs(const http::Message& r) {
   std::uint64_t limit = 100;
   if (r.query.count("limit") > 0 &&
-      (!batch::ReadCount(r.Query("limit"), &limit) || limit == 0 || limit > kMostPage)) {
+      (!pbs_server::ReadCount(r.Query("limit"), &limit) || limit == 0 || limit > kMostPage)) {
     return Problem(r, 400, "limit: expected 1 to " + std::to_string(kMostPage));
   }
   std::uint64_t from = 0;
@@ -256,8 +260,8 @@
   const bool history = r.Query("history") == "true" || states.find('C') != std::string::npos;
   json jobs = json::array();
   std::string next;
-  core_->ForEach(from, [&](const core::Job& job) {
-    if (!history && job.state == core::JobState::kComplete) return true;
+  core_->ForEach(from, [&](const job_manager::Job& job) {
+    if (!history && job.state == job_manager::JobState::kComplete) return true;
     if (!states.empty() && states.find(static_cast<char>(job.state)) == std::string::npos) return true;
     if (!queue.empty() && job.spec->queue != queue) return true;
     if (jobs.size() == limit) {
--- a/daemon/http_front.hpp
+++ b/src/daemon/http_front.hpp
@@ -12,36 +12,37 @@
 
 #include <string>
 
-#include "batch/front.hpp"
-#include "core/core.hpp"
+#include "discovery/client.hpp"
 #include "http/message.hpp"
+#include "job_manager/job_manager.hpp"
 #include "ledger/book.hpp"
-#include "registry/client.hpp"
+#include "pbs_server/pbs_server.hpp"
 
 namespace mountflow::daemon {
 
 class HttpFront {
  public:
-  HttpFront(core::Core* core, const batch::FrontOptions* options, const registry::RegistryClient* list)
+  HttpFront(job_manager::JobManager* core, const pbs_server::FrontOptions* options,
+            const discovery::RegistryClient* list)
       : core_(core), options_(options), list_(list) {}
   // The last reply refused a submission at the door: it tells of nothing that the core keeps.
   bool said_nothing_kept() const { return said_nothing_kept_; }
-  void SetDoor(door::Door* door) { door_ = door; }
+  void SetDoor(admission::Door* door) { door_ = door; }
   void SetBook(const ledger::Book* book) { book_ = book; }
   // The whole reply as bytes.
   // `arrived`: when its bytes did, at the earliest.
-  std::string Handle(Micros now, const http::Message& request, const batch::Peer& peer, Micros arrived);
+  std::string Handle(Micros now, const http::Message& request, const pbs_server::Peer& peer, Micros arrived);
 
  private:
   std::string Submit(Micros now, const http::Message& request, const std::string& user, Micros arrived);
   std::string Manage(Micros now, const http::Message& request, const std::string& user);
   std::string ListJobs(const http::Message& request);
 
-  core::Core* core_;
-  const batch::FrontOptions* options_;
-  const registry::RegistryClient* list_;
+  job_manager::JobManager* core_;
+  const pbs_server::FrontOptions* options_;
+  const discovery::RegistryClient* list_;
   const ledger::Book* book_ = nullptr;
-  door::Door* door_ = nullptr;
+  admission::Door* door_ = nullptr;
   bool said_nothing_kept_ = false;
 };
 
--- a/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -8,7 +8,7 @@
 #include <functional>
 
 #include "daemon/daemon.hpp"
-#include "daemon/platform_shell.hpp"
+#include "platform/platform_server.hpp"
 
 int main(int argc, char** argv) {
   CLI::App app{"mountflowd: places batch jobs on the nodes of a shared cluster"};
@@ -79,7 +79,7 @@
     std::fprintf(stderr, "mountflowd: log: %s\n", error.c_str());
     return 1;
   }
-  mountflow::net::Loop loop;
+  mountflow::event_loop::Loop loop;
   mountflow::daemon::Daemon daemon(&loop, config, log);
   if (measure) daemon.MeasureParts();
   if (!daemon.Start(&error)) {
--- a/registry/client.cpp
+++ b/src/discovery/client.cpp
@@ -1,12 +1,12 @@
-#include "registry/client.hpp"
+#include "discovery/client.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <utility>
 
-#include "registry/health.hpp"
+#include "discovery/health.hpp"
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 namespace {
 
 constexpr const char* kCompacted = "registry: what came since was compacted away, all is read anew";
@@ -38,7 +38,7 @@
 }
 
 std::vector<std::string> RegistryClient::TakeComplaints() { return std::exchange(complaints_, {}); }
-std::vector<core::ListView> RegistryClient::TakeViews() { return std::exchange(views_, {}); }
+std::vector<job_manager::ListView> RegistryClient::TakeViews() { return std::exchange(views_, {}); }
 
 void RegistryClient::Drop() {
   if (open_) actions_.push_back(CloseIt{});
@@ -362,14 +362,14 @@
     if (c.removed) {
       skipped_.erase(c.key);
       if (had == nodes_.end()) continue;
-      core::ListedNode gone = had->second;
-      gone.state = MachineState::kGone;
+      job_manager::ListedNode gone = had->second;
+      gone.state = NodeState::kGone;
       nodes_.erase(had);
       pending_[c.key] = std::move(gone);
       urgent_ = true;
       continue;
     }
-    core::ListedNode node;
+    job_manager::ListedNode node;
     std::string expected;
     if (!ReadEntry(c.value, &node, &expected)) {
       std::uint64_t& told = skipped_[c.key];
@@ -381,8 +381,8 @@
       continue;  // what was known of it stands
     }
     skipped_.erase(c.key);
-    const bool leaves = node.state != MachineState::kReady &&
-                        (had == nodes_.end() || had->second.state == MachineState::kReady);
+    const bool leaves =
+        node.state != NodeState::kReady && (had == nodes_.end() || had->second.state == NodeState::kReady);
     urgent_ |= leaves;
     nodes_[c.key] = node;
     pending_[c.key] = std::move(node);
@@ -392,8 +392,8 @@
 void RegistryClient::Emit(Micros now) {
   if (pending_.empty() && !whole_) return;
   if (!urgent_ && !whole_ && emitted_at_ != 0 && now < emitted_at_ + options_.least_pause) return;
-  core::ListView view;
-  view.mode = whole_ ? ViewMode::kFull : ViewMode::kChanges;
+  job_manager::ListView view;
+  view.kind = whole_ ? NodeListKind::kSnapshot : NodeListKind::kDelta;
   if (whole_) {
     for (const auto& [key, node] : nodes_) view.nodes.push_back(node);
   } else {
@@ -422,4 +422,4 @@
   return s;
 }
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
--- a/registry/client.hpp
+++ b/src/discovery/client.hpp
@@ -10,8 +10,8 @@
 // a watch of `most_message` bytes, `most_keys` keys (beyond: the endpoint is
 // left with a complaint); a value of kMostEntry bytes (beyond: skipped, told
 // once for each of its revisions).
-#ifndef MOUNTFLOW_REGISTRY_CLIENT_HPP_
-#define MOUNTFLOW_REGISTRY_CLIENT_HPP_
+#ifndef MOUNTFLOW_DISCOVERY_CLIENT_HPP_
+#define MOUNTFLOW_DISCOVERY_CLIENT_HPP_
 
 #include <cstdint>
 #include <map>
@@ -22,13 +22,13 @@
 #include <variant>
 #include <vector>
 
-#include "core/messages.hpp"
+#include "discovery/etcd.hpp"
+#include "discovery/sourcing.hpp"
+#include "discovery/state.hpp"
 #include "http/message.hpp"
-#include "registry/etcd.hpp"
-#include "registry/sourcing.hpp"
-#include "registry/state.hpp"
+#include "job_manager/messages.hpp"
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 
 enum class RegistryKind { kConsul, kEtcd };
 enum class ConsulMode { kDefault, kStale, kConsistent };
@@ -83,7 +83,7 @@
   void ReadAnew(Micros now);
 
   std::vector<ClientAction>& actions() { return actions_; }
-  std::vector<core::ListView> TakeViews();
+  std::vector<job_manager::ListView> TakeViews();
   std::vector<std::string> TakeComplaints();
   ViewStatus Status(Micros now) const;
   const RegistryState& state() const { return state_; }
@@ -125,12 +125,12 @@
   std::vector<KeyChange> fragments_;
   Micros read_at_ = 0;
   // Folding:
-  std::map<std::string, core::ListedNode> nodes_;    // by key, as handed on or about to be
-  std::map<std::string, core::ListedNode> pending_;  // by key, the newest
+  std::map<std::string, job_manager::ListedNode> nodes_;    // by key, as handed on or about to be
+  std::map<std::string, job_manager::ListedNode> pending_;  // by key, the newest
   std::map<std::string, std::uint64_t> skipped_;
   bool urgent_ = false, whole_ = false, first_ = true;
   Micros emitted_at_ = 0;
-  std::vector<core::ListView> views_;
+  std::vector<job_manager::ListView> views_;
   std::vector<ClientAction> actions_;
   std::vector<std::string> complaints_;
   ViewStatus status_;
@@ -138,6 +138,6 @@
   std::uint64_t catch_up_ = 0;  // the registry's revision when the watch was created
 };
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
 
-#endif  // MOUNTFLOW_REGISTRY_CLIENT_HPP_
+#endif  // MOUNTFLOW_DISCOVERY_CLIENT_HPP_
--- a/registry/entry.cpp
+++ b/src/discovery/entry.cpp
@@ -1,18 +1,18 @@
-#include "registry/entry.hpp"
+#include "discovery/entry.hpp"
 
 #include <array>
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 namespace {
 
 using nlohmann::json;
 
 constexpr char kAlphabet[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
-const char* NameOf(MachineState state) {
-  return state == MachineState::kReady ? "ready" : state == MachineState::kDraining ? "draining" : "gone";
+const char* NameOf(NodeState state) {
+  return state == NodeState::kReady ? "ready" : state == NodeState::kDraining ? "draining" : "gone";
 }
 
 }  // namespace
@@ -60,7 +60,7 @@
   return true;
 }
 
-std::string WriteEntry(const core::ListedNode& node) {
+std::string WriteEntry(const job_manager::ListedNode& node) {
   return json{{"name", node.name},
               {"address", node.address},
               {"rack", node.rack},
@@ -73,7 +73,7 @@
       .dump();
 }
 
-bool ReadEntry(std::string_view text, core::ListedNode* node, std::string* expected) {
+bool ReadEntry(std::string_view text, job_manager::ListedNode* node, std::string* expected) {
   if (text.size() > kMostEntry) {
     *expected = "an entry of at most " + std::to_string(kMostEntry) + " bytes";
     return false;
@@ -104,7 +104,7 @@
     *to = it->get<double>();
     return true;
   };
-  core::ListedNode n;
+  job_manager::ListedNode n;
   std::string state = "ready";
   double started = 0.0;
   if (!string("name", &n.name, 200, true) || !string("address", &n.address, 200, true) ||
@@ -120,11 +120,11 @@
   }
   if (const auto it = j.find("started"); it != j.end()) n.started = it->get<std::uint64_t>();
   if (state == "ready") {
-    n.state = MachineState::kReady;
+    n.state = NodeState::kReady;
   } else if (state == "draining") {
-    n.state = MachineState::kDraining;
+    n.state = NodeState::kDraining;
   } else if (state == "gone") {
-    n.state = MachineState::kGone;
+    n.state = NodeState::kGone;
   } else {
     *expected = "state: one of ready, draining, gone";
     return false;
@@ -181,4 +181,4 @@
   return true;
 }
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
--- a/registry/entry.hpp
+++ b/src/discovery/entry.hpp
@@ -1,22 +1,22 @@
 // One node's entry in the list, as JSON in the registry's value, and Consul's
 // key-value replies (published HTTP interface: /v1/kv, X-Consul-Index).
-#ifndef MOUNTFLOW_REGISTRY_ENTRY_HPP_
-#define MOUNTFLOW_REGISTRY_ENTRY_HPP_
+#ifndef MOUNTFLOW_DISCOVERY_ENTRY_HPP_
+#define MOUNTFLOW_DISCOVERY_ENTRY_HPP_
 
 #include <nlohmann/json_fwd.hpp>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "core/messages.hpp"
+#include "job_manager/messages.hpp"
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 
 inline constexpr std::size_t kMostEntry = 16 << 10;  // bytes of one value; larger ones are skipped and told
 
-std::string WriteEntry(const core::ListedNode& node);
+std::string WriteEntry(const job_manager::ListedNode& node);
 // False with what was expected, for a value that is no entry.
-bool ReadEntry(std::string_view json, core::ListedNode* node, std::string* expected);
+bool ReadEntry(std::string_view json, job_manager::ListedNode* node, std::string* expected);
 
 struct KeyValue {
   std::string key;
@@ -32,6 +32,6 @@
 std::string Base64(std::string_view bytes);
 bool FromBase64(std::string_view text, std::string* bytes);
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
 
-#endif  // MOUNTFLOW_REGISTRY_ENTRY_HPP_
+#endif  // MOUNTFLOW_DISCOVERY_ENTRY_HPP_
--- a/registry/etcd.cpp
+++ b/src/discovery/etcd.cpp
@@ -1,9 +1,9 @@
-#include "registry/etcd.hpp"
+#include "discovery/etcd.hpp"
 
 #include <charconv>
 #include <nlohmann/json.hpp>
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 namespace {
 
 using nlohmann::json;
@@ -194,4 +194,4 @@
 
 std::string WriteDelete(const std::string& key) { return json{{"key", Base64(key)}}.dump(); }
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
--- a/registry/etcd.hpp
+++ b/src/discovery/etcd.hpp
@@ -1,17 +1,17 @@
 // etcd's version 3 interface by its JSON gateway (public proto, /v3/...):
 // 64-bit numbers travel as strings, bytes as base64.
-#ifndef MOUNTFLOW_REGISTRY_ETCD_HPP_
-#define MOUNTFLOW_REGISTRY_ETCD_HPP_
+#ifndef MOUNTFLOW_DISCOVERY_ETCD_HPP_
+#define MOUNTFLOW_DISCOVERY_ETCD_HPP_
 
 #include <cstdint>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "registry/entry.hpp"
-#include "registry/state.hpp"
+#include "discovery/entry.hpp"
+#include "discovery/state.hpp"
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 
 // The end of the range of all keys with this prefix.
 std::string RangeEnd(std::string prefix);
@@ -57,6 +57,6 @@
 std::string WritePut(const std::string& key, const std::string& value, std::uint64_t lease);
 std::string WriteDelete(const std::string& key);
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
 
-#endif  // MOUNTFLOW_REGISTRY_ETCD_HPP_
+#endif  // MOUNTFLOW_DISCOVERY_ETCD_HPP_
--- a/registry/health.cpp
+++ b/src/discovery/health.cpp
@@ -1,10 +1,10 @@
-#include "registry/health.hpp"
+#include "discovery/health.hpp"
 
 #include <algorithm>
 #include <cstdlib>
 #include <nlohmann/json.hpp>
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 namespace {
 
 using nlohmann::json;
@@ -99,7 +99,7 @@
 }
 
 std::string WriteService(std::string_view entry, const std::string& service, Micros time_to_live) {
-  core::ListedNode node;
+  job_manager::ListedNode node;
   std::string expected;
   if (!ReadEntry(entry, &node, &expected)) return "";
   const std::size_t colon = node.address.rfind(':');
@@ -118,4 +118,4 @@
       .dump();
 }
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
--- a/registry/health.hpp
+++ b/src/discovery/health.hpp
@@ -7,17 +7,17 @@
 // of the form key=value. The node's name is the service's ID.
 // - In maintenance, of the service or its agent: the node drains.
 // - Any other check critical (its TTL ran out, its agent is dead): the node is gone.
-#ifndef MOUNTFLOW_REGISTRY_HEALTH_HPP_
-#define MOUNTFLOW_REGISTRY_HEALTH_HPP_
+#ifndef MOUNTFLOW_DISCOVERY_HEALTH_HPP_
+#define MOUNTFLOW_DISCOVERY_HEALTH_HPP_
 
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "discovery/entry.hpp"
 #include "mountflow/scheduler.hpp"
-#include "registry/entry.hpp"
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 
 // A reply of /v1/health/service/NAME. Instances that are gone are left out; one that cannot be read is kept
 // with a value that is no entry, so that it is told.
@@ -26,6 +26,6 @@
 // The body of /v1/agent/service/register for an entry of WriteEntry's; empty when it is none.
 std::string WriteService(std::string_view entry, const std::string& service, Micros time_to_live);
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
 
-#endif  // MOUNTFLOW_REGISTRY_HEALTH_HPP_
+#endif  // MOUNTFLOW_DISCOVERY_HEALTH_HPP_
--- a/registry/registrar.cpp
+++ b/src/discovery/registrar.cpp
@@ -1,12 +1,12 @@
-#include "registry/registrar.hpp"
+#include "discovery/registrar.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "registry/health.hpp"
+#include "discovery/health.hpp"
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 namespace {
 
 constexpr std::size_t kMostComplaints = 64;
@@ -214,4 +214,4 @@
   return next;
 }
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
--- a/registry/registrar.hpp
+++ b/src/discovery/registrar.hpp
@@ -9,17 +9,17 @@
 // successful renewal was sent. Others may remove an entry (somebody empties the
 // registry): it is written again every `reassert`, and at once when the registry
 // was seen without it.
-#ifndef MOUNTFLOW_REGISTRY_REGISTRAR_HPP_
-#define MOUNTFLOW_REGISTRY_REGISTRAR_HPP_
+#ifndef MOUNTFLOW_DISCOVERY_REGISTRAR_HPP_
+#define MOUNTFLOW_DISCOVERY_REGISTRAR_HPP_
 
 #include <cstdint>
 #include <optional>
 #include <string>
 
+#include "discovery/client.hpp"
 #include "http/message.hpp"
-#include "registry/client.hpp"
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 
 struct RegistrarOptions {
   RegistryKind kind = RegistryKind::kConsul;
@@ -84,6 +84,6 @@
   std::vector<std::string> complaints_;
 };
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
 
-#endif  // MOUNTFLOW_REGISTRY_REGISTRAR_HPP_
+#endif  // MOUNTFLOW_DISCOVERY_REGISTRAR_HPP_
--- a/registry/registrar_link.cpp
+++ b/src/discovery/registrar_link.cpp
@@ -1,8 +1,8 @@
-#include "registry/registrar_link.hpp"
+#include "discovery/registrar_link.hpp"
 
 #include <utility>
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 
 RegistrarLink::~RegistrarLink() { Drop(); }
 
@@ -29,7 +29,7 @@
   loop_->Send(conn_, request->bytes);
 }
 
-void RegistrarLink::OnReceived(net::ConnId conn, std::string_view bytes) {
+void RegistrarLink::OnReceived(event_loop::ConnId conn, std::string_view bytes) {
   if (conn != conn_) return;
   if (!reader_->Feed(bytes)) return Fail("expected " + reader_->error());
   while (conn == conn_ && !reader_->messages().empty()) {
@@ -40,10 +40,10 @@
   }
 }
 
-void RegistrarLink::OnClosed(net::ConnId conn, const std::string& reason) {
+void RegistrarLink::OnClosed(event_loop::ConnId conn, const std::string& reason) {
   if (conn != conn_) return;
   conn_ = 0;
   registrar_->OnFailure(loop_->Now(), reason);
 }
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
--- a/registry/snapshot.cpp
+++ b/src/discovery/snapshot.cpp
@@ -1,4 +1,4 @@
-#include "registry/snapshot.hpp"
+#include "discovery/snapshot.hpp"
 
 #include <errno.h>
 #include <fcntl.h>
@@ -12,9 +12,9 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "registry/entry.hpp"
+#include "discovery/entry.hpp"
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 namespace {
 
 using nlohmann::json;
@@ -30,7 +30,7 @@
 
 std::string WriteSnapshot(const Snapshot& s) {
   json nodes = json::array();
-  for (const core::ListedNode& n : s.nodes) nodes.push_back(WriteEntry(n));
+  for (const job_manager::ListedNode& n : s.nodes) nodes.push_back(WriteEntry(n));
   const std::string body = json{{"taken_at", s.taken_at}, {"nodes", std::move(nodes)}}.dump();
   return kHead + Hex(XXH3_64bits(body.data(), body.size())) + " " + std::to_string(body.size()) + "\n" + body;
 }
@@ -63,7 +63,7 @@
   Snapshot s;
   s.taken_at = j.value("taken_at", Micros{0});
   for (const json& one : j["nodes"]) {
-    core::ListedNode node;
+    job_manager::ListedNode node;
     if (!one.is_string() || !ReadEntry(one.get_ref<const std::string&>(), &node, expected)) return false;
     s.nodes.push_back(std::move(node));
   }
@@ -118,4 +118,4 @@
   return false;
 }
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
--- a/registry/sourcing.cpp
+++ b/src/discovery/sourcing.cpp
@@ -1,8 +1,8 @@
-#include "registry/sourcing.hpp"
+#include "discovery/sourcing.hpp"
 
 #include <algorithm>
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 
 Step Sourcing::Next(Micros now) {
   if (task_ != Task::kNone || now < next_at_) return {};
@@ -94,4 +94,4 @@
   if (task_ == Task::kNone) next_at_ = std::min(next_at_, now);
 }
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
--- a/registry/sourcing.hpp
+++ b/src/discovery/sourcing.hpp
@@ -10,8 +10,8 @@
 //   one that told the newer revision itself says so, the registry's history
 //   began anew (a restore): full read, and its revisions count from there.
 // - Silence beyond the time in which something was due is a break.
-#ifndef MOUNTFLOW_REGISTRY_SOURCING_HPP_
-#define MOUNTFLOW_REGISTRY_SOURCING_HPP_
+#ifndef MOUNTFLOW_DISCOVERY_SOURCING_HPP_
+#define MOUNTFLOW_DISCOVERY_SOURCING_HPP_
 
 #include <cstdint>
 #include <set>
@@ -20,7 +20,7 @@
 
 #include "mountflow/scheduler.hpp"
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 
 struct SourcingOptions {
   std::size_t endpoints = 1;
@@ -83,6 +83,6 @@
   Micros next_at_ = 0, heard_ = 0;
 };
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
 
-#endif  // MOUNTFLOW_REGISTRY_SOURCING_HPP_
+#endif  // MOUNTFLOW_DISCOVERY_SOURCING_HPP_
--- a/registry/state.cpp
+++ b/src/discovery/state.cpp
@@ -1,8 +1,8 @@
-#include "registry/state.hpp"
+#include "discovery/state.hpp"
 
 #include <algorithm>
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 
 void RegistryState::Remember(const std::string& key, std::uint64_t revision) {
   removed_[key] = revision;
@@ -74,4 +74,4 @@
   return counted;
 }
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
--- a/registry/state.hpp
+++ b/src/discovery/state.hpp
@@ -4,8 +4,8 @@
 // A change counts only if its revision is above the last full read's and above
 // that key's own, removals included; so frames that come twice or out of order
 // do no harm. A full read replaces all: keys that it lacks are told as gone.
-#ifndef MOUNTFLOW_REGISTRY_STATE_HPP_
-#define MOUNTFLOW_REGISTRY_STATE_HPP_
+#ifndef MOUNTFLOW_DISCOVERY_STATE_HPP_
+#define MOUNTFLOW_DISCOVERY_STATE_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -14,9 +14,9 @@
 #include <utility>
 #include <vector>
 
-#include "registry/entry.hpp"
+#include "discovery/entry.hpp"
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 
 inline constexpr std::size_t kMostRemoved = 65'536;  // removals remembered; beyond: the oldest is forgotten
 
@@ -54,6 +54,6 @@
   std::uint64_t revision_ = 0, full_at_ = 0, lives_ = 0;
 };
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
 
-#endif  // MOUNTFLOW_REGISTRY_STATE_HPP_
+#endif  // MOUNTFLOW_DISCOVERY_STATE_HPP_
--- a/net/filter.hpp
+++ b/src/event_loop/connection_filter.hpp
@@ -1,11 +1,11 @@
 // What stands between a connection's bytes and its handler, sans-I/O: TLS.
-#ifndef MOUNTFLOW_NET_FILTER_HPP_
-#define MOUNTFLOW_NET_FILTER_HPP_
+#ifndef MOUNTFLOW_EVENT_LOOP_CONNECTION_FILTER_HPP_
+#define MOUNTFLOW_EVENT_LOOP_CONNECTION_FILTER_HPP_
 
 #include <string>
 #include <string_view>
 
-namespace mountflow::net {
+namespace mountflow::event_loop {
 
 class Filter {
  public:
@@ -23,6 +23,6 @@
   virtual const std::string& error() const = 0;
 };
 
-}  // namespace mountflow::net
+}  // namespace mountflow::event_loop
 
-#endif  // MOUNTFLOW_NET_FILTER_HPP_
+#endif  // MOUNTFLOW_EVENT_LOOP_CONNECTION_FILTER_HPP_
--- a/net/loop.cpp
+++ b/src/event_loop/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "net/loop.hpp"
+#include "event_loop/event_loop.hpp"
 
 #include <arpa/inet.h>
 #include <errno.h>
@@ -26,7 +26,7 @@
 #include <utility>
 #include <vector>
 
-namespace mountflow::net {
+namespace mountflow::event_loop {
 namespace {
 
 constexpr std::size_t kReadChunk = 64 << 10;
@@ -698,4 +698,4 @@
   impl_->children[pid] = std::move(c);
 }
 
-}  // namespace mountflow::net
+}  // namespace mountflow::event_loop
--- a/net/loop.hpp
+++ b/src/event_loop/event_loop.hpp
@@ -3,8 +3,8 @@
 //
 // Every connection has a bounded write buffer: what a peer does not read beyond
 // `most_unsent` ends the connection (OnClosed with a reason).
-#ifndef MOUNTFLOW_NET_LOOP_HPP_
-#define MOUNTFLOW_NET_LOOP_HPP_
+#ifndef MOUNTFLOW_EVENT_LOOP_EVENT_LOOP_HPP_
+#define MOUNTFLOW_EVENT_LOOP_EVENT_LOOP_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -12,10 +12,10 @@
 #include <string>
 #include <string_view>
 
+#include "event_loop/connection_filter.hpp"
 #include "mountflow/scheduler.hpp"
-#include "net/filter.hpp"
 
-namespace mountflow::net {
+namespace mountflow::event_loop {
 
 using ConnId = std::uint64_t;
 using ListenerId = std::uint64_t;
@@ -111,6 +111,6 @@
 
 bool SplitAddress(const std::string& address, std::string* host, int* port);
 
-}  // namespace mountflow::net
+}  // namespace mountflow::event_loop
 
-#endif  // MOUNTFLOW_NET_LOOP_HPP_
+#endif  // MOUNTFLOW_EVENT_LOOP_EVENT_LOOP_HPP_
--- a/core/job.hpp
+++ b/src/job_manager/job.hpp
@@ -1,6 +1,6 @@
 // Jobs and their attempts, as the core holds them.
-#ifndef MOUNTFLOW_CORE_JOB_HPP_
-#define MOUNTFLOW_CORE_JOB_HPP_
+#ifndef MOUNTFLOW_JOB_MANAGER_JOB_HPP_
+#define MOUNTFLOW_JOB_MANAGER_JOB_HPP_
 
 #include <cstdint>
 #include <memory>
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "mountflow/scheduler.hpp"
-#include "owners/repeats.hpp"
+#include "retry/retry.hpp"
 
-namespace mountflow::core {
+namespace mountflow::job_manager {
 
 // What an owner submits. Immutable once accepted, but for `Alter`.
 struct JobSpec {
@@ -70,7 +70,7 @@
   bool restored = false;  // of an earlier life of this daemon, and its node has not spoken of it yet
   bool counted = false;   // the module knows it as running, though it is restored and in doubt
   std::uint8_t stop_tries = 0;
-  MachineId node = 0;
+  NodeId node = 0;
   Micros node_started = 0;  // the node's life that it belongs to, where known
   Micros sent = 0;
   Micros until = 0;
@@ -87,7 +87,7 @@
   bool adopted = false;   // found running, after a restart
   bool restored = false;  // of an earlier life of this daemon, not asked for in this one
   bool rerun = false;     // qrerun, or moved: asks anew once the running attempt has ended
-  owners::Repeats repeats;
+  retry::Repeats repeats;
   RequestId request = 0;  // the ask that the module holds; 0: none
   std::uint32_t attempts_made = 0;
   std::uint32_t generation = 0;   // of its timer
@@ -100,6 +100,6 @@
   std::string comment;  // the reason of the answer or of the last event
 };
 
-}  // namespace mountflow::core
+}  // namespace mountflow::job_manager
 
-#endif  // MOUNTFLOW_CORE_JOB_HPP_
+#endif  // MOUNTFLOW_JOB_MANAGER_JOB_HPP_
--- a/core/core.cpp
+++ b/src/job_manager/job_manager.cpp
@@ -1,4 +1,4 @@
-#include "core/core.hpp"
+#include "job_manager/job_manager.hpp"
 
 #include <xxhash.h>
 
@@ -7,7 +7,7 @@
 #include <limits>
 #include <utility>
 
-namespace mountflow::core {
+namespace mountflow::job_manager {
 namespace {
 
 constexpr Micros kNever = std::numeric_limits<Micros>::max();
@@ -51,9 +51,9 @@
   return "none";
 }
 
-MachineId Core::IdOfNode(std::string_view name) { return XXH32(name.data(), name.size(), 0); }
+NodeId JobManager::IdOfNode(std::string_view name) { return XXH32(name.data(), name.size(), 0); }
 
-Core::Core(CoreOptions options, std::uint64_t seed, Micros now)
+JobManager::JobManager(JobManagerOptions options, std::uint64_t seed, Micros now)
     : options_(std::move(options)),
       scheduler_(options_.settings, seed),
       random_(seed ^ 0x5851f42d4c957f2du),
@@ -65,11 +65,11 @@
 
 // ---- Ids ----
 
-std::uint64_t Core::NewJobNumber() { return ++next_number_; }
+std::uint64_t JobManager::NewJobNumber() { return ++next_number_; }
 
-std::string Core::IdOf(std::uint64_t job) const { return std::to_string(job) + "." + options_.server; }
+std::string JobManager::IdOf(std::uint64_t job) const { return std::to_string(job) + "." + options_.server; }
 
-std::uint64_t Core::NumberOf(std::string_view id) const {
+std::uint64_t JobManager::NumberOf(std::string_view id) const {
   const std::size_t dot = id.find('.');
   const std::string_view digits = id.substr(0, dot);
   if (dot != std::string_view::npos && id.substr(dot + 1) != options_.server) return 0;
@@ -79,11 +79,11 @@
   return number;
 }
 
-std::string Core::NameOf(const AttemptId& attempt) const {
+std::string JobManager::NameOf(const AttemptId& attempt) const {
   return IdOf(attempt.job) + "/" + std::to_string(attempt.number);
 }
 
-bool Core::AttemptOf(std::string_view name, AttemptId* id, std::string* server) const {
+bool JobManager::AttemptOf(std::string_view name, AttemptId* id, std::string* server) const {
   const std::size_t dot = name.find('.'), slash = name.rfind('/');
   if (dot == std::string_view::npos || slash == std::string_view::npos || slash < dot) return false;
   const auto number = [](std::string_view text, auto* to) {
@@ -95,7 +95,7 @@
   return true;
 }
 
-double Core::Draw() {
+double JobManager::Draw() {
   random_ += 0x9e3779b97f4a7c15u;
   std::uint64_t z = random_;
   z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
@@ -106,36 +106,36 @@
 
 // ---- Reading ----
 
-const Job* Core::Find(std::uint64_t job) const {
+const Job* JobManager::Find(std::uint64_t job) const {
   const auto it = jobs_.find(job);
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-Job* Core::Get(std::uint64_t number) {
+Job* JobManager::Get(std::uint64_t number) {
   const auto it = jobs_.find(number);
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-void Core::ForEach(std::uint64_t from, const std::function<bool(const Job&)>& visit) const {
+void JobManager::ForEach(std::uint64_t from, const std::function<bool(const Job&)>& visit) const {
   for (auto it = jobs_.lower_bound(from); it != jobs_.end(); ++it) {
     if (!visit(it->second)) return;
   }
 }
 
-const ListedNode* Core::NodeOf(MachineId node) const {
+const ListedNode* JobManager::NodeOf(NodeId node) const {
   const auto it = nodes_.find(node);
   return it == nodes_.end() ? nullptr : &it->second.listed;
 }
 
-void Core::ForEachNode(const std::function<void(MachineId, const ListedNode&)>& visit) const {
+void JobManager::ForEachNode(const std::function<void(NodeId, const ListedNode&)>& visit) const {
   for (const auto& [id, node] : nodes_) {
     if (node.present) visit(id, node.listed);
   }
 }
 
-Counts Core::Count() const { return counts_; }
+Counts JobManager::Count() const { return counts_; }
 
-std::uint64_t Core::JobOfKey(const std::string& user, const std::string& key) const {
+std::uint64_t JobManager::JobOfKey(const std::string& user, const std::string& key) const {
   if (key.empty()) return 0;
   const auto it = of_key_.find(KeyIndex(user, key));
   if (it == of_key_.end()) return 0;
@@ -147,8 +147,8 @@
 
 // ---- Small parts ----
 
-void Core::Log(Level level, const char* event, const Job* job, std::uint32_t attempt, const std::string& node,
-               const std::string& text) {
+void JobManager::Log(Level level, const char* event, const Job* job, std::uint32_t attempt,
+                     const std::string& node, const std::string& text) {
   LogEntry entry;
   entry.level = level;
   entry.event = event;
@@ -159,7 +159,7 @@
   outputs_.push_back(std::move(entry));
 }
 
-std::size_t& Core::CountOf(JobState state) {
+std::size_t& JobManager::CountOf(JobState state) {
   switch (state) {
     case JobState::kQueued:
       return counts_.queued;
@@ -177,11 +177,11 @@
   return counts_.complete;
 }
 
-void Core::Touch(const Job& job) {
+void JobManager::Touch(const Job& job) {
   if (options_.durable) touched_.insert(job.number);
 }
 
-void Core::SetState(Job& job, JobState state) {
+void JobManager::SetState(Job& job, JobState state) {
   Touch(job);
   job.changed = now_;
   if (job.state == state) return;
@@ -190,19 +190,19 @@
   job.state = state;
 }
 
-void Core::At(Micros when, TimerKind kind, std::uint64_t a, std::uint32_t b) {
+void JobManager::At(Micros when, TimerKind kind, std::uint64_t a, std::uint32_t b) {
   timers_.push(Timer{when, ++timer_order_, kind, a, b});
 }
 
-Micros Core::NextTimer() const { return timers_.empty() ? kNever : timers_.top().at; }
+Micros JobManager::NextTimer() const { return timers_.empty() ? kNever : timers_.top().at; }
 
 // ---- The module ----
 
-void Core::Tell(Event event) { events_.push_back(std::move(event)); }
+void JobManager::Tell(Event event) { events_.push_back(std::move(event)); }
 
 // Events that arise while actions are carried out wait their turn: the module is never entered twice. The
 // queue is bounded by the attempts of the requests at hand.
-void Core::Pump() {
+void JobManager::Pump() {
   if (pumping_) return;
   pumping_ = true;
   while (!events_.empty()) {
@@ -217,11 +217,11 @@
   pumping_ = false;
 }
 
-void Core::Do(const Action& action) {
+void JobManager::Do(const Action& action) {
   std::visit([this](const auto& a) { Do(a); }, action);
 }
 
-void Core::Do(const Offer& offer) {
+void JobManager::Do(const StartAttempt& offer) {
   const auto of = of_request_.find(offer.request);
   Job* job = of == of_request_.end() ? nullptr : Get(of->second);
   if (job == nullptr) return;
@@ -229,23 +229,23 @@
   attempt.number = ++job->attempts_made;
   attempt.of_request = offer.request;
   attempt.of_attempt = static_cast<std::uint16_t>(offer.attempt);
-  attempt.node = offer.machine;
+  attempt.node = offer.node;
   attempt.sent = now_;
-  attempt.until = std::min(offer.until, job->give_up);
-  const auto node = nodes_.find(offer.machine);
+  attempt.until = std::min(offer.deadline, job->give_up);
+  const auto node = nodes_.find(offer.node);
   job->attempts.push_back(attempt);
   Touch(*job);
   if (node == nodes_.end() || !node->second.present) {
-    TellOutcome(*job, job->attempts.back(), Ending::kUnreachable, Cause::kUntold, {});
+    TellOutcome(*job, job->attempts.back(), AttemptResult::kUnreachable, RejectionReason::kUnspecified, {});
     return Over(*job, attempt.number);
   }
   job->attempts.back().node_started = node->second.listed.started;
   node->second.held.insert({job->number, attempt.number});
-  outputs_.push_back(AskNode{{job->number, attempt.number}, offer.machine});
+  outputs_.push_back(AskNode{{job->number, attempt.number}, offer.node});
   At(attempt.until, TimerKind::kAttempt, job->number, attempt.number);
 }
 
-void Core::Do(const CancelOffer& cancel) {
+void JobManager::Do(const CancelAttempt& cancel) {
   const auto of = of_request_.find(cancel.request);
   Job* job = of == of_request_.end() ? nullptr : Get(of->second);
   if (job == nullptr) return;
@@ -253,33 +253,33 @@
     if (a.of_request != cancel.request || a.of_attempt != cancel.attempt || a.told) continue;
     if (a.phase == Phase::kAsked) {  // no commit went out: it never ran
       outputs_.push_back(AbandonAsk{{job->number, a.number}, a.node});
-      TellOutcome(*job, a, Ending::kUnreachable, Cause::kUntold, {});
+      TellOutcome(*job, a, AttemptResult::kUnreachable, RejectionReason::kUnspecified, {});
       return Over(*job, a.number);
     }
     if (a.phase == Phase::kPlaced) return;  // the yes was first
-    TellOutcome(*job, a, Ending::kCancelled, Cause::kUntold, {});
+    TellOutcome(*job, a, AttemptResult::kCancelled, RejectionReason::kUnspecified, {});
     return Stop(*job, a);
   }
 }
 
-void Core::Do(const Refusal& refusal) {
+void JobManager::Do(const RejectTask& refusal) {
   const auto of = of_request_.find(refusal.request);
   Job* job = of == of_request_.end() ? nullptr : Get(of->second);
   if (job == nullptr) return;
   CloseRequest(*job);
-  AskEnded(*job, owners::AskEnd::kRefused, refusal.wait,
+  AskEnded(*job, retry::AskEnd::kRefused, refusal.retry_after,
            job->comment.empty() ? "refused by the scheduler: no node qualifies now" : job->comment);
 }
 
-void Core::Do(const Failure& failure) {
+void JobManager::Do(const FailTask& failure) {
   const auto of = of_request_.find(failure.request);
   Job* job = of == of_request_.end() ? nullptr : Get(of->second);
   if (job == nullptr) return;
   CloseRequest(*job);
-  AskEnded(*job, owners::AskEnd::kFailed, 0, "no certain answer from a node in time; it may have run");
+  AskEnded(*job, retry::AskEnd::kFailed, 0, "no certain answer from a node in time; it may have run");
 }
 
-void Core::Do(const Move& move) {
+void JobManager::Do(const MigrateTask& move) {
   const auto of = of_request_.find(move.request);
   Job* job = of == of_request_.end() ? nullptr : Get(of->second);
   if (job == nullptr) return;
@@ -292,15 +292,15 @@
   }
 }
 
-void Core::Do(const SetAlarm& alarm) { At(alarm.at, TimerKind::kAlarm, alarm.token); }
-void Core::Do(const Probe& probe) { outputs_.push_back(ProbeNode{probe.machine}); }
-void Core::Do(const FollowList&) { outputs_.push_back(AskList{true}); }
-void Core::Do(const FetchList&) { outputs_.push_back(AskList{false}); }
-void Core::Do(const LogLine& line) { Log(Level::kWarn, "module", nullptr, 0, "", line.text); }
+void JobManager::Do(const SetTimer& alarm) { At(alarm.at, TimerKind::kAlarm, alarm.token); }
+void JobManager::Do(const StartHealthCheck& probe) { outputs_.push_back(ProbeNode{probe.node}); }
+void JobManager::Do(const WatchNodes&) { outputs_.push_back(AskList{true}); }
+void JobManager::Do(const ListNodes&) { outputs_.push_back(AskList{false}); }
+void JobManager::Do(const LogLine& line) { Log(Level::kWarn, "module", nullptr, 0, "", line.text); }
 
 // ---- Commands ----
 
-Submitted Core::Submit(Micros now, std::uint64_t number, JobSpec spec) {
+Submitted JobManager::Submit(Micros now, std::uint64_t number, JobSpec spec) {
   now_ = std::max(now_, now);
   Submitted result;
   result.job = number;
@@ -366,7 +366,7 @@
   return result;
 }
 
-Verdict Core::Manage(std::uint64_t number, const std::string& user, Job** job) {
+Verdict JobManager::Manage(std::uint64_t number, const std::string& user, Job** job) {
   *job = Get(number);
   if (*job == nullptr) return Verdict::kUnknownJob;
   if (!user.empty() && (*job)->spec->user != user) return Verdict::kPermission;
@@ -374,7 +374,7 @@
   return Verdict::kOk;
 }
 
-Verdict Core::Delete(Micros now, std::uint64_t number, const std::string& user) {
+Verdict JobManager::Delete(Micros now, std::uint64_t number, const std::string& user) {
   now_ = std::max(now_, now);
   Job* job = nullptr;
   if (const Verdict v = Manage(number, user, &job); v != Verdict::kOk) return v;
@@ -392,7 +392,7 @@
   if (job->request != 0 && !runs) {
     // The task is no longer wanted. The module is owed one outcome for what is out, and gets it now; whether
     // the node said yes meanwhile is settled below its sight.
-    Tell(Withdrawal{job->request});
+    Tell(TaskCancelled{job->request});
     const std::vector<Attempt> out = job->attempts;
     CloseRequest(*job);
     for (const Attempt& was : out) {
@@ -400,10 +400,10 @@
       if (a == nullptr || a->told) continue;
       if (a->phase == Phase::kAsked) {
         outputs_.push_back(AbandonAsk{{number, a->number}, a->node});
-        TellOutcome(*job, *a, Ending::kUnreachable, Cause::kUntold, {});
+        TellOutcome(*job, *a, AttemptResult::kUnreachable, RejectionReason::kUnspecified, {});
         Over(*job, was.number);
       } else {
-        TellOutcome(*job, *a, Ending::kCancelled, Cause::kUntold, {});
+        TellOutcome(*job, *a, AttemptResult::kCancelled, RejectionReason::kUnspecified, {});
         Stop(*job, *a);
       }
     }
@@ -418,7 +418,8 @@
   return Verdict::kOk;
 }
 
-Verdict Core::Hold(Micros now, std::uint64_t number, const std::string& user, const std::string& types) {
+Verdict JobManager::Hold(Micros now, std::uint64_t number, const std::string& user,
+                         const std::string& types) {
   now_ = std::max(now_, now);
   Job* job = nullptr;
   if (const Verdict v = Manage(number, user, &job); v != Verdict::kOk) return v;
@@ -436,7 +437,8 @@
   return Verdict::kOk;
 }
 
-Verdict Core::Release(Micros now, std::uint64_t number, const std::string& user, const std::string& types) {
+Verdict JobManager::Release(Micros now, std::uint64_t number, const std::string& user,
+                            const std::string& types) {
   now_ = std::max(now_, now);
   Job* job = nullptr;
   if (const Verdict v = Manage(number, user, &job); v != Verdict::kOk) return v;
@@ -447,14 +449,14 @@
   return Verdict::kOk;
 }
 
-Verdict Core::Rerun(Micros now, std::uint64_t number, const std::string& user) {
+Verdict JobManager::Rerun(Micros now, std::uint64_t number, const std::string& user) {
   now_ = std::max(now_, now);
   Job* job = nullptr;
   if (const Verdict v = Manage(number, user, &job); v != Verdict::kOk) return v;
   if (job->state != JobState::kRunning) return Verdict::kNotRunning;
   // An unsafe job that ran must not start again.
-  const Effect effect = options_.settings.classes[job->spec->task_class].effect;
-  if (!job->spec->rerunnable || effect == Effect::kUnsafe) return Verdict::kBadState;
+  const Idempotency effect = options_.settings.classes[job->spec->task_class].idempotency;
+  if (!job->spec->rerunnable || effect == Idempotency::kNotIdempotent) return Verdict::kBadState;
   for (Attempt& a : job->attempts) {
     if (a.phase != Phase::kPlaced || a.stopping) continue;
     job->rerun = true;
@@ -465,7 +467,8 @@
   return Verdict::kOk;
 }
 
-Verdict Core::Signal(Micros now, std::uint64_t number, const std::string& user, const std::string& signal) {
+Verdict JobManager::Signal(Micros now, std::uint64_t number, const std::string& user,
+                           const std::string& signal) {
   now_ = std::max(now_, now);
   Job* job = nullptr;
   if (const Verdict v = Manage(number, user, &job); v != Verdict::kOk) return v;
@@ -476,8 +479,8 @@
   return Verdict::kOk;
 }
 
-Verdict Core::Alter(Micros now, std::uint64_t number, const std::string& user,
-                    const std::function<bool(JobSpec*)>& change) {
+Verdict JobManager::Alter(Micros now, std::uint64_t number, const std::string& user,
+                          const std::function<bool(JobSpec*)>& change) {
   now_ = std::max(now_, now);
   Job* job = nullptr;
   if (const Verdict v = Manage(number, user, &job); v != Verdict::kOk) return v;
@@ -497,19 +500,19 @@
 // ---- Jobs ----
 
 // A hold or a start time keeps a job out of the module.
-void Core::Settle(Job& job) {
+void JobManager::Settle(Job& job) {
   ++job.generation;
   if (!job.spec->hold.empty()) return SetState(job, JobState::kHeld);
   if (job.spec->due > now_) {
     SetState(job, JobState::kWaiting);
     return At(job.spec->due, TimerKind::kJob, job.number, job.generation);
   }
-  const Effect effect = options_.settings.classes[job.spec->task_class].effect;
-  if (job.spec->repeat && effect != Effect::kSafe && !job.spec->key.empty()) return StartFind(job);
+  const Idempotency effect = options_.settings.classes[job.spec->task_class].idempotency;
+  if (job.spec->repeat && effect != Idempotency::kIdempotent && !job.spec->key.empty()) return StartFind(job);
   Ask(job);
 }
 
-void Core::Ask(Job& job) {
+void JobManager::Ask(Job& job) {
   const JobSpec& spec = *job.spec;
   const Micros hard = options_.hard_limits[spec.task_class];
   if (job.give_up == 0) {
@@ -535,51 +538,51 @@
   task.service = Hash(spec.service);
   task.cores = spec.cores;
   task.memory = spec.memory;
-  Tell(TaskArrival{task});
+  Tell(TaskSubmitted{task});
 }
 
-void Core::CloseRequest(Job& job) {
+void JobManager::CloseRequest(Job& job) {
   of_request_.erase(job.request);
   job.request = 0;
 }
 
-bool Core::Unsettled(const Job& job) const {
+bool JobManager::Unsettled(const Job& job) const {
   return std::any_of(job.attempts.begin(), job.attempts.end(),
                      [](const Attempt& a) { return a.phase != Phase::kOver; });
 }
 
-void Core::AskEnded(Job& job, owners::AskEnd end, Micros advised, const std::string& reason) {
+void JobManager::AskEnded(Job& job, retry::AskEnd end, Micros advised, const std::string& reason) {
   job.comment = reason;
   if (job.closing) return Closed(job);
-  owners::AskEnded ended;
+  retry::AskEnded ended;
   ended.end = end;
-  ended.effect = options_.settings.classes[job.spec->task_class].effect;
+  ended.idempotency = options_.settings.classes[job.spec->task_class].idempotency;
   ended.rerunnable = job.spec->rerunnable;
   ended.unsettled = Unsettled(job);
   ended.advised = advised;
   ended.now = now_;
-  if (end == owners::AskEnd::kLost) {  // a new placing: the owner's time begins anew
+  if (end == retry::AskEnd::kLost) {  // a new placing: the owner's time begins anew
     const Micros hard = options_.hard_limits[job.spec->task_class];
     job.give_up =
         now_ + (job.spec->owner_time != 0 ? job.spec->owner_time : hard) + options_.repeats.settle_wait;
   }
   ended.give_up = job.give_up;
   ended.draw = Draw();
-  const owners::RepeatDecision d = job.repeats.Decide(options_.repeats, ended);
-  if (d.verdict == owners::RepeatVerdict::kFinal) {
-    const Answer answer = end == owners::AskEnd::kRefused ? Answer::kRefused : Answer::kFailed;
+  const retry::RepeatDecision d = job.repeats.Decide(options_.repeats, ended);
+  if (d.verdict == retry::RepeatVerdict::kFinal) {
+    const Answer answer = end == retry::AskEnd::kRefused ? Answer::kRefused : Answer::kFailed;
     std::string told = reason;
     if (job.spec->rerunnable) told += std::string(" (") + d.why + ")";
     Give(job, answer, told);
     return Close(job);
   }
-  job.settling = d.verdict == owners::RepeatVerdict::kSettle;
+  job.settling = d.verdict == retry::RepeatVerdict::kSettle;
   SetState(job, JobState::kWaiting);
   ++job.generation;
   At(d.at, TimerKind::kJob, job.number, job.generation);
 }
 
-void Core::Give(Job& job, Answer answer, const std::string& reason) {
+void JobManager::Give(Job& job, Answer answer, const std::string& reason) {
   job.comment = Bounded(reason);
   job.changed = now_;
   Touch(job);
@@ -589,19 +592,19 @@
   outputs_.push_back(Answered{job.number});
 }
 
-void Core::Close(Job& job) {
+void JobManager::Close(Job& job) {
   job.closing = true;
   Touch(job);
   Closed(job);
 }
 
-void Core::Closed(Job& job) {
+void JobManager::Closed(Job& job) {
   if (!job.closing || IsOver(job.state)) return;
   if (Unsettled(job)) return SetState(job, JobState::kExiting);
   Complete(job, job.comment);
 }
 
-void Core::Complete(Job& job, const std::string& reason) {
+void JobManager::Complete(Job& job, const std::string& reason) {
   if (IsOver(job.state)) return;
   job.comment = Bounded(reason);
   job.ended = now_;
@@ -636,7 +639,7 @@
 // if one has it, that start is the answer; if after that time every listed node says no, nobody can start it
 // any more and it is asked for here.
 
-void Core::StartFind(Job& job) {
+void JobManager::StartFind(Job& job) {
   const Micros hard = options_.hard_limits[job.spec->task_class];
   FindState& state = finding_[job.number];
   state = FindState{};
@@ -651,7 +654,7 @@
   FindRound(job, state);
 }
 
-void Core::FindRound(Job& job, FindState& state) {
+void JobManager::FindRound(Job& job, FindState& state) {
   state.asked.clear();
   state.answered.clear();
   state.round_at = now_;
@@ -664,7 +667,7 @@
      TimerKind::kFind, job.number, job.generation);
 }
 
-void Core::FindStep(Job& job) {
+void JobManager::FindStep(Job& job) {
   const auto it = finding_.find(job.number);
   if (it == finding_.end()) return;
   FindState& state = it->second;
@@ -673,7 +676,7 @@
     Give(job, Answer::kRefused, "could not be made sure in time that an earlier ask does not run");
     return Close(job);
   }
-  std::erase_if(state.asked, [this](MachineId id) { return !nodes_[id].present; });
+  std::erase_if(state.asked, [this](NodeId id) { return !nodes_[id].present; });
   const bool all = !state.asked.empty() && std::includes(state.answered.begin(), state.answered.end(),
                                                          state.asked.begin(), state.asked.end());
   if (all && state.round_at >= state.horizon) {
@@ -684,7 +687,7 @@
   FindRound(job, state);
 }
 
-void Core::On(const KeyFound& m) {
+void JobManager::On(const KeyFound& m) {
   const auto it = finding_.find(m.job);
   Job* job = it == finding_.end() ? nullptr : Get(m.job);
   if (job == nullptr || m.key != job->spec->key) return;
@@ -702,7 +705,7 @@
 
 // ---- Attempts ----
 
-Attempt* Core::Get(const AttemptId& id, Job** job) {
+Attempt* JobManager::Get(const AttemptId& id, Job** job) {
   *job = Get(id.job);
   if (*job == nullptr) return nullptr;
   for (Attempt& a : (*job)->attempts) {
@@ -711,7 +714,8 @@
   return nullptr;
 }
 
-void Core::TellOutcome(Job& job, Attempt& attempt, Ending ending, Cause cause, const LoadReport& report) {
+void JobManager::TellOutcome(Job& job, Attempt& attempt, AttemptResult ending, RejectionReason cause,
+                             const LoadReport& report) {
   if (attempt.told) return;
   attempt.told = true;
   if (attempt.restored && !attempt.counted) return;  // the module never knew of it
@@ -719,23 +723,23 @@
     attempt.counted = false;
     if (job.request != attempt.of_request) of_request_.erase(attempt.of_request);
   }
-  Outcome o;
+  AttemptEnded o;
   o.request = attempt.of_request;
   o.attempt = attempt.of_attempt;
-  o.machine = attempt.node;
+  o.node = attempt.node;
   o.elapsed = now_ - attempt.sent;
-  o.closed = job.deleted || attempt.phase == Phase::kPlaced;
-  o.ending = ending;
-  o.cause = cause;
+  o.request_closed = job.deleted || attempt.phase == Phase::kPlaced;
+  o.result = ending;
+  o.reason = cause;
   o.report = report;
   Tell(o);
 }
 
-void Core::Over(Job& job, std::uint32_t number) {
+void JobManager::Over(Job& job, std::uint32_t number) {
   const auto it = std::find_if(job.attempts.begin(), job.attempts.end(),
                                [number](const Attempt& a) { return a.number == number; });
   if (it == job.attempts.end()) return;
-  if (it->counted) TellOutcome(job, *it, Ending::kCancelled, Cause::kUntold, {});
+  if (it->counted) TellOutcome(job, *it, AttemptResult::kCancelled, RejectionReason::kUnspecified, {});
   const auto node = nodes_.find(it->node);
   if (node != nodes_.end()) node->second.held.erase({job.number, number});
   unsettled_.erase({job.number, number});
@@ -744,7 +748,7 @@
 }
 
 // Asked of the node until it answers, or its life is over: it may have said yes, or may yet.
-void Core::Stop(Job& job, Attempt& attempt) {
+void JobManager::Stop(Job& job, Attempt& attempt) {
   const AttemptId id{job.number, attempt.number};
   attempt.stopping = true;
   Touch(job);
@@ -762,12 +766,12 @@
   Closed(*old);
 }
 
-void Core::StopLater(const AttemptId& id, const Attempt& attempt) {
+void JobManager::StopLater(const AttemptId& id, const Attempt& attempt) {
   const unsigned doublings = std::min<unsigned>(attempt.stop_tries, kMostBackoff);
   At(now_ + (options_.stop_again << doublings), TimerKind::kStop, id.job, id.number);
 }
 
-void Core::On(const Ready& m) {
+void JobManager::On(const Ready& m) {
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
   if (a == nullptr || a->phase != Phase::kAsked || a->told) return;
@@ -778,7 +782,7 @@
   outputs_.push_back(CommitNode{m.attempt, a->node});
 }
 
-void Core::On(const Refused& m) {
+void JobManager::On(const Refused& m) {
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
   if (a == nullptr || a->phase == Phase::kPlaced) return;
@@ -787,12 +791,12 @@
   Log(Level::kInfo, "refused by node", job, m.attempt.number, node != nullptr ? node->name : "", m.reason);
   // Nothing before the commit can have run, whatever the node says of itself.
   const bool errs = m.error && a->phase != Phase::kAsked;
-  TellOutcome(*job, *a, errs ? Ending::kError : Ending::kRefused, m.cause, m.report);
+  TellOutcome(*job, *a, errs ? AttemptResult::kError : AttemptResult::kRejected, m.cause, m.report);
   Over(*job, m.attempt.number);
   Closed(*job);
 }
 
-void Core::On(const Committed& m) {
+void JobManager::On(const Committed& m) {
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
   if (a == nullptr || a->phase == Phase::kPlaced) return;
@@ -808,17 +812,17 @@
   if (a->restored) {
     Readopt(*job, *a);
   } else {
-    Tell(Placement{a->of_request, a->of_attempt, a->node, now_ - a->sent});
+    Tell(TaskStarted{a->of_request, a->of_attempt, a->node, now_ - a->sent});
   }
   Give(*job, Answer::kPlaced, "placed on " + job->node);
 }
 
-void Core::On(const Broken& m) {
+void JobManager::On(const Broken& m) {
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
   if (a == nullptr || a->phase == Phase::kPlaced) return;
   if (!m.sent) {
-    TellOutcome(*job, *a, Ending::kUnreachable, Cause::kUntold, {});
+    TellOutcome(*job, *a, AttemptResult::kUnreachable, RejectionReason::kUnspecified, {});
     Over(*job, m.attempt.number);
     Closed(*job);
     return;
@@ -827,17 +831,17 @@
   if (!a->stopping) outputs_.push_back(QueryNode{m.attempt, a->node});
 }
 
-void Core::On(const Found& m) {
+void JobManager::On(const Found& m) {
   if (m.found) return On(Committed{m.attempt});
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
   if (a == nullptr || a->phase != Phase::kDoubt) return;
-  TellOutcome(*job, *a, Ending::kUnreachable, Cause::kUntold, {});
+  TellOutcome(*job, *a, AttemptResult::kUnreachable, RejectionReason::kUnspecified, {});
   Over(*job, m.attempt.number);
   Closed(*job);
 }
 
-void Core::On(const QueryFailed& m) {
+void JobManager::On(const QueryFailed& m) {
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
   if (a == nullptr || a->phase != Phase::kDoubt || a->stopping) return;
@@ -845,7 +849,7 @@
   if (a->stop_tries < 255) ++a->stop_tries;
 }
 
-void Core::On(const Stopped& m) {
+void JobManager::On(const Stopped& m) {
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
   if (a == nullptr || !a->stopping) return;
@@ -854,13 +858,14 @@
     return;
   }
   if (a->phase == Phase::kPlaced && !a->told) {
-    return Lose(*job, *a, Ending::kLost, Cause::kUntold, {}, "the node does not know it any more");
+    return Lose(*job, *a, AttemptResult::kLost, RejectionReason::kUnspecified, {},
+                "the node does not know it any more");
   }
   Over(*job, m.attempt.number);
   Closed(*job);
 }
 
-void Core::On(const StopFailed& m) {
+void JobManager::On(const StopFailed& m) {
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
   if (a == nullptr || !a->stopping) return;
@@ -869,8 +874,8 @@
 }
 
 // A placed task is gone.
-void Core::Lose(Job& job, Attempt& attempt, Ending ending, Cause cause, const LoadReport& report,
-                const std::string& reason) {
+void JobManager::Lose(Job& job, Attempt& attempt, AttemptResult ending, RejectionReason cause,
+                      const LoadReport& report, const std::string& reason) {
   const std::uint32_t number = attempt.number;
   // Danger: the end of an attempt that was given up says nothing of the request, which may be out elsewhere.
   const bool ours = !attempt.told;
@@ -879,10 +884,10 @@
   Over(job, number);
   if (!ours || job.closing) return Closed(job);
   Log(Level::kWarn, "lost", &job, number, job.node, reason);
-  AskEnded(job, owners::AskEnd::kLost, 0, reason);
+  AskEnded(job, retry::AskEnd::kLost, 0, reason);
 }
 
-void Core::On(const AttemptEnded& m) {
+void JobManager::On(const AttemptFinished& m) {
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
   if (a == nullptr) return;
@@ -894,35 +899,35 @@
   if (a->phase != Phase::kPlaced) On(Committed{m.attempt});  // the yes was overtaken by the end
   a = Get(m.attempt, &job);
   if (a == nullptr) return;
-  Ending ending = Ending::kDone;
-  Cause cause = Cause::kUntold;
+  AttemptResult ending = AttemptResult::kCompleted;
+  RejectionReason cause = RejectionReason::kUnspecified;
   switch (m.reason) {
     case EndReason::kExited:
       break;
     case EndReason::kKilled:
-      ending = Ending::kCancelled;
+      ending = AttemptResult::kCancelled;
       break;
     case EndReason::kEvicted:
-      ending = Ending::kLost, cause = Cause::kEvicted;
+      ending = AttemptResult::kLost, cause = RejectionReason::kEvicted;
       break;
     case EndReason::kPushedOut:
-      ending = Ending::kLost, cause = Cause::kPushedOut;
+      ending = AttemptResult::kLost, cause = RejectionReason::kPreempted;
       break;
     case EndReason::kSentAway:
-      ending = Ending::kLost, cause = Cause::kSentAway;
+      ending = AttemptResult::kLost, cause = RejectionReason::kDrained;
       break;
     case EndReason::kError:
-      ending = Ending::kError;
+      ending = AttemptResult::kError;
       break;
     case EndReason::kLost:
-      ending = Ending::kLost;
+      ending = AttemptResult::kLost;
       break;
   }
   if (!a->told) {
     job->has_exit = true;
     job->exit_status = m.exit_status;
   }
-  const bool again = ending == Ending::kLost || (job->rerun && !job->deleted);
+  const bool again = ending == AttemptResult::kLost || (job->rerun && !job->deleted);
   if (again) {
     if (!a->told) job->rerun = false;
     return Lose(*job, *a, ending, cause, m.report, m.text.empty() ? "lost at the node" : Bounded(m.text));
@@ -939,14 +944,14 @@
   Close(*job);
 }
 
-void Core::On(const Probed& m) { Tell(ProbeResult{m.node, m.answered, m.elapsed, m.report}); }
+void JobManager::On(const Probed& m) { Tell(HealthCheckResult{m.node, m.answered, m.elapsed, m.report}); }
 
 // ---- Nodes and the list ----
 
-MachineEntry Core::EntryOf(MachineId id, const ListedNode& node) const {
-  MachineEntry e;
-  e.machine = id;
-  e.cell = static_cast<unsigned>(XXH32(node.rack.data(), node.rack.size(), 1));
+NodeEntry JobManager::EntryOf(NodeId id, const ListedNode& node) const {
+  NodeEntry e;
+  e.node = id;
+  e.rack = static_cast<unsigned>(XXH32(node.rack.data(), node.rack.size(), 1));
   const auto index = [](const std::vector<std::string>& names, const std::string& name) {
     return static_cast<unsigned>(std::find(names.begin(), names.end(), name) - names.begin());
   };
@@ -959,24 +964,23 @@
   return e;
 }
 
-void Core::TakeList(Micros now, const ListView& view) {
+void JobManager::TakeList(Micros now, const ListView& view) {
   now_ = std::max(now_, now);
-  FleetView told;
-  told.mode = view.mode;
-  if (view.mode == ViewMode::kFailed) {
+  NodeListUpdate told;
+  told.kind = view.kind;
+  if (view.kind == NodeListKind::kUnavailable) {
     Tell(told);
     return Pump();
   }
-  const bool full = view.mode != ViewMode::kChanges;
+  const bool full = view.kind != NodeListKind::kDelta;
   viewed_ = true;
-  std::set<MachineId> seen;
-  std::vector<std::pair<MachineId, const char*>> lost;
+  std::set<NodeId> seen;
+  std::vector<std::pair<NodeId, const char*>> lost;
   for (const ListedNode& listed : view.nodes) {
-    const MachineId id = IdOfNode(listed.name);
+    const NodeId id = IdOfNode(listed.name);
     const auto had = nodes_.find(id);
-    if (had == nodes_.end() &&
-        (nodes_.size() >= options_.limits.nodes || listed.state == MachineState::kGone)) {
-      if (listed.state != MachineState::kGone) {
+    if (had == nodes_.end() && (nodes_.size() >= options_.limits.nodes || listed.state == NodeState::kGone)) {
+      if (listed.state != NodeState::kGone) {
         Log(Level::kWarn, "node skipped", nullptr, 0, listed.name, "more nodes than the view holds");
       }
       continue;
@@ -986,23 +990,23 @@
           "its number is that of " + had->second.listed.name + "; rename one");
       continue;
     }
-    NodeState& node = nodes_[id];
+    NodeRecord& node = nodes_[id];
     seen.insert(id);
     // Danger: the list is late. An entry from before a start that the node itself told must not undo it.
     const bool stale = node.present && listed.started < node.listed.started;
-    if (stale && listed.state != MachineState::kGone) continue;
+    if (stale && listed.state != NodeState::kGone) continue;
     const bool restarted = node.present && listed.started != node.listed.started;
-    const bool appeared = !node.present && listed.state != MachineState::kGone;
-    const bool gone = node.present && listed.state == MachineState::kGone;
+    const bool appeared = !node.present && listed.state != NodeState::kGone;
+    const bool gone = node.present && listed.state == NodeState::kGone;
     const Micros started = listed.started;
     // Attempts of an earlier life of ours at a life of the node that is over.
-    const bool waited = node.awaited && listed.state != MachineState::kGone;
+    const bool waited = node.awaited && listed.state != NodeState::kGone;
     const bool started_since = waited && node.listed.started != 0 && listed.started > node.listed.started;
-    if (listed.state == MachineState::kGone && node.awaited)
+    if (listed.state == NodeState::kGone && node.awaited)
       lost.emplace_back(id, "lost with its node, which is gone");
     node.awaited = false;
     node.listed = listed;
-    if (listed.state != MachineState::kGone) node.present = true;
+    if (listed.state != NodeState::kGone) node.present = true;
     if (started_since) LoseNode(id, started, true, "lost with its node, which started anew");
     if (restarted) LoseNode(id, started, true, "lost with its node, which started anew");
     if (gone) lost.emplace_back(id, "lost with its node, which is gone");
@@ -1010,11 +1014,11 @@
       node.synced = false;
       Sync(node, id);
     }
-    told.machines.push_back(EntryOf(id, node.listed));
+    told.nodes.push_back(EntryOf(id, node.listed));
   }
   if (full) {
     for (auto& [id, node] : nodes_) {
-      const bool awaited = node.awaited && view.mode == ViewMode::kFull;
+      const bool awaited = node.awaited && view.kind == NodeListKind::kSnapshot;
       if (awaited) node.awaited = false;
       if ((node.present || awaited) && seen.count(id) == 0)
         lost.emplace_back(id, "lost with its node, which is gone");
@@ -1027,8 +1031,8 @@
   Pump();
 }
 
-void Core::LoseNode(MachineId id, Micros new_start, bool certain, const char* why) {
-  NodeState& node = nodes_[id];
+void JobManager::LoseNode(NodeId id, Micros new_start, bool certain, const char* why) {
+  NodeRecord& node = nodes_[id];
   if (!certain) {
     node.present = false;
     node.gone_at = now_;
@@ -1043,17 +1047,17 @@
     if (a == nullptr || (certain && a->sent >= new_start && a->node_started >= new_start)) continue;
     if (a->phase == Phase::kAsked) {
       outputs_.push_back(AbandonAsk{{number, attempt}, id});
-      TellOutcome(*job, *a, Ending::kUnreachable, Cause::kUntold, {});
+      TellOutcome(*job, *a, AttemptResult::kUnreachable, RejectionReason::kUnspecified, {});
       Over(*job, attempt);
       Closed(*job);
       continue;
     }
     if (certain) {
       if (a->phase == Phase::kPlaced) {
-        Lose(*job, *a, Ending::kLost, Cause::kUntold, {}, why);
+        Lose(*job, *a, AttemptResult::kLost, RejectionReason::kUnspecified, {}, why);
         continue;
       }
-      TellOutcome(*job, *a, Ending::kLost, Cause::kUntold, {});
+      TellOutcome(*job, *a, AttemptResult::kLost, RejectionReason::kUnspecified, {});
       Over(*job, attempt);
       Closed(*job);
       continue;
@@ -1061,17 +1065,17 @@
     // Only the list says so: it may run on behind a broken network. It is told as lost, and stopped if the
     // node can be reached; it counts as settled once the owner's wait has passed (kGone).
     const bool was_placed = a->phase == Phase::kPlaced && !a->told;
-    TellOutcome(*job, *a, Ending::kLost, Cause::kUntold, {});
+    TellOutcome(*job, *a, AttemptResult::kLost, RejectionReason::kUnspecified, {});
     if (!a->stopping) Stop(*job, *a);
     if (!was_placed) continue;
     if (job->request == a->of_request) CloseRequest(*job);
     if (job->deleted) continue;
     Log(Level::kWarn, "lost", job, attempt, node.listed.name, why);
-    AskEnded(*job, owners::AskEnd::kLost, 0, why);
+    AskEnded(*job, retry::AskEnd::kLost, 0, why);
   }
 }
 
-void Core::Sync(NodeState& node, MachineId id) {
+void JobManager::Sync(NodeRecord& node, NodeId id) {
   if (node.syncing) return;
   node.syncing = true;
   sync_waiting_.push_back(id);
@@ -1080,13 +1084,13 @@
 
 // Danger: a daemon that starts among thousands of nodes, or sees them all come back, must not open all
 // sessions at once; most may not even be there.
-void Core::SyncEnded(NodeState& ended) {
+void JobManager::SyncEnded(NodeRecord& ended) {
   if (ended.sync_out) {
     ended.sync_out = false;
     --syncs_out_;
   }
   while (syncs_out_ < options_.limits.syncs && !sync_waiting_.empty()) {
-    const MachineId id = sync_waiting_.front();
+    const NodeId id = sync_waiting_.front();
     sync_waiting_.pop_front();
     const auto it = nodes_.find(id);
     if (it == nodes_.end() || !it->second.syncing || it->second.sync_out) continue;
@@ -1101,10 +1105,10 @@
   }
 }
 
-void Core::On(const SyncFailed& m) {
+void JobManager::On(const SyncFailed& m) {
   const auto it = nodes_.find(m.node);
   if (it == nodes_.end()) return;
-  NodeState& node = it->second;
+  NodeRecord& node = it->second;
   // A broken session without a question out says nothing of the one that waits its turn.
   if (node.syncing && !node.sync_out) return;
   node.syncing = node.synced = false;
@@ -1116,10 +1120,10 @@
      m.node);
 }
 
-void Core::On(const Synced& m) {
+void JobManager::On(const Synced& m) {
   const auto it = nodes_.find(m.node);
   if (it == nodes_.end()) return;
-  NodeState& node = it->second;
+  NodeRecord& node = it->second;
   node.syncing = false;
   node.synced = true;
   node.sync_failures = 0;
@@ -1128,9 +1132,9 @@
     // The node itself says that it started anew; the list will say so later. The module must know now: it is
     // cold.
     node.listed.started = m.started;
-    FleetView view;
-    view.mode = ViewMode::kChanges;
-    view.machines.push_back(EntryOf(m.node, node.listed));
+    NodeListUpdate view;
+    view.kind = NodeListKind::kDelta;
+    view.nodes.push_back(EntryOf(m.node, node.listed));
     Tell(view);
     Pump();
     LoseNode(m.node, m.started, true, "lost with its node, which started anew");
@@ -1173,12 +1177,13 @@
     // What was placed after the question went out may be missing in the answer.
     if (a == nullptr || a->phase != Phase::kPlaced || there.count({number, attempt}) > 0) continue;
     if (job->placed >= node.sync_sent) continue;
-    Lose(*job, *a, Ending::kLost, Cause::kUntold, {}, "the node does not know it any more");
+    Lose(*job, *a, AttemptResult::kLost, RejectionReason::kUnspecified, {},
+         "the node does not know it any more");
   }
 }
 
 // Found running at a node after a restart of this daemon.
-void Core::Adopt(MachineId id, const RunningOnNode& held) {
+void JobManager::Adopt(NodeId id, const RunningOnNode& held) {
   if (live_ >= options_.limits.jobs || held.spec.task_class >= options_.settings.classes.size()) {
     return Log(Level::kWarn, "not adopted", nullptr, held.attempt.number, NodeOf(id)->name,
                "no room, or a queue that is not known: " + IdOf(held.attempt.job));
@@ -1212,7 +1217,7 @@
 }
 
 // A placed attempt of an earlier life of this daemon: the module is told what runs.
-void Core::Readopt(Job& job, Attempt& attempt) {
+void JobManager::Readopt(Job& job, Attempt& attempt) {
   attempt.restored = false;
   job.adopted = true;
   job.restored = false;
@@ -1222,13 +1227,13 @@
   attempt.counted = false;
 }
 
-RequestId Core::TellRunning(Job& job, MachineId id) {
+RequestId JobManager::TellRunning(Job& job, NodeId id) {
   do {
     ++next_request_;
   } while (next_request_ == 0 || of_request_.count(next_request_) > 0);
   of_request_[next_request_] = job.number;
-  RunningTask running;
-  running.machine = id;
+  TaskRecovered running;
+  running.node = id;
   running.task.request = next_request_;
   running.task.task_class = job.spec->task_class;
   running.task.tenant = job.spec->tenant;
@@ -1244,7 +1249,7 @@
 
 // ---- Durable state ----
 
-void Core::Forget(std::uint64_t number) {
+void JobManager::Forget(std::uint64_t number) {
   jobs_.erase(number);
   if (!options_.durable) return;
   touched_.erase(number);
@@ -1254,7 +1259,7 @@
 
 namespace {
 
-KeptState StateOf(const Job& job, const std::function<std::string(MachineId)>& name_of) {
+KeptState StateOf(const Job& job, const std::function<std::string(NodeId)>& name_of) {
   KeptState s;
   s.state = job.state;
   s.answer = job.answer;
@@ -1274,9 +1279,9 @@
 
 }  // namespace
 
-std::vector<std::string> Core::TakeJournal() {
+std::vector<std::string> JobManager::TakeJournal() {
   std::vector<std::string> records;
-  const auto name_of = [this](MachineId id) {
+  const auto name_of = [this](NodeId id) {
     const ListedNode* node = NodeOf(id);
     return node != nullptr ? node->name : std::string();
   };
@@ -1293,9 +1298,9 @@
   return records;
 }
 
-std::string Core::Snapshot() const {
+std::string JobManager::Snapshot() const {
   std::string all;
-  const auto name_of = [this](MachineId id) {
+  const auto name_of = [this](NodeId id) {
     const ListedNode* node = NodeOf(id);
     return node != nullptr ? node->name : std::string();
   };
@@ -1306,7 +1311,7 @@
   return all;
 }
 
-bool Core::Restore(std::string_view record, std::string* expected) {
+bool JobManager::Restore(std::string_view record, std::string* expected) {
   Kept kept;
   if (!ReadKept(record, &kept, expected)) return false;
   if (kept.kind == KeptKind::kForgotten) {
@@ -1321,7 +1326,7 @@
   return true;
 }
 
-bool Core::Restored(Micros now, std::string* expected) {
+bool JobManager::Restored(Micros now, std::string* expected) {
   now_ = std::max(now_, now);
   std::erase_if(jobs_, [this](const auto& one) { return kept_.count(one.first) == 0; });
   std::vector<std::pair<Micros, std::uint64_t>> complete;
@@ -1384,7 +1389,7 @@
       }
       job.attempts.push_back(a);
       if (a.stopping) unsettled_[{number, a.number}] = now_;
-      NodeState& node = nodes_[a.node];
+      NodeRecord& node = nodes_[a.node];
       node.held.insert({number, a.number});
       node.awaited = true;
       if (node.listed.name.empty()) node.listed.name = k.node;
@@ -1420,13 +1425,13 @@
 
 // ---- In ----
 
-void Core::Take(Micros now, const NodeMessage& message) {
+void JobManager::Take(Micros now, const NodeMessage& message) {
   now_ = std::max(now_, now);
   std::visit([this](const auto& m) { On(m); }, message);
   Pump();
 }
 
-void Core::TakeGroup(Micros now, const GroupChange& group) {
+void JobManager::TakeGroup(Micros now, const MembershipChange& group) {
   now_ = std::max(now_, now);
   if (group.size != group_.size || group.index != group_.index) {
     Log(group.index < 0 ? Level::kWarn : Level::kInfo, "group", nullptr, 0, "",
@@ -1438,7 +1443,7 @@
   Pump();
 }
 
-void Core::Tick(Micros now) {
+void JobManager::Tick(Micros now) {
   now_ = std::max(now_, now);
   while (!timers_.empty() && timers_.top().at <= now_) {
     const Timer timer = timers_.top();
@@ -1448,23 +1453,23 @@
   }
 }
 
-void Core::FireAttempt(const AttemptId& id) {
+void JobManager::FireAttempt(const AttemptId& id) {
   Job* job = nullptr;
   Attempt* a = Get(id, &job);
   if (a == nullptr || a->told || a->phase == Phase::kPlaced) return;
   if (a->phase == Phase::kAsked) {
     outputs_.push_back(AbandonAsk{id, a->node});
-    TellOutcome(*job, *a, Ending::kUnreachable, Cause::kUntold, {});
+    TellOutcome(*job, *a, AttemptResult::kUnreachable, RejectionReason::kUnspecified, {});
     return Over(*job, id.number);
   }
-  TellOutcome(*job, *a, Ending::kTimedOut, Cause::kUntold, {});
+  TellOutcome(*job, *a, AttemptResult::kTimedOut, RejectionReason::kUnspecified, {});
   Stop(*job, *a);
 }
 
-void Core::Fire(const Timer& timer) {
+void JobManager::Fire(const Timer& timer) {
   switch (timer.kind) {
     case TimerKind::kAlarm:
-      Tell(Alarm{timer.a});
+      Tell(TimerFired{timer.a});
       return;
     case TimerKind::kAttempt:
       return FireAttempt({timer.a, timer.b});
@@ -1495,12 +1500,12 @@
       return;
     }
     case TimerKind::kSync: {
-      const auto it = nodes_.find(static_cast<MachineId>(timer.a));
+      const auto it = nodes_.find(static_cast<NodeId>(timer.a));
       if (it != nodes_.end() && it->second.present && !it->second.synced) Sync(it->second, it->first);
       return;
     }
     case TimerKind::kGone: {
-      const auto it = nodes_.find(static_cast<MachineId>(timer.a));
+      const auto it = nodes_.find(static_cast<NodeId>(timer.a));
       if (it == nodes_.end() || it->second.present || it->second.generation != timer.b) return;
       const auto held = it->second.held;
       for (const auto& [number, attempt] : held) {
@@ -1538,4 +1543,4 @@
   }
 }
 
-}  // namespace mountflow::core
+}  // namespace mountflow::job_manager
--- a/core/core.hpp
+++ b/src/job_manager/job_manager.hpp
@@ -21,8 +21,8 @@
 // anew until that is settled, or the owner's time is over.
 //
 // Bounds: Limits below; each has its stated answer when it is full.
-#ifndef MOUNTFLOW_CORE_CORE_HPP_
-#define MOUNTFLOW_CORE_CORE_HPP_
+#ifndef MOUNTFLOW_JOB_MANAGER_JOB_MANAGER_HPP_
+#define MOUNTFLOW_JOB_MANAGER_JOB_MANAGER_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -36,13 +36,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/job.hpp"
-#include "core/journal.hpp"
-#include "core/messages.hpp"
+#include "job_manager/job.hpp"
+#include "job_manager/journal.hpp"
+#include "job_manager/messages.hpp"
 #include "mountflow/scheduler.hpp"
-#include "owners/repeats.hpp"
+#include "retry/retry.hpp"
 
-namespace mountflow::core {
+namespace mountflow::job_manager {
 
 struct Limits {
   std::size_t jobs = 1'000'000;          // not complete; beyond: submissions are refused (kFull)
@@ -54,7 +54,7 @@
       100'000;  // given-up attempts still being stopped; beyond: the oldest is let go, logged
 };
 
-struct CoreOptions {
+struct JobManagerOptions {
   std::string server = "mountflow";  // name of this daemon: unique in the installation, stable over restarts
   Settings settings;
   std::vector<std::string> classes;  // names, in the order of settings.classes
@@ -62,7 +62,7 @@
   std::vector<std::string> kinds;
   std::vector<std::string> rooms;
   std::vector<Micros> hard_limits;  // per class: how long an owner waits for a placement
-  owners::RepeatPolicy repeats;
+  retry::RepeatPolicy repeats;
   Limits limits;
   Micros stop_again =
       500'000;  // pause before a node is asked again to stop an attempt, doubled up to 16 times this
@@ -94,11 +94,11 @@
   std::size_t queued = 0, held = 0, waiting = 0, running = 0, exiting = 0, complete = 0;
 };
 
-class Core {
+class JobManager {
  public:
   // `seed` feeds every random draw, the module's too. `now` is wall time in
   // microseconds; it must not go back between calls (the shell sees to that).
-  Core(CoreOptions options, std::uint64_t seed, Micros now);
+  JobManager(JobManagerOptions options, std::uint64_t seed, Micros now);
 
   // ---- Commands. `user` empty means the operator. ----
 
@@ -121,8 +121,8 @@
 
   void Take(Micros now, const NodeMessage& message);
   void TakeList(Micros now, const ListView& view);
-  void TakeGroup(Micros now, const GroupChange& group);  // who shares the fleet
-  void Tick(Micros now);                                 // runs what is due
+  void TakeGroup(Micros now, const MembershipChange& group);  // who shares the fleet
+  void Tick(Micros now);                                      // runs what is due
 
   // ---- Out ----
 
@@ -149,10 +149,10 @@
   const Job* Find(std::uint64_t job) const;
   // In the order of their numbers; stops when `visit` returns false.
   void ForEach(std::uint64_t from, const std::function<bool(const Job&)>& visit) const;
-  const ListedNode* NodeOf(MachineId node) const;
-  void ForEachNode(const std::function<void(MachineId, const ListedNode&)>& visit) const;
+  const ListedNode* NodeOf(NodeId node) const;
+  void ForEachNode(const std::function<void(NodeId, const ListedNode&)>& visit) const;
   Counts Count() const;
-  const CoreOptions& options() const { return options_; }
+  const JobManagerOptions& options() const { return options_; }
   std::string IdOf(std::uint64_t job) const;           // NUMBER.SERVER
   std::uint64_t NumberOf(std::string_view id) const;   // 0: not an id of this server
   std::string NameOf(const AttemptId& attempt) const;  // NUMBER.SERVER/ATTEMPT
@@ -163,10 +163,10 @@
   void MeasureModule(std::function<std::uint64_t()> clock_ns) { clock_ns_ = std::move(clock_ns); }
   std::uint64_t module_ns() const { return module_ns_; }
 
-  static MachineId IdOfNode(std::string_view name);  // equal at every daemon
+  static NodeId IdOfNode(std::string_view name);  // equal at every daemon
 
  private:
-  struct NodeState {
+  struct NodeRecord {
     ListedNode listed;
     bool present = false;
     bool awaited = false;   // not seen yet; attempts of an earlier life of this daemon are there
@@ -179,10 +179,10 @@
     Micros sync_sent = 0;
     std::set<std::pair<std::uint64_t, std::uint32_t>> held;  // attempts here that are not over
   };
-  struct FindState {               // a repeat whose first ask may live at another daemon
-    Micros horizon = 0;            // after this nobody else starts it any more
-    std::set<MachineId> asked;     // in this round
-    std::set<MachineId> answered;  // in this round, and have nothing of the key
+  struct FindState {            // a repeat whose first ask may live at another daemon
+    Micros horizon = 0;         // after this nobody else starts it any more
+    std::set<NodeId> asked;     // in this round
+    std::set<NodeId> answered;  // in this round, and have nothing of the key
     Micros round_at = 0;
   };
   enum class TimerKind : std::uint8_t { kAlarm, kAttempt, kJob, kStop, kSync, kGone, kHistory, kFind };
@@ -199,15 +199,15 @@
   void Tell(Event event);
   void Pump();  // runs queued events through the module and carries out its actions
   void Do(const Action& action);
-  void Do(const Offer& offer);
-  void Do(const CancelOffer& cancel);
-  void Do(const Refusal& refusal);
-  void Do(const Failure& failure);
-  void Do(const Move& move);
-  void Do(const SetAlarm& alarm);
-  void Do(const Probe& probe);
-  void Do(const FollowList& follow);
-  void Do(const FetchList& fetch);
+  void Do(const StartAttempt& offer);
+  void Do(const CancelAttempt& cancel);
+  void Do(const RejectTask& refusal);
+  void Do(const FailTask& failure);
+  void Do(const MigrateTask& move);
+  void Do(const SetTimer& alarm);
+  void Do(const StartHealthCheck& probe);
+  void Do(const WatchNodes& follow);
+  void Do(const ListNodes& fetch);
   void Do(const LogLine& line);
 
   // ---- Jobs ----
@@ -215,7 +215,7 @@
   Verdict Manage(std::uint64_t number, const std::string& user, Job** job);
   void Settle(Job& job);  // from hold, time or wait to the module, as far as it may go
   void Ask(Job& job);     // hands the job to the module as a new request
-  void AskEnded(Job& job, owners::AskEnd end, Micros advised, const std::string& reason);
+  void AskEnded(Job& job, retry::AskEnd end, Micros advised, const std::string& reason);
   void Give(Job& job, Answer answer, const std::string& reason);
   void Complete(Job& job, const std::string& reason);
   void Close(Job& job);   // no further ask; completes when no attempt is left
@@ -228,16 +228,17 @@
 
   // ---- Attempts ----
   Attempt* Get(const AttemptId& id, Job** job);
-  void TellOutcome(Job& job, Attempt& attempt, Ending ending, Cause cause, const LoadReport& report);
+  void TellOutcome(Job& job, Attempt& attempt, AttemptResult ending, RejectionReason cause,
+                   const LoadReport& report);
   void Over(Job& job, std::uint32_t number);
   void Stop(Job& job, Attempt& attempt);
-  void Lose(Job& job, Attempt& attempt, Ending ending, Cause cause, const LoadReport& report,
+  void Lose(Job& job, Attempt& attempt, AttemptResult ending, RejectionReason cause, const LoadReport& report,
             const std::string& reason);
   // The node's life is over: `certain` when a later life was seen, else only the list says so.
-  void LoseNode(MachineId id, Micros new_start, bool certain, const char* why);
-  void Adopt(MachineId id, const RunningOnNode& held);
+  void LoseNode(NodeId id, Micros new_start, bool certain, const char* why);
+  void Adopt(NodeId id, const RunningOnNode& held);
   void Readopt(Job& job, Attempt& attempt);  // of an earlier life, found running
-  RequestId TellRunning(Job& job, MachineId node);
+  RequestId TellRunning(Job& job, NodeId node);
   void Touch(const Job& job);
   void Forget(std::uint64_t number);
   void StopLater(const AttemptId& id, const Attempt& attempt);
@@ -254,7 +255,7 @@
   void On(const Synced& m);
   void On(const SyncFailed& m);
   void On(const KeyFound& m);
-  void On(const AttemptEnded& m);
+  void On(const AttemptFinished& m);
   void On(const Probed& m);
 
   // ---- Timers ----
@@ -262,20 +263,20 @@
   void Fire(const Timer& timer);
   void FireAttempt(const AttemptId& id);
 
-  MachineEntry EntryOf(MachineId id, const ListedNode& node) const;
-  void Sync(NodeState& node, MachineId id);
-  void SyncEnded(NodeState& node);  // its turn is the next one's
+  NodeEntry EntryOf(NodeId id, const ListedNode& node) const;
+  void Sync(NodeRecord& node, NodeId id);
+  void SyncEnded(NodeRecord& node);  // its turn is the next one's
   double Draw();
   void Log(Level level, const char* event, const Job* job, std::uint32_t attempt, const std::string& node,
            const std::string& text);
   std::size_t& CountOf(JobState state);
   void SetState(Job& job, JobState state);
 
-  CoreOptions options_;
+  JobManagerOptions options_;
   Scheduler scheduler_;
   std::uint64_t random_;
   Micros now_ = 0;
-  GroupChange group_{-1, -1};  // as told last
+  MembershipChange group_{-1, -1};  // as told last
   bool accepting_ = true;
   bool viewed_ = false;  // a list of nodes was taken
   std::string refuse_new_;
@@ -290,8 +291,8 @@
   std::deque<std::uint64_t> history_;
   std::size_t live_ = 0, script_bytes_ = 0;
   Counts counts_;
-  std::map<MachineId, NodeState> nodes_;
-  std::deque<MachineId> sync_waiting_;
+  std::map<NodeId, NodeRecord> nodes_;
+  std::deque<NodeId> sync_waiting_;
   std::size_t syncs_out_ = 0;
   std::map<std::uint64_t, FindState> finding_;
   std::map<std::pair<std::uint64_t, std::uint32_t>, Micros> unsettled_;  // attempts being stopped, since when
@@ -305,6 +306,6 @@
   std::uint64_t module_ns_ = 0;
 };
 
-}  // namespace mountflow::core
+}  // namespace mountflow::job_manager
 
-#endif  // MOUNTFLOW_CORE_CORE_HPP_
+#endif  // MOUNTFLOW_JOB_MANAGER_JOB_MANAGER_HPP_
--- a/core/journal.cpp
+++ b/src/job_manager/journal.cpp
@@ -1,8 +1,8 @@
-#include "core/journal.hpp"
+#include "job_manager/journal.hpp"
 
 #include "storage/fields.hpp"
 
-namespace mountflow::core {
+namespace mountflow::job_manager {
 namespace {
 
 constexpr std::uint8_t kVersion = 1;
@@ -147,4 +147,4 @@
   return true;
 }
 
-}  // namespace mountflow::core
+}  // namespace mountflow::job_manager
--- a/core/journal.hpp
+++ b/src/job_manager/journal.hpp
@@ -4,8 +4,8 @@
 //
 // Numbers are little-endian or of variable length (7 bits a byte); a record begins
 // with its kind and version.
-#ifndef MOUNTFLOW_CORE_JOURNAL_HPP_
-#define MOUNTFLOW_CORE_JOURNAL_HPP_
+#ifndef MOUNTFLOW_JOB_MANAGER_JOURNAL_HPP_
+#define MOUNTFLOW_JOB_MANAGER_JOURNAL_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -13,9 +13,9 @@
 #include <string_view>
 #include <vector>
 
-#include "core/job.hpp"
+#include "job_manager/job.hpp"
 
-namespace mountflow::core {
+namespace mountflow::job_manager {
 
 struct KeptAttempt {
   std::uint32_t number = 0;
@@ -54,6 +54,6 @@
 void JoinRecord(std::string_view record, std::string* to);
 bool ForEachRecord(std::string_view joined, const std::function<bool(std::string_view)>& visit);
 
-}  // namespace mountflow::core
+}  // namespace mountflow::job_manager
 
-#endif  // MOUNTFLOW_CORE_JOURNAL_HPP_
+#endif  // MOUNTFLOW_JOB_MANAGER_JOURNAL_HPP_
--- a/core/messages.hpp
+++ b/src/job_manager/messages.hpp
@@ -1,6 +1,6 @@
 // What the core and its shell say to each other: values only.
-#ifndef MOUNTFLOW_CORE_MESSAGES_HPP_
-#define MOUNTFLOW_CORE_MESSAGES_HPP_
+#ifndef MOUNTFLOW_JOB_MANAGER_MESSAGES_HPP_
+#define MOUNTFLOW_JOB_MANAGER_MESSAGES_HPP_
 
 #include <cstdint>
 #include <string>
@@ -8,10 +8,10 @@
 #include <variant>
 #include <vector>
 
-#include "core/job.hpp"
+#include "job_manager/job.hpp"
 #include "mountflow/scheduler.hpp"
 
-namespace mountflow::core {
+namespace mountflow::job_manager {
 
 // An attempt's name is JOBNUMBER.SERVER/ATTEMPT; unique over restarts.
 struct AttemptId {
@@ -24,43 +24,43 @@
 
 struct AskNode {  // submit the job up to and including "ready to commit"
   AttemptId attempt;
-  MachineId node = 0;
+  NodeId node = 0;
 };
 struct CommitNode {
   AttemptId attempt;
-  MachineId node = 0;
+  NodeId node = 0;
 };
 struct AbandonAsk {  // before any commit; the node forgets it, no reply comes
   AttemptId attempt;
-  MachineId node = 0;
+  NodeId node = 0;
 };
 struct StopOnNode {  // answered by Stopped, or by Unreachable with `stopping`
   AttemptId attempt;
-  MachineId node = 0;
+  NodeId node = 0;
 };
 struct SignalOnNode {  // no answer comes back to the core
   AttemptId attempt;
-  MachineId node = 0;
+  NodeId node = 0;
   std::string signal;
 };
 struct QueryNode {  // answered by Found; an attempt that is not found can never be accepted later
   AttemptId attempt;
-  MachineId node = 0;
+  NodeId node = 0;
 };
 struct SyncNode {  // answered by Synced
-  MachineId node = 0;
+  NodeId node = 0;
 };
 struct FindKey {  // answered by KeyFound from this node
-  MachineId node = 0;
+  NodeId node = 0;
   std::uint64_t job = 0;  // who asks
   std::string key;
 };
 struct ProbeNode {
-  MachineId node = 0;
+  NodeId node = 0;
 };
 
 struct ForgetNode {  // gone for good: connections and all else about it may go
-  MachineId node = 0;
+  NodeId node = 0;
 };
 
 // ---- Out: others ----
@@ -86,7 +86,7 @@
 
 struct Used {  // an attempt of ours held room at a node, whatever became of it
   AttemptId attempt;
-  MachineId node = 0;
+  NodeId node = 0;
   unsigned task_class = 0, tenant = 0;
   double cores = 0.0, memory = 0.0;
   Micros started = 0, ended = 0;
@@ -102,7 +102,7 @@
 };
 struct Refused {
   AttemptId attempt;
-  Cause cause = Cause::kUntold;
+  RejectionReason cause = RejectionReason::kUnspecified;
   std::string reason;  // the node's own words
   LoadReport report;
   bool error = false;  // it answered the commit with an error: it may have run
@@ -135,15 +135,15 @@
   bool ended = false;  // its end is on the way
 };
 struct Synced {
-  MachineId node = 0;
+  NodeId node = 0;
   Micros started = 0;  // the node's start
   std::vector<RunningOnNode> held;
 };
 struct SyncFailed {
-  MachineId node = 0;
+  NodeId node = 0;
 };
 struct KeyFound {
-  MachineId node = 0;
+  NodeId node = 0;
   std::uint64_t job = 0;  // who asked
   bool reached = false;   // the node answered
   bool found = false;
@@ -152,7 +152,7 @@
   std::string key;
 };
 enum class EndReason { kExited, kKilled, kEvicted, kPushedOut, kSentAway, kError, kLost };
-struct AttemptEnded {
+struct AttemptFinished {
   AttemptId attempt;
   EndReason reason = EndReason::kExited;
   int exit_status = 0;
@@ -161,14 +161,14 @@
   Micros started = 0, ended = 0;  // wall time by the node's clock; 0: not told
 };
 struct Probed {
-  MachineId node = 0;
+  NodeId node = 0;
   bool answered = false;
   Micros elapsed = 0;
   LoadReport report;
 };
 
 using NodeMessage = std::variant<Ready, Refused, Committed, Broken, Stopped, StopFailed, Found, QueryFailed,
-                                 Synced, SyncFailed, KeyFound, AttemptEnded, Probed>;
+                                 Synced, SyncFailed, KeyFound, AttemptFinished, Probed>;
 
 // ---- In: the node list ----
 
@@ -179,15 +179,15 @@
   std::string room;
   std::string kind;
   Micros started = 0;  // wall time; 0: long ago
-  MachineState state = MachineState::kReady;
+  NodeState state = NodeState::kReady;
   double free_cores = 0.0;
   double free_memory = 0.0;
 };
 struct ListView {
-  ViewMode mode = ViewMode::kFull;
+  NodeListKind kind = NodeListKind::kSnapshot;
   std::vector<ListedNode> nodes;
 };
 
-}  // namespace mountflow::core
+}  // namespace mountflow::job_manager
 
-#endif  // MOUNTFLOW_CORE_MESSAGES_HPP_
+#endif  // MOUNTFLOW_JOB_MANAGER_MESSAGES_HPP_
--- a/membership/group.hpp
+++ b/src/membership/membership.hpp
@@ -9,8 +9,8 @@
 //
 // Doubt that passes is no change: when nobody came or went meanwhile, as the
 // registry's own history shows, the numbers are told as undisturbed.
-#ifndef MOUNTFLOW_MEMBERSHIP_GROUP_HPP_
-#define MOUNTFLOW_MEMBERSHIP_GROUP_HPP_
+#ifndef MOUNTFLOW_MEMBERSHIP_MEMBERSHIP_HPP_
+#define MOUNTFLOW_MEMBERSHIP_MEMBERSHIP_HPP_
 
 #include <cstdint>
 #include <optional>
@@ -44,14 +44,14 @@
  public:
   explicit Group(GroupOptions options) : options_(std::move(options)) {}
   // What the module is to be told, when it differs from what it was told last.
-  std::optional<GroupChange> Update(GroupInput input);
+  std::optional<MembershipChange> Update(GroupInput input);
   // When to ask again though nothing happened: the own entry's time, or the view's age, may be over.
   Micros NextTimer() const { return next_; }
-  const GroupChange& told() const { return told_; }
+  const MembershipChange& told() const { return told_; }
 
  private:
   GroupOptions options_;
-  GroupChange told_;
+  MembershipChange told_;
   bool ever_ = false, was_sure_ = false;
   std::uint64_t sure_history_ = 0;  // when the numbers were sure last
   Micros next_ = ~Micros{0};
@@ -59,4 +59,4 @@
 
 }  // namespace mountflow::membership
 
-#endif  // MOUNTFLOW_MEMBERSHIP_GROUP_HPP_
+#endif  // MOUNTFLOW_MEMBERSHIP_MEMBERSHIP_HPP_
--- a/node/exec.cpp
+++ b/src/node_agent/exec.cpp
@@ -1,4 +1,4 @@
-#include "node/exec.hpp"
+#include "node_agent/exec.hpp"
 
 #include <errno.h>
 #include <fcntl.h>
@@ -11,7 +11,7 @@
 
 #include <cstdlib>
 
-namespace mountflow::node {
+namespace mountflow::node_agent {
 namespace {
 
 constexpr Micros kKillAfter = 5'000'000;
@@ -76,7 +76,7 @@
   return !name.empty() && *end == '\0' && number > 0 && number < 65 ? static_cast<int>(number) : 0;
 }
 
-Executor::Executor(net::Loop* loop, std::function<void(const std::string&, int)> exited)
+Executor::Executor(event_loop::Loop* loop, std::function<void(const std::string&, int)> exited)
     : loop_(loop), exited_(std::move(exited)) {}
 
 Executor::~Executor() { KillAll(); }
@@ -106,11 +106,11 @@
   lseek(script, 0, SEEK_SET);
 
   const std::string job_id = attempt.substr(0, attempt.rfind('/'));
-  const std::string job_name(pbs::ValueOf(task.attributes, "Job_Name"));
+  const std::string job_name(pbs_protocol::ValueOf(task.attributes, "Job_Name"));
   const std::string sequence = job_id.substr(0, job_id.find('.'));
-  std::string out(pbs::ValueOf(task.attributes, "Output_Path")),
-      err(pbs::ValueOf(task.attributes, "Error_Path"));
-  const std::string join(pbs::ValueOf(task.attributes, "Join_Path"));
+  std::string out(pbs_protocol::ValueOf(task.attributes, "Output_Path")),
+      err(pbs_protocol::ValueOf(task.attributes, "Error_Path"));
+  const std::string join(pbs_protocol::ValueOf(task.attributes, "Join_Path"));
   out = PathOf(out, job_name + ".o" + sequence);
   err = PathOf(err, job_name + ".e" + sequence);
   const bool out_to_err = join.size() > 1 && join[0] == 'e';
@@ -118,7 +118,7 @@
 
   std::vector<std::string> environment;
   for (const auto& [key, value] :
-       ReadVariables(std::string(pbs::ValueOf(task.attributes, "Variable_List")))) {
+       ReadVariables(std::string(pbs_protocol::ValueOf(task.attributes, "Variable_List")))) {
     environment.push_back(key + "=" + value);
   }
   environment.insert(
@@ -178,4 +178,4 @@
   });
 }
 
-}  // namespace mountflow::node
+}  // namespace mountflow::node_agent
--- a/node/exec.hpp
+++ b/src/node_agent/exec.hpp
@@ -1,21 +1,21 @@
 // Runs batch jobs for real: the script under sh, as the invoking user, in a
 // session of its own, its output in files.
-#ifndef MOUNTFLOW_NODE_EXEC_HPP_
-#define MOUNTFLOW_NODE_EXEC_HPP_
+#ifndef MOUNTFLOW_NODE_AGENT_EXEC_HPP_
+#define MOUNTFLOW_NODE_AGENT_EXEC_HPP_
 
 #include <functional>
 #include <map>
 #include <string>
 
-#include "net/loop.hpp"
-#include "node/server.hpp"
+#include "event_loop/event_loop.hpp"
+#include "node_agent/server.hpp"
 
-namespace mountflow::node {
+namespace mountflow::node_agent {
 
 class Executor {
  public:
   // `exited` gets the attempt and the exit status (256 + signal when it was ended by one).
-  Executor(net::Loop* loop, std::function<void(const std::string&, int)> exited);
+  Executor(event_loop::Loop* loop, std::function<void(const std::string&, int)> exited);
   ~Executor();
   void Run(const std::string& attempt, const WireTask& task);
   // Sends a signal to the job's process group; after SIGTERM, SIGKILL follows 5 s later.
@@ -23,7 +23,7 @@
   void KillAll();
 
  private:
-  net::Loop* loop_;
+  event_loop::Loop* loop_;
   std::function<void(const std::string&, int)> exited_;
   std::map<std::string, int> pids_;
 };
@@ -33,6 +33,6 @@
 // The number of a signal by name (with or without SIG) or number; 0: unknown.
 int SignalNumber(const std::string& name);
 
-}  // namespace mountflow::node
+}  // namespace mountflow::node_agent
 
-#endif  // MOUNTFLOW_NODE_EXEC_HPP_
+#endif  // MOUNTFLOW_NODE_AGENT_EXEC_HPP_
--- a/node/host.cpp
+++ b/src/node_agent/host.cpp
@@ -1,4 +1,4 @@
-#include "node/host.hpp"
+#include "node_agent/host.hpp"
 
 #include <unistd.h>
 
@@ -11,9 +11,9 @@
 #include <utility>
 
 #include "config/config.hpp"
-#include "registry/entry.hpp"
+#include "discovery/entry.hpp"
 
-namespace mountflow::node {
+namespace mountflow::node_agent {
 namespace {
 
 constexpr std::size_t kMostPipelined = 64;  // reports sent and not acknowledged, one daemon
@@ -26,9 +26,9 @@
 
 // ---- Reports to one daemon ----
 
-class Reporter : public net::Handler {
+class Reporter : public event_loop::Handler {
  public:
-  Reporter(net::Loop* loop, NodeServer* server, std::string daemon)
+  Reporter(event_loop::Loop* loop, NodeServer* server, std::string daemon)
       : loop_(loop), server_(server), daemon_(std::move(daemon)) {}
   ~Reporter() override {
     if (conn_ != 0) loop_->Abort(conn_);
@@ -60,19 +60,19 @@
     if (server_->ReportsFor(daemon_).empty()) return ~Micros{0};
     return conn_ == 0 ? next_ : overdue_;
   }
-  void OnConnected(net::ConnId conn) override {
+  void OnConnected(event_loop::ConnId conn) override {
     if (conn != conn_) return;
     connected_ = true;
     failures_ = 0;
   }
-  void OnReceived(net::ConnId conn, std::string_view bytes) override {
+  void OnReceived(event_loop::ConnId conn, std::string_view bytes) override {
     if (conn != conn_) return;
     input_.append(bytes);
     for (;;) {
-      pbs::Reply reply;
-      const pbs::Parsed parsed = pbs::Decode(input_, &reply);
-      if (parsed.state == pbs::DisState::kMore) return;
-      if (parsed.state == pbs::DisState::kBad || sent_ == 0) return Fail();
+      pbs_protocol::Reply reply;
+      const pbs_protocol::Parsed parsed = pbs_protocol::Decode(input_, &reply);
+      if (parsed.state == pbs_protocol::DisState::kMore) return;
+      if (parsed.state == pbs_protocol::DisState::kBad || sent_ == 0) return Fail();
       input_.erase(0, parsed.used);
       // Whatever the daemon says of it, it has heard it.
       server_->Acknowledged(daemon_, 1);
@@ -80,7 +80,7 @@
       overdue_ = loop_->Now() + kReportTimeout;
     }
   }
-  void OnClosed(net::ConnId conn, const std::string&) override {
+  void OnClosed(event_loop::ConnId conn, const std::string&) override {
     if (conn == conn_) Lost();
   }
 
@@ -96,10 +96,10 @@
     input_.clear();
     next_ = loop_->Now() + (kReportAgain << std::min(failures_++, 4u));
   }
-  net::Loop* loop_;
+  event_loop::Loop* loop_;
   NodeServer* server_;
   std::string daemon_;
-  net::ConnId conn_ = 0;
+  event_loop::ConnId conn_ = 0;
   bool connected_ = false;
   std::size_t sent_ = 0;
   unsigned failures_ = 0;
@@ -109,9 +109,9 @@
 
 // ---- One node ----
 
-class Host::Node : public net::Handler {
+class Host::Node : public event_loop::Handler {
  public:
-  Node(net::Loop* loop, const HostOptions& options, HostedNode hosted, std::shared_ptr<KeyMemory> keys)
+  Node(event_loop::Loop* loop, const HostOptions& options, HostedNode hosted, std::shared_ptr<KeyMemory> keys)
       : loop_(loop),
         options_(options),
         hosted_(std::move(hosted)),
@@ -123,7 +123,7 @@
     if (listener_ == 0) return false;
     std::string host;
     int port = 0;
-    net::SplitAddress(address_, &host, &port);
+    event_loop::SplitAddress(address_, &host, &port);
     address_ = host + ":" + std::to_string(loop_->PortOf(listener_));  // the same port in later lives
     NodeConfig config = hosted_.config;
     config.seed = config.seed * 1000003 + ++lives_;
@@ -144,7 +144,7 @@
     if (!server_) return;
     loop_->CloseListener(listener_);
     listener_ = 0;
-    for (net::ConnId conn : conns_) loop_->Abort(conn);
+    for (event_loop::ConnId conn : conns_) loop_->Abort(conn);
     conns_.clear();
     reporters_.clear();
     executor_.reset();
@@ -160,7 +160,7 @@
     if (!server_) return;
     const Micros now = loop_->Now();
     server_->Pump(now);
-    for (net::ConnId conn : server_->TakeTouched()) Flush(conn);
+    for (event_loop::ConnId conn : server_->TakeTouched()) Flush(conn);
     for (const NodeServer::Order& order : server_->TakeOrders()) {
       if (!executor_) continue;
       if (!order.signal.empty()) {
@@ -194,14 +194,15 @@
     return next;
   }
 
-  void OnAccepted(net::ListenerId, net::ConnId conn, const net::PeerInfo& peer) override {
+  void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn,
+                  const event_loop::PeerInfo& peer) override {
     // A job runs as us: only we and root may hand one in.
     if (hosted_.config.exec && peer.has_uid && peer.uid != 0 && peer.uid != getuid())
       return loop_->Abort(conn);
     conns_.insert(conn);
     server_->Open(conn);
   }
-  void OnReceived(net::ConnId conn, std::string_view bytes) override {
+  void OnReceived(event_loop::ConnId conn, std::string_view bytes) override {
     if (!server_) return;
     if (hung_) {  // takes work, answers nothing
       held_[conn].append(bytes.substr(
@@ -210,7 +211,7 @@
     }
     server_->Receive(loop_->Now(), conn, bytes);
   }
-  void OnClosed(net::ConnId conn, const std::string&) override {
+  void OnClosed(event_loop::ConnId conn, const std::string&) override {
     conns_.erase(conn);
     held_.erase(conn);
     if (server_) server_->Close(loop_->Now(), conn);
@@ -223,15 +224,15 @@
     for (const auto& [conn, bytes] : held) server_->Receive(loop_->Now(), conn, bytes);
   }
 
-  core::ListedNode Entry() const {
-    core::ListedNode n;
+  job_manager::ListedNode Entry() const {
+    job_manager::ListedNode n;
     n.name = hosted_.config.name;
     n.address = hosted_.advertise.empty() ? address_ : hosted_.advertise;
     n.rack = hosted_.config.rack;
     n.room = hosted_.config.room;
     n.kind = hosted_.config.kind;
     n.started = server_->model().started();
-    n.state = server_->model().draining() ? MachineState::kDraining : MachineState::kReady;
+    n.state = server_->model().draining() ? NodeState::kDraining : NodeState::kReady;
     n.free_cores = server_->model().free_cores();
     n.free_memory = server_->model().free_memory();
     return n;
@@ -243,7 +244,7 @@
   bool hung() const { return hung_; }
 
  private:
-  void Flush(net::ConnId conn) {
+  void Flush(event_loop::ConnId conn) {
     std::string* output = server_->OutputOf(conn);
     if (output == nullptr) return;
     if (!output->empty()) loop_->Send(conn, std::exchange(*output, {}));
@@ -252,17 +253,17 @@
     conns_.erase(conn);
     server_->Close(loop_->Now(), conn);
   }
-  net::Loop* loop_;
+  event_loop::Loop* loop_;
   const HostOptions& options_;
   HostedNode hosted_;
   std::shared_ptr<KeyMemory> keys_;
   std::string address_;
-  net::ListenerId listener_ = 0;
-  std::set<net::ConnId> conns_;
+  event_loop::ListenerId listener_ = 0;
+  std::set<event_loop::ConnId> conns_;
   std::unique_ptr<NodeServer> server_;
   std::unique_ptr<Executor> executor_;
   std::map<std::string, std::unique_ptr<Reporter>> reporters_;
-  std::map<net::ConnId, std::string> held_;
+  std::map<event_loop::ConnId, std::string> held_;
   std::uint64_t lives_ = 0;
   bool hung_ = false;
   std::string fell_;
@@ -270,9 +271,9 @@
 
 // ---- Entries in the list ----
 
-class Host::Publisher : public net::Handler {
+class Host::Publisher : public event_loop::Handler {
  public:
-  Publisher(net::Loop* loop, const HostOptions& options, tls::Keys* keys)
+  Publisher(event_loop::Loop* loop, const HostOptions& options, tls::Keys* keys)
       : loop_(loop), options_(options), keys_(keys) {}
 
   // The newest wish for a key wins; empty: remove it.
@@ -312,7 +313,7 @@
     }
     return next;
   }
-  void OnReceived(net::ConnId conn, std::string_view bytes) override {
+  void OnReceived(event_loop::ConnId conn, std::string_view bytes) override {
     if (conn != conn_) return;
     reader_->Feed(bytes);
     while (!reader_->messages().empty() && !out_.empty()) {
@@ -321,7 +322,7 @@
       out_.pop_front();
     }
   }
-  void OnClosed(net::ConnId conn, const std::string&) override {
+  void OnClosed(event_loop::ConnId conn, const std::string&) override {
     if (conn != conn_) return;
     conn_ = 0;
     out_.clear();
@@ -334,23 +335,23 @@
     bool ever = false;
     Micros next = 0;
   };
-  net::Loop* loop_;
+  event_loop::Loop* loop_;
   const HostOptions& options_;
   tls::Keys* keys_;
   std::map<std::string, Slot> slots_;
   std::deque<std::pair<std::string, std::string>> out_;
-  net::ConnId conn_ = 0;
+  event_loop::ConnId conn_ = 0;
   Micros next_try_ = 0;
   std::unique_ptr<http::Reader> reader_;
 };
 
-class Host::Control : public net::Handler {
+class Host::Control : public event_loop::Handler {
  public:
-  Control(net::Loop* loop, Host* host) : loop_(loop), host_(host) {}
-  void OnAccepted(net::ListenerId, net::ConnId conn, const net::PeerInfo&) override {
+  Control(event_loop::Loop* loop, Host* host) : loop_(loop), host_(host) {}
+  void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) override {
     readers_.emplace(conn, http::Reader(http::Reader::Side::kRequests, 1 << 16));
   }
-  void OnReceived(net::ConnId conn, std::string_view bytes) override {
+  void OnReceived(event_loop::ConnId conn, std::string_view bytes) override {
     const auto it = readers_.find(conn);
     if (it == readers_.end()) return;
     if (!it->second.Feed(bytes)) return loop_->Close(conn);
@@ -359,15 +360,15 @@
       it->second.messages().pop_front();
     }
   }
-  void OnClosed(net::ConnId conn, const std::string&) override { readers_.erase(conn); }
+  void OnClosed(event_loop::ConnId conn, const std::string&) override { readers_.erase(conn); }
 
  private:
-  net::Loop* loop_;
+  event_loop::Loop* loop_;
   Host* host_;
-  std::map<net::ConnId, http::Reader> readers_;
+  std::map<event_loop::ConnId, http::Reader> readers_;
 };
 
-Host::Host(net::Loop* loop, HostOptions options, std::vector<HostedNode> nodes)
+Host::Host(event_loop::Loop* loop, HostOptions options, std::vector<HostedNode> nodes)
     : loop_(loop), options_(std::move(options)), keys_(options_.tls), configs_(std::move(nodes)) {}
 Host::~Host() = default;
 
@@ -400,7 +401,7 @@
   const auto it = nodes_.find(name);
   std::string host;
   int port = 0;
-  if (it != nodes_.end()) net::SplitAddress(it->second->address(), &host, &port);
+  if (it != nodes_.end()) event_loop::SplitAddress(it->second->address(), &host, &port);
   return port;
 }
 
@@ -419,7 +420,7 @@
     Published& last = published_[name];
     const Micros now = loop_->Now();
     if (state != last.state || now >= last.next) {  // free room now and then, a change of state at once
-      const std::string entry = there ? registry::WriteEntry(node->Entry()) : "";
+      const std::string entry = there ? discovery::WriteEntry(node->Entry()) : "";
       if (publisher_) {
         publisher_->Want(name, entry, state != last.state);
       } else if (there || stopping_) {
@@ -449,8 +450,8 @@
 void Host::Register(const std::string& name, const std::string& entry, bool at_once) {
   auto& slot = registered_[name];
   if (!slot) {
-    registry::RegistrarOptions o;
-    o.kind = options_.etcd ? registry::RegistryKind::kEtcd : registry::RegistryKind::kConsul;
+    discovery::RegistrarOptions o;
+    o.kind = options_.etcd ? discovery::RegistryKind::kEtcd : discovery::RegistryKind::kConsul;
     o.endpoints = {options_.list_address};
     o.key = options_.list_prefix + name;
     o.service = options_.service;
@@ -607,8 +608,8 @@
     c.room = j.value("room", c.room);
     c.cores = j.value("cores", c.cores);
     c.memory = j.value("memory", c.memory);
-    c.accept_cores = j.value("accept_cores", c.accept_cores);
-    c.accept_memory = j.value("accept_memory", c.accept_memory);
+    c.overcommit_cores = j.value("accept_cores", c.overcommit_cores);
+    c.overcommit_memory = j.value("accept_memory", c.overcommit_memory);
     c.admit = scaled(j, "admit_ms", 1e3, c.admit);
     c.admit_queue = j.value("admit_queue", c.admit_queue);
     c.starts = j.value("starts", c.starts);
@@ -618,10 +619,10 @@
     c.ack_running = j.value("ack_running", c.ack_running);
     c.preempts = j.value("preempts", c.preempts);
     c.drain_sends_away = j.value("drain_sends_away", c.drain_sends_away);
-    c.cold_from = j.value("cold_from", c.cold_from);
-    c.cold_time = scaled(j, "cold_s", 1e6, c.cold_time);
-    c.fall_multiple = j.value("fall_multiple", c.fall_multiple);
-    c.fall_window = scaled(j, "fall_s", 1e6, c.fall_window);
+    c.slow_start_initial_pace = j.value("cold_from", c.slow_start_initial_pace);
+    c.slow_start_duration = scaled(j, "cold_s", 1e6, c.slow_start_duration);
+    c.overload_multiple = j.value("fall_multiple", c.overload_multiple);
+    c.slow_start_window = scaled(j, "fall_s", 1e6, c.slow_start_window);
     c.cold_bears = j.value("cold_bears", c.cold_bears);
     c.use_cores = j.value("use_cores", c.use_cores);
     c.use_memory = j.value("use_memory", c.use_memory);
@@ -637,4 +638,4 @@
   return true;
 }
 
-}  // namespace mountflow::node
+}  // namespace mountflow::node_agent
--- a/node/host.hpp
+++ b/src/node_agent/host.hpp
@@ -10,23 +10,23 @@
 //   PUT /v1/nodes/NAME/slow?factor=F    everything takes F times as long
 //   PUT /v1/nodes/NAME/fail?queue=Q     errors at the commit of tasks of that queue; empty: none
 //   PUT /v1/nodes/NAME/hang, /v1/nodes/NAME/unhang   takes bytes, answers nothing
-#ifndef MOUNTFLOW_NODE_HOST_HPP_
-#define MOUNTFLOW_NODE_HOST_HPP_
+#ifndef MOUNTFLOW_NODE_AGENT_HOST_HPP_
+#define MOUNTFLOW_NODE_AGENT_HOST_HPP_
 
 #include <map>
 #include <memory>
 #include <string>
 #include <vector>
 
+#include "discovery/registrar_link.hpp"
+#include "event_loop/event_loop.hpp"
 #include "http/message.hpp"
-#include "net/loop.hpp"
-#include "node/exec.hpp"
-#include "node/model.hpp"
-#include "node/server.hpp"
-#include "registry/registrar_link.hpp"
+#include "node_agent/exec.hpp"
+#include "node_agent/model.hpp"
+#include "node_agent/server.hpp"
 #include "tls/keys.hpp"
 
-namespace mountflow::node {
+namespace mountflow::node_agent {
 
 struct HostedNode {
   NodeConfig config;
@@ -52,7 +52,7 @@
 
 class Host {
  public:
-  Host(net::Loop* loop, HostOptions options, std::vector<HostedNode> nodes);
+  Host(event_loop::Loop* loop, HostOptions options, std::vector<HostedNode> nodes);
   ~Host();
   bool Start(std::string* error);
   int control_port() const;
@@ -70,16 +70,17 @@
     int state = -1;
     Micros next = 0;
   };
-  net::Loop* loop_;
+  event_loop::Loop* loop_;
   HostOptions options_;
   tls::Keys keys_;  // to the list
   std::map<std::string, Published> published_;
   std::vector<HostedNode> configs_;
   std::map<std::string, std::unique_ptr<Node>> nodes_;
   struct Registered {
-    registry::Registrar registrar;
-    registry::RegistrarLink link;
-    Registered(net::Loop* loop, registry::RegistrarOptions options, std::uint64_t seed, tls::Keys* keys)
+    discovery::Registrar registrar;
+    discovery::RegistrarLink link;
+    Registered(event_loop::Loop* loop, discovery::RegistrarOptions options, std::uint64_t seed,
+               tls::Keys* keys)
         : registrar(std::move(options), seed), link(loop, &registrar, keys) {}
   };
   // Keeps a node's entry as it should be.
@@ -88,7 +89,7 @@
   std::map<std::string, std::shared_ptr<KeyMemory>> racks_;
   std::unique_ptr<Control> control_;
   std::unique_ptr<Publisher> publisher_;
-  net::ListenerId control_listener_ = 0;
+  event_loop::ListenerId control_listener_ = 0;
   bool stopping_ = false;
 };
 
@@ -96,6 +97,6 @@
 bool ReadHostFile(const std::string& file, HostOptions* options, std::vector<HostedNode>* nodes,
                   std::vector<std::string>* errors);
 
-}  // namespace mountflow::node
+}  // namespace mountflow::node_agent
 
-#endif  // MOUNTFLOW_NODE_HOST_HPP_
+#endif  // MOUNTFLOW_NODE_AGENT_HOST_HPP_
--- a/node/main.cpp
+++ b/src/node_agent/main.cpp
@@ -4,12 +4,12 @@
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
-#include "node/host.hpp"
+#include "node_agent/host.hpp"
 
 int main(int argc, char** argv) {
   CLI::App app{"mountflow-node: takes tasks from daemons and runs them, as a model or for real"};
-  mountflow::node::HostOptions options;
-  mountflow::node::HostedNode one;
+  mountflow::node_agent::HostOptions options;
+  mountflow::node_agent::HostedNode one;
   std::string file;
   app.add_option("--nodes", file, "file that describes one or more nodes, JSON with comments");
   app.add_option("--name", one.config.name, "name of the node");
@@ -33,19 +33,19 @@
     std::fprintf(stderr, "mountflow-node: --etcd: expected --lease as well\n");
     return 1;
   }
-  std::vector<mountflow::node::HostedNode> nodes;
+  std::vector<mountflow::node_agent::HostedNode> nodes;
   if (file.empty()) {
     // A real node is what it is at once; the model's delays are for rehearsals.
     if (one.config.exec) one.config.admit = 0, one.config.start_work = 0, one.config.starts = 64;
     nodes.push_back(one);
   } else {
     std::vector<std::string> errors;
-    mountflow::node::ReadHostFile(file, &options, &nodes, &errors);
+    mountflow::node_agent::ReadHostFile(file, &options, &nodes, &errors);
     for (const std::string& error : errors) std::fprintf(stderr, "mountflow-node: %s\n", error.c_str());
     if (!errors.empty()) return 1;
   }
-  mountflow::net::Loop loop;
-  mountflow::node::Host host(&loop, options, nodes);
+  mountflow::event_loop::Loop loop;
+  mountflow::node_agent::Host host(&loop, options, nodes);
   std::string error;
   if (!host.Start(&error)) {
     std::fprintf(stderr, "mountflow-node: %s\n", error.c_str());
--- a/node/model.cpp
+++ b/src/node_agent/model.cpp
@@ -1,11 +1,11 @@
-#include "node/model.hpp"
+#include "node_agent/model.hpp"
 
 #include <algorithm>
 #include <cstdio>
 #include <limits>
 #include <utility>
 
-namespace mountflow::node {
+namespace mountflow::node_agent {
 namespace {
 
 constexpr Micros kNever = std::numeric_limits<Micros>::max();
@@ -31,9 +31,10 @@
 }
 
 double NodeModel::Pace() const {
-  if (started_ == 0 || now_ >= started_ + config_.cold_time) return 1.0;
+  if (started_ == 0 || now_ >= started_ + config_.slow_start_duration) return 1.0;
   const double age = now_ > started_ ? static_cast<double>(now_ - started_) : 0.0;
-  return config_.cold_from + (1.0 - config_.cold_from) * age / static_cast<double>(config_.cold_time);
+  return config_.slow_start_initial_pace +
+         (1.0 - config_.slow_start_initial_pace) * age / static_cast<double>(config_.slow_start_duration);
 }
 
 void NodeModel::At(Micros when, const std::string& attempt) { timers_.emplace(when, attempt); }
@@ -53,30 +54,31 @@
 void NodeModel::Offer(Micros now, TaskAsk ask) {
   now_ = std::max(now_, now);
   const std::string name = ask.attempt;
-  const auto no = [&](Cause cause, const char* words) {
+  const auto no = [&](RejectionReason cause, const char* words) {
     says_.push_back(OfferAnswer{name, false, cause, words});
   };
-  if (fallen_) return no(Cause::kNotHere, "fallen over");
+  if (fallen_) return no(RejectionReason::kNotAccepting, "fallen over");
   // Every offer is pressure, refused ones too.
-  if (started_ != 0 && now_ < started_ + config_.cold_time) {
+  if (started_ != 0 && now_ < started_ + config_.slow_start_duration) {
     offers_.push_back(now_);
-    while (!offers_.empty() && offers_.front() + config_.fall_window <= now_) offers_.pop_front();
+    while (!offers_.empty() && offers_.front() + config_.slow_start_window <= now_) offers_.pop_front();
     const double per_second = static_cast<double>(config_.starts) * 1e6 /
                               (static_cast<double>(config_.start_work) * std::max(1.0, config_.setup));
-    const double window = static_cast<double>(config_.fall_window) * 1e-6;
-    const double borne = std::max(config_.cold_bears, config_.fall_multiple * Pace() * per_second * window);
+    const double window = static_cast<double>(config_.slow_start_window) * 1e-6;
+    const double borne =
+        std::max(config_.cold_bears, config_.overload_multiple * Pace() * per_second * window);
     if (static_cast<double>(offers_.size()) > borne) {
       fallen_ = true;
       says_.push_back(FellOver{offers_.size(), borne});
-      return no(Cause::kNotHere, "fallen over");
+      return no(RejectionReason::kNotAccepting, "fallen over");
     }
   }
-  if (draining_) return no(Cause::kNotHere, "draining");
+  if (draining_) return no(RejectionReason::kNotAccepting, "draining");
   if (buried_.count(name) > 0 || held_.count(name) > 0)
-    return no(Cause::kNotHere, "given up or asked before");
-  if (held_.size() >= config_.most_tasks) return no(Cause::kQueueFull, "as many tasks as it holds");
+    return no(RejectionReason::kNotAccepting, "given up or asked before");
+  if (held_.size() >= config_.most_tasks) return no(RejectionReason::kQueueFull, "as many tasks as it holds");
   if (line_.size() >= config_.admit_queue && !looked_.empty())
-    return no(Cause::kQueueFull, "too many offers wait");
+    return no(RejectionReason::kQueueFull, "too many offers wait");
   Entry h;
   h.ask = std::move(ask);
   h.since = now_;
@@ -102,12 +104,12 @@
   }
 }
 
-bool NodeModel::HasRoom(const TaskAsk& ask, Cause* cause) const {
+bool NodeModel::HasRoom(const TaskAsk& ask, RejectionReason* cause) const {
   constexpr double kSlack = 1e-9;
-  *cause = Cause::kNoCores;
-  if (asked_cores_ + ask.cores > config_.cores * config_.accept_cores + kSlack) return false;
-  *cause = Cause::kNoMemory;
-  return asked_memory_ + ask.memory <= config_.memory * config_.accept_memory + kSlack;
+  *cause = RejectionReason::kNoCores;
+  if (asked_cores_ + ask.cores > config_.cores * config_.overcommit_cores + kSlack) return false;
+  *cause = RejectionReason::kNoMemory;
+  return asked_memory_ + ask.memory <= config_.memory * config_.overcommit_memory + kSlack;
 }
 
 // Pushes out tasks of lower priority, the lowest and youngest first, if that makes room.
@@ -121,12 +123,12 @@
     cores += h.ask.cores;
     memory += h.ask.memory;
   }
-  if (asked_cores_ - cores + ask.cores > config_.cores * config_.accept_cores ||
-      asked_memory_ - memory + ask.memory > config_.memory * config_.accept_memory) {
+  if (asked_cores_ - cores + ask.cores > config_.cores * config_.overcommit_cores ||
+      asked_memory_ - memory + ask.memory > config_.memory * config_.overcommit_memory) {
     return false;
   }
   std::sort(lower.begin(), lower.end());
-  Cause cause = Cause::kUntold;
+  RejectionReason cause = RejectionReason::kUnspecified;
   for (const auto& [rank, name] : lower) {
     if (HasRoom(ask, &cause)) break;
     End(name, TaskEnd::kPushedOut, 271, "pushed out for a task of higher priority");
@@ -297,7 +299,7 @@
   const std::deque<std::string> line = std::exchange(line_, {});
   for (const std::string& name : line) {
     Remove(name);
-    says_.push_back(OfferAnswer{name, false, Cause::kNotHere, "draining"});
+    says_.push_back(OfferAnswer{name, false, RejectionReason::kNotAccepting, "draining"});
   }
   if (!config_.drain_sends_away) return;
   std::vector<std::string> away;
@@ -351,26 +353,27 @@
     Entry& h = it->second;
     if (h.step == Step::kLooked && at == h.due) {
       looked_.clear();
-      Cause cause = Cause::kUntold;
+      RejectionReason cause = RejectionReason::kUnspecified;
       if (!h.ask.key.empty() && keys_->Holder(h.ask.key) != nullptr) {
         const TaskAsk ask = h.ask;
         Remove(name);
-        says_.push_back(OfferAnswer{name, false, Cause::kNotHere, "a copy of this key stands in the rack"});
+        says_.push_back(OfferAnswer{name, false, RejectionReason::kNotAccepting,
+                                    "a copy of this key stands in the rack"});
       } else if (HasRoom(h.ask, &cause) || MakeRoom(h.ask)) {
         h.step = Step::kReserved;
         asked_cores_ += h.ask.cores;
         asked_memory_ += h.ask.memory;
         if (!h.ask.key.empty()) keys_->Take(h.ask.key, name);
-        says_.push_back(OfferAnswer{name, true, Cause::kUntold, ""});
+        says_.push_back(OfferAnswer{name, true, RejectionReason::kUnspecified, ""});
         // Danger: a reservation whose commit never comes must not hold its room for ever.
         At(std::max(h.ask.until, now_) + 1, name);
       } else {
         char words[128];
         std::snprintf(words, sizeof words, "%s: %.6g of %.6g free, asked for %.6g",
-                      cause == Cause::kNoCores ? "no cores" : "no memory",
-                      cause == Cause::kNoCores ? free_cores() : free_memory(),
-                      cause == Cause::kNoCores ? config_.cores : config_.memory,
-                      cause == Cause::kNoCores ? h.ask.cores : h.ask.memory);
+                      cause == RejectionReason::kNoCores ? "no cores" : "no memory",
+                      cause == RejectionReason::kNoCores ? free_cores() : free_memory(),
+                      cause == RejectionReason::kNoCores ? config_.cores : config_.memory,
+                      cause == RejectionReason::kNoCores ? h.ask.cores : h.ask.memory);
         Remove(name);
         says_.push_back(OfferAnswer{name, false, cause, words});
       }
@@ -432,8 +435,8 @@
   load_.free_cores = free_cores();
   load_.free_memory = free_memory();
   load_.queued = static_cast<double>(line_.size() + (looked_.empty() ? 0 : 1) + to_start_.size() + starting_);
-  load_.busy = std::min(1.0, used / config_.cores);
+  load_.utilisation = std::min(1.0, used / config_.cores);
   return load_;
 }
 
-}  // namespace mountflow::node
+}  // namespace mountflow::node_agent
--- a/node/model.hpp
+++ b/src/node_agent/model.hpp
@@ -11,8 +11,8 @@
 //   a multiple of what it can start, within a window, a cold node falls over.
 // - Tasks use other than they asked; out of memory, the node evicts.
 // - The nodes of one rack let one copy of a keyed task stand (KeyMemory).
-#ifndef MOUNTFLOW_NODE_MODEL_HPP_
-#define MOUNTFLOW_NODE_MODEL_HPP_
+#ifndef MOUNTFLOW_NODE_AGENT_MODEL_HPP_
+#define MOUNTFLOW_NODE_AGENT_MODEL_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -26,26 +26,26 @@
 
 #include "mountflow/scheduler.hpp"
 
-namespace mountflow::node {
+namespace mountflow::node_agent {
 
 struct NodeConfig {
   std::string name = "node-0";
   std::string kind = "small", rack = "rack-0", room = "room-a";
   double cores = 32.0, memory = 64.0;
-  double accept_cores = 1.0, accept_memory = 1.0;  // accepts up to this times its size
-  Micros admit = 10'000;                           // to look at one ask
-  std::size_t admit_queue = 16;                    // asks that wait beside the one looked at; beyond: refused
-  unsigned starts = 4;                             // at once
-  Micros start_work = 50'000;                      // of a start with the program there
-  double setup = 8.0;                              // times that without it
-  std::size_t kept = 8;                            // programs kept after their last task
-  bool ack_running = false;                        // says yes when the task runs, not when it is accepted
+  double overcommit_cores = 1.0, overcommit_memory = 1.0;  // accepts up to this times its size
+  Micros admit = 10'000;                                   // to look at one ask
+  std::size_t admit_queue = 16;  // asks that wait beside the one looked at; beyond: refused
+  unsigned starts = 4;           // at once
+  Micros start_work = 50'000;    // of a start with the program there
+  double setup = 8.0;            // times that without it
+  std::size_t kept = 8;          // programs kept after their last task
+  bool ack_running = false;      // says yes when the task runs, not when it is accepted
   bool preempts = true;
   bool drain_sends_away = true;
-  double cold_from = 0.25;
-  Micros cold_time = 15'000'000;
-  double fall_multiple = 2.0;
-  Micros fall_window = 3'000'000;
+  double slow_start_initial_pace = 0.25;
+  Micros slow_start_duration = 15'000'000;
+  double overload_multiple = 2.0;
+  Micros slow_start_window = 3'000'000;
   double cold_bears = 24.0;
   double use_cores = 0.8, use_memory = 0.8;    // mean share of what was asked
   double over_share = 0.0, over_factor = 2.0;  // this share of tasks uses so many times more memory
@@ -93,7 +93,7 @@
 struct OfferAnswer {
   std::string attempt;
   bool yes = false;
-  Cause cause = Cause::kUntold;
+  RejectionReason cause = RejectionReason::kUnspecified;
   std::string words;
 };
 struct Accepted {  // the answer to the commit
@@ -166,7 +166,7 @@
     double use_cores = 0.0, use_memory = 0.0;
     std::uint64_t order = 0;
   };
-  bool HasRoom(const TaskAsk& ask, Cause* cause) const;
+  bool HasRoom(const TaskAsk& ask, RejectionReason* cause) const;
   bool MakeRoom(const TaskAsk& ask);
   void Look();
   void StartSome();
@@ -204,6 +204,6 @@
   std::vector<NodeSays> says_;
 };
 
-}  // namespace mountflow::node
+}  // namespace mountflow::node_agent
 
-#endif  // MOUNTFLOW_NODE_MODEL_HPP_
+#endif  // MOUNTFLOW_NODE_AGENT_MODEL_HPP_
