--- a/node/server.cpp
+++ b/src/node_agent/server.cpp
@@ -1,10 +1,10 @@
-#include "node/server.hpp"
+#include "node_agent/server.hpp"
 
 #include <algorithm>
 
-#include "batch/translate.hpp"
+#include "pbs_server/attribute_mapping.hpp"
 
-namespace mountflow::node {
+namespace mountflow::node_agent {
 namespace {
 
 const char* NameOf(TaskEnd end) {
@@ -23,18 +23,18 @@
   return "lost";
 }
 
-pbs::Reply Of(pbs::Code code, std::string text = "") {
-  pbs::Reply reply;
+pbs_protocol::Reply Of(pbs_protocol::Code code, std::string text = "") {
+  pbs_protocol::Reply reply;
   reply.code = code;
   if (!text.empty()) {
-    reply.choice = pbs::Choice::kText;
+    reply.choice = pbs_protocol::Choice::kText;
     reply.text = std::move(text);
   }
   return reply;
 }
 
-pbs::Reply With(pbs::Choice choice, std::string text) {
-  pbs::Reply reply;
+pbs_protocol::Reply With(pbs_protocol::Choice choice, std::string text) {
+  pbs_protocol::Reply reply;
   reply.choice = choice;
   reply.text = std::move(text);
   return reply;
@@ -55,8 +55,8 @@
   if (sessions_.size() > options_.most_sessions) s.closing = true;
 }
 
-void NodeServer::Send(Id id, Session& s, const pbs::Reply& reply) {
-  pbs::Encode(reply, &s.output);
+void NodeServer::Send(Id id, Session& s, const pbs_protocol::Reply& reply) {
+  pbs_protocol::Encode(reply, &s.output);
   touched_.insert(id);
 }
 
@@ -71,15 +71,15 @@
   while (!s.closing && !s.waits) {
     const std::string_view left = std::string_view(s.input).substr(s.read);
     if (left.size() < s.needs) break;
-    pbs::Request request;
-    const pbs::Parsed parsed = pbs::Decode(left, &request);
-    if (parsed.state == pbs::DisState::kMore) {
+    pbs_protocol::Request request;
+    const pbs_protocol::Parsed parsed = pbs_protocol::Decode(left, &request);
+    if (parsed.state == pbs_protocol::DisState::kMore) {
       s.needs = parsed.needs;
       break;
     }
-    if (parsed.state == pbs::DisState::kBad) {
+    if (parsed.state == pbs_protocol::DisState::kBad) {
       Send(id, s,
-           Of(parsed.unknown ? pbs::Code::kUnknownRequest : pbs::Code::kProtocol,
+           Of(parsed.unknown ? pbs_protocol::Code::kUnknownRequest : pbs_protocol::Code::kProtocol,
               "expected " + parsed.expected));
       s.closing = true;
       break;
@@ -109,33 +109,34 @@
   touched_.erase(id);
 }
 
-void NodeServer::Handle(Micros now, Id id, Session& s, pbs::Request* r) {
+void NodeServer::Handle(Micros now, Id id, Session& s, pbs_protocol::Request* r) {
   switch (r->type) {
-    case pbs::RequestType::kConnect:
-      return Send(id, s, Of(pbs::Code::kNone));
-    case pbs::RequestType::kDisconnect:
+    case pbs_protocol::RequestType::kConnect:
+      return Send(id, s, Of(pbs_protocol::Code::kNone));
+    case pbs_protocol::RequestType::kDisconnect:
       s.closing = true;
       return;
-    case pbs::RequestType::kQueueJob:
+    case pbs_protocol::RequestType::kQueueJob:
       return Queue(id, s, r);
-    case pbs::RequestType::kJobScript:
-      if (s.open.empty() || s.open != r->id || s.asked) return Send(id, s, Of(pbs::Code::kUnknownJob));
+    case pbs_protocol::RequestType::kJobScript:
+      if (s.open.empty() || s.open != r->id || s.asked)
+        return Send(id, s, Of(pbs_protocol::Code::kUnknownJob));
       if (s.task.script.size() + r->script.size() > options_.most_script) {
         s.open.clear();
-        return Send(id, s, Of(pbs::Code::kBadValue, "script: too large"));
+        return Send(id, s, Of(pbs_protocol::Code::kBadValue, "script: too large"));
       }
       s.task.script += r->script;
-      return Send(id, s, Of(pbs::Code::kNone));
-    case pbs::RequestType::kReadyToCommit:
+      return Send(id, s, Of(pbs_protocol::Code::kNone));
+    case pbs_protocol::RequestType::kReadyToCommit:
       return Ready(now, id, s, *r);
-    case pbs::RequestType::kCommit: {
+    case pbs_protocol::RequestType::kCommit: {
       const bool mine = s.asked && s.open == r->id;
       if (mine && !failing_.empty() && s.task.queue == failing_) {
         model_->Stop(now, r->id);
         tasks_.erase(s.open);
         s.open.clear();
         s.asked = false;
-        return Send(id, s, Of(pbs::Code::kSystem, "the node fails tasks of this queue"));
+        return Send(id, s, Of(pbs_protocol::Code::kSystem, "the node fails tasks of this queue"));
       }
       if (!mine || !model_->Commit(now, r->id)) {
         if (mine) {
@@ -143,8 +144,9 @@
           s.open.clear();
           s.asked = false;
         }
-        pbs::Reply no = Of(pbs::Code::kUnknownJob, "not held: given up, too late, or never asked");
-        no.auxiliary = static_cast<int>(Cause::kNotHere);
+        pbs_protocol::Reply no =
+            Of(pbs_protocol::Code::kUnknownJob, "not held: given up, too late, or never asked");
+        no.auxiliary = static_cast<int>(RejectionReason::kNotAccepting);
         return Send(id, s, no);
       }
       awaited_[s.open] = id;
@@ -153,83 +155,85 @@
       s.waits = true;
       return;
     }
-    case pbs::RequestType::kDeleteJob: {
+    case pbs_protocol::RequestType::kDeleteJob: {
       const bool held = model_->Stop(now, r->id);
       const bool reporting = ended_.count(r->id) > 0;
-      return Send(id, s, Of(held || reporting ? pbs::Code::kNone : pbs::Code::kUnknownJob));
+      return Send(id, s, Of(held || reporting ? pbs_protocol::Code::kNone : pbs_protocol::Code::kUnknownJob));
     }
-    case pbs::RequestType::kSignalJob:
+    case pbs_protocol::RequestType::kSignalJob:
       return Send(id, s,
-                  Of(model_->Signal(now, r->id, r->signal) ? pbs::Code::kNone : pbs::Code::kNotRunning));
-    case pbs::RequestType::kSelectJobs: {
-      pbs::Reply reply;
-      reply.choice = pbs::Choice::kSelected;
-      const std::string* holder = model_->HolderOf(std::string(pbs::ValueOf(r->attributes, "key")));
+                  Of(model_->Signal(now, r->id, r->signal) ? pbs_protocol::Code::kNone
+                                                           : pbs_protocol::Code::kNotRunning));
+    case pbs_protocol::RequestType::kSelectJobs: {
+      pbs_protocol::Reply reply;
+      reply.choice = pbs_protocol::Choice::kSelected;
+      const std::string* holder = model_->HolderOf(std::string(pbs_protocol::ValueOf(r->attributes, "key")));
       if (holder != nullptr) reply.ids.push_back(*holder);
       return Send(id, s, reply);
     }
-    case pbs::RequestType::kStatusJob:
+    case pbs_protocol::RequestType::kStatusJob:
       return Status(now, id, s, *r);
-    case pbs::RequestType::kStatusServer: {
-      pbs::Reply reply;
-      reply.choice = pbs::Choice::kStatus;
-      pbs::StatusObject o;
-      o.type = pbs::ObjectType::kServer;
+    case pbs_protocol::RequestType::kStatusServer: {
+      pbs_protocol::Reply reply;
+      reply.choice = pbs_protocol::Choice::kStatus;
+      pbs_protocol::StatusObject o;
+      o.type = pbs_protocol::ObjectType::kServer;
       o.name = model_->config().name;
-      o.attributes.push_back({"load", "", batch::WriteLoad(model_->Load(now)), pbs::Op::kSet});
+      o.attributes.push_back({"load", "", pbs_server::WriteLoad(model_->Load(now)), pbs_protocol::Op::kSet});
       reply.objects.push_back(std::move(o));
       return Send(id, s, reply);
     }
     default:
-      return Send(id, s, Of(pbs::Code::kUnknownRequest));
+      return Send(id, s, Of(pbs_protocol::Code::kUnknownRequest));
   }
 }
 
-void NodeServer::Queue(Id id, Session& s, pbs::Request* r) {
+void NodeServer::Queue(Id id, Session& s, pbs_protocol::Request* r) {
   if (!s.open.empty())
-    return Send(id, s, Of(pbs::Code::kTooMany, "a submission is in progress on this connection"));
-  if (r->id.empty()) return Send(id, s, Of(pbs::Code::kInvalid, "a node takes named attempts only"));
-  if (tasks_.count(r->id) > 0) return Send(id, s, Of(pbs::Code::kExists));
+    return Send(id, s, Of(pbs_protocol::Code::kTooMany, "a submission is in progress on this connection"));
+  if (r->id.empty()) return Send(id, s, Of(pbs_protocol::Code::kInvalid, "a node takes named attempts only"));
+  if (tasks_.count(r->id) > 0) return Send(id, s, Of(pbs_protocol::Code::kExists));
   s.open = r->id;
   s.asked = false;
   s.task = WireTask{};
   s.task.attributes = std::move(r->attributes);
   s.task.queue = r->destination;
-  s.task.server = pbs::ValueOf(s.task.attributes, "server");
-  s.task.user = pbs::ValueOf(s.task.attributes, "Job_Owner");
+  s.task.server = pbs_protocol::ValueOf(s.task.attributes, "server");
+  s.task.user = pbs_protocol::ValueOf(s.task.attributes, "Job_Owner");
   Owed& owed = owed_[s.task.server];
-  const std::string_view report_to = pbs::ValueOf(s.task.attributes, "report_to");
+  const std::string_view report_to = pbs_protocol::ValueOf(s.task.attributes, "report_to");
   if (!report_to.empty()) owed.address = report_to;
-  Send(id, s, With(pbs::Choice::kQueued, s.open));
+  Send(id, s, With(pbs_protocol::Choice::kQueued, s.open));
 }
 
-void NodeServer::Ready(Micros now, Id id, Session& s, const pbs::Request& r) {
-  if (s.open.empty() || s.open != r.id || s.asked) return Send(id, s, Of(pbs::Code::kUnknownJob));
+void NodeServer::Ready(Micros now, Id id, Session& s, const pbs_protocol::Request& r) {
+  if (s.open.empty() || s.open != r.id || s.asked) return Send(id, s, Of(pbs_protocol::Code::kUnknownJob));
   TaskAsk ask;
   ask.attempt = s.open;
-  const pbs::Attributes& list = s.task.attributes;
-  ask.service = pbs::ValueOf(list, "service");
-  ask.key = pbs::ValueOf(list, "key");
+  const pbs_protocol::Attributes& list = s.task.attributes;
+  ask.service = pbs_protocol::ValueOf(list, "service");
+  ask.key = pbs_protocol::ValueOf(list, "key");
   if (!ask.key.empty()) ask.key = s.task.user + "\n" + ask.key;
   double bytes = 0.0;
   std::uint64_t until = 0;
   double priority = 0.0;
-  const std::string_view ncpus = pbs::ValueOf(list, "Resource_List", "ncpus");
-  const std::string_view mem = pbs::ValueOf(list, "Resource_List", "mem");
-  const std::string_view walltime = pbs::ValueOf(list, "Resource_List", "walltime");
-  const bool good = batch::ReadNumber(ncpus, &ask.cores) && batch::ReadSize(mem, &bytes) &&
-                    (walltime.empty() || batch::ReadTime(walltime, &ask.walltime)) && ask.cores >= 0.0;
+  const std::string_view ncpus = pbs_protocol::ValueOf(list, "Resource_List", "ncpus");
+  const std::string_view mem = pbs_protocol::ValueOf(list, "Resource_List", "mem");
+  const std::string_view walltime = pbs_protocol::ValueOf(list, "Resource_List", "walltime");
+  const bool good = pbs_server::ReadNumber(ncpus, &ask.cores) && pbs_server::ReadSize(mem, &bytes) &&
+                    (walltime.empty() || pbs_server::ReadTime(walltime, &ask.walltime)) && ask.cores >= 0.0;
   if (!good) {
     s.open.clear();
-    return Send(id, s,
-                Of(pbs::Code::kBadValue, "Resource_List: expected ncpus, mem and walltime as numbers"));
+    return Send(
+        id, s,
+        Of(pbs_protocol::Code::kBadValue, "Resource_List: expected ncpus, mem and walltime as numbers"));
   }
   ask.memory = bytes / options_.memory_unit;
-  if (batch::ReadCount(pbs::ValueOf(list, "until"), &until)) ask.until = until;
-  if (batch::ReadNumber(pbs::ValueOf(list, "class_priority"), &priority))
+  if (pbs_server::ReadCount(pbs_protocol::ValueOf(list, "until"), &until)) ask.until = until;
+  if (pbs_server::ReadNumber(pbs_protocol::ValueOf(list, "class_priority"), &priority))
     ask.priority = static_cast<int>(priority);
-  const std::string_view life = pbs::ValueOf(list, "life");
-  if (!life.empty() && !batch::ReadTime(life, &ask.life)) ask.life = 0;
+  const std::string_view life = pbs_protocol::ValueOf(list, "life");
+  if (!life.empty() && !pbs_server::ReadTime(life, &ask.life)) ask.life = 0;
   s.asked = true;
   s.waits = true;
   awaited_[s.open] = id;
@@ -237,36 +241,36 @@
   model_->Offer(now, std::move(ask));
 }
 
-pbs::StatusObject NodeServer::Show(const std::string& attempt, const WireTask& task,
-                                   const char* state) const {
-  pbs::StatusObject o;
+pbs_protocol::StatusObject NodeServer::Show(const std::string& attempt, const WireTask& task,
+                                            const char* state) const {
+  pbs_protocol::StatusObject o;
   o.name = attempt;
-  for (const pbs::Attribute& a : task.attributes) {
+  for (const pbs_protocol::Attribute& a : task.attributes) {
     if (!IsInternal(a.name)) o.attributes.push_back(a);
   }
-  o.attributes.push_back({"job_state", "", state, pbs::Op::kSet});
-  o.attributes.push_back({"queue", "", task.queue, pbs::Op::kSet});
+  o.attributes.push_back({"job_state", "", state, pbs_protocol::Op::kSet});
+  o.attributes.push_back({"queue", "", task.queue, pbs_protocol::Op::kSet});
   return o;
 }
 
-void NodeServer::Status(Micros now, Id id, Session& s, const pbs::Request& r) {
-  pbs::Reply reply;
-  reply.choice = pbs::Choice::kStatus;
+void NodeServer::Status(Micros now, Id id, Session& s, const pbs_protocol::Request& r) {
+  pbs_protocol::Reply reply;
+  reply.choice = pbs_protocol::Choice::kStatus;
   if (!r.id.empty()) {
     // Asked about one attempt: what is not here, will never be.
     const bool held = model_->Query(now, r.id);
-    if (!held && ended_.count(r.id) == 0) return Send(id, s, Of(pbs::Code::kUnknownJob));
+    if (!held && ended_.count(r.id) == 0) return Send(id, s, Of(pbs_protocol::Code::kUnknownJob));
     reply.objects.push_back(Show(r.id, held ? tasks_[r.id] : ended_[r.id], held ? "R" : "E"));
     return Send(id, s, reply);
   }
-  const std::string server(pbs::ValueOf(r.attributes, "server"));
-  const std::string_view report_to = pbs::ValueOf(r.attributes, "report_to");
+  const std::string server(pbs_protocol::ValueOf(r.attributes, "server"));
+  const std::string_view report_to = pbs_protocol::ValueOf(r.attributes, "report_to");
   if (!server.empty() && !report_to.empty()) owed_[server].address = report_to;
-  pbs::StatusObject self;
-  self.type = pbs::ObjectType::kServer;
+  pbs_protocol::StatusObject self;
+  self.type = pbs_protocol::ObjectType::kServer;
   self.name = model_->config().name;
-  self.attributes.push_back({"started", "", std::to_string(model_->started()), pbs::Op::kSet});
-  self.attributes.push_back({"load", "", batch::WriteLoad(model_->Load(now)), pbs::Op::kSet});
+  self.attributes.push_back({"started", "", std::to_string(model_->started()), pbs_protocol::Op::kSet});
+  self.attributes.push_back({"load", "", pbs_server::WriteLoad(model_->Load(now)), pbs_protocol::Op::kSet});
   reply.objects.push_back(std::move(self));
   for (const std::string& name : model_->Held()) {
     const auto task = tasks_.find(name);
@@ -296,11 +300,12 @@
         Session& s = sessions_.at(id);
         s.waits = false;
         if (answer->yes) {
-          Send(id, s, With(pbs::Choice::kReady, answer->attempt));
+          Send(id, s, With(pbs_protocol::Choice::kReady, answer->attempt));
         } else {
           s.open.clear();
           s.asked = false;
-          pbs::Reply no = Of(pbs::Code::kNoRoom, answer->words + "\t" + batch::WriteLoad(model_->Load(now)));
+          pbs_protocol::Reply no = Of(pbs_protocol::Code::kNoRoom,
+                                      answer->words + "\t" + pbs_server::WriteLoad(model_->Load(now)));
           no.auxiliary = static_cast<int>(answer->cause);
           Send(id, s, no);
         }
@@ -314,7 +319,7 @@
         awaited_.erase(waits);
         Session& s = sessions_.at(id);
         s.waits = false;
-        Send(id, s, With(pbs::Choice::kCommitted, accepted->attempt));
+        Send(id, s, With(pbs_protocol::Choice::kCommitted, accepted->attempt));
         Work(now, id, s);
       } else if (const auto* run = std::get_if<RunTask>(&one)) {
         orders_.push_back({run->attempt, ""});
@@ -323,22 +328,25 @@
       } else if (const auto* ended = std::get_if<TaskEnded>(&one)) {
         const auto task = tasks_.find(ended->attempt);
         if (task == tasks_.end()) continue;
-        pbs::Request obit;
-        obit.type = pbs::RequestType::kJobObit;
+        pbs_protocol::Request obit;
+        obit.type = pbs_protocol::RequestType::kJobObit;
         obit.user = "node@" + model_->config().name;
         obit.id = ended->attempt;
         obit.status = ended->status;
-        obit.attributes.push_back({"end_reason", "", NameOf(ended->end), pbs::Op::kSet});
+        obit.attributes.push_back({"end_reason", "", NameOf(ended->end), pbs_protocol::Op::kSet});
         // Times of use, as accounting records name them; microseconds of wall time.
         if (task->second.accepted != 0) {
-          obit.attributes.push_back({"start", "", std::to_string(task->second.accepted), pbs::Op::kSet});
-          obit.attributes.push_back({"end", "", std::to_string(now), pbs::Op::kSet});
+          obit.attributes.push_back(
+              {"start", "", std::to_string(task->second.accepted), pbs_protocol::Op::kSet});
+          obit.attributes.push_back({"end", "", std::to_string(now), pbs_protocol::Op::kSet});
         }
-        if (!ended->words.empty()) obit.attributes.push_back({"comment", "", ended->words, pbs::Op::kSet});
-        obit.attributes.push_back({"load", "", batch::WriteLoad(model_->Load(now)), pbs::Op::kSet});
+        if (!ended->words.empty())
+          obit.attributes.push_back({"comment", "", ended->words, pbs_protocol::Op::kSet});
+        obit.attributes.push_back(
+            {"load", "", pbs_server::WriteLoad(model_->Load(now)), pbs_protocol::Op::kSet});
         Owed& owed = owed_[task->second.server];
         Report report{ended->attempt, ""};
-        pbs::Encode(obit, &report.bytes);
+        pbs_protocol::Encode(obit, &report.bytes);
         owed.reports.push_back(std::move(report));
         ended_[ended->attempt] = std::move(task->second);
         ended_[ended->attempt].script.clear();
@@ -413,4 +421,4 @@
   return true;
 }
 
-}  // namespace mountflow::node
+}  // namespace mountflow::node_agent
--- a/node/server.hpp
+++ b/src/node_agent/server.hpp
@@ -4,8 +4,8 @@
 // A report is kept until the daemon has acknowledged it, over broken
 // connections and daemon restarts; at most `most_reports` a daemon (beyond: the
 // oldest is let go and counted).
-#ifndef MOUNTFLOW_NODE_SERVER_HPP_
-#define MOUNTFLOW_NODE_SERVER_HPP_
+#ifndef MOUNTFLOW_NODE_AGENT_SERVER_HPP_
+#define MOUNTFLOW_NODE_AGENT_SERVER_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -17,10 +17,10 @@
 #include <utility>
 #include <vector>
 
-#include "node/model.hpp"
-#include "pbs/protocol.hpp"
+#include "node_agent/model.hpp"
+#include "pbs_protocol/protocol.hpp"
 
-namespace mountflow::node {
+namespace mountflow::node_agent {
 
 struct ServerOptions {
   double memory_unit = 1073741824;
@@ -31,7 +31,7 @@
 
 // A task as it came over the wire.
 struct WireTask {
-  pbs::Attributes attributes;
+  pbs_protocol::Attributes attributes;
   std::string script;
   std::string queue;
   std::string server;  // the daemon that it belongs to
@@ -97,12 +97,12 @@
     std::deque<Report> reports;
   };
   void Work(Micros now, Id id, Session& s);
-  void Handle(Micros now, Id id, Session& s, pbs::Request* r);
-  void Send(Id id, Session& s, const pbs::Reply& reply);
-  void Queue(Id id, Session& s, pbs::Request* r);
-  void Ready(Micros now, Id id, Session& s, const pbs::Request& r);
-  void Status(Micros now, Id id, Session& s, const pbs::Request& r);
-  pbs::StatusObject Show(const std::string& attempt, const WireTask& task, const char* state) const;
+  void Handle(Micros now, Id id, Session& s, pbs_protocol::Request* r);
+  void Send(Id id, Session& s, const pbs_protocol::Reply& reply);
+  void Queue(Id id, Session& s, pbs_protocol::Request* r);
+  void Ready(Micros now, Id id, Session& s, const pbs_protocol::Request& r);
+  void Status(Micros now, Id id, Session& s, const pbs_protocol::Request& r);
+  pbs_protocol::StatusObject Show(const std::string& attempt, const WireTask& task, const char* state) const;
 
   std::unique_ptr<NodeModel> model_;
   ServerOptions options_;
@@ -117,6 +117,6 @@
   std::uint64_t let_go_ = 0;
 };
 
-}  // namespace mountflow::node
+}  // namespace mountflow::node_agent
 
-#endif  // MOUNTFLOW_NODE_SERVER_HPP_
+#endif  // MOUNTFLOW_NODE_AGENT_SERVER_HPP_
--- a/links/node_links.cpp
+++ b/src/node_sessions/node_sessions.cpp
@@ -1,15 +1,15 @@
-#include "links/node_links.hpp"
+#include "node_sessions/node_sessions.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace mountflow::links {
+namespace mountflow::node_sessions {
 namespace {
 
 constexpr std::size_t kPiece = 64 << 10;  // bytes of a script in one request
 
-pbs::Request Form(pbs::RequestType type, const std::string& user, std::string id) {
-  pbs::Request r;
+pbs_protocol::Request Form(pbs_protocol::RequestType type, const std::string& user, std::string id) {
+  pbs_protocol::Request r;
   r.type = type;
   r.user = user;
   r.id = std::move(id);
@@ -20,12 +20,12 @@
 std::pair<std::string, LoadReport> SplitRefusal(const std::string& text) {
   const std::size_t tab = text.find('\t');
   if (tab == std::string::npos) return {text, {}};
-  return {text.substr(0, tab), batch::ReadLoad(std::string_view(text).substr(tab + 1))};
+  return {text.substr(0, tab), pbs_server::ReadLoad(std::string_view(text).substr(tab + 1))};
 }
 
 }  // namespace
 
-NodeLinks::NodeLinks(const core::Core* core, batch::Vocabulary words, LinkOptions options)
+NodeLinks::NodeLinks(const job_manager::JobManager* core, pbs_server::Vocabulary words, LinkOptions options)
     : core_(core), words_(std::move(words)), options_(std::move(options)) {}
 
 void NodeLinks::SetDeadline(ConnId id, Conn& conn, Micros deadline) {
@@ -45,8 +45,8 @@
 }
 
 // The node's address may change with a new life; connections to the old one are of no use then.
-NodeLinks::Node* NodeLinks::NodeFor(MachineId id) {
-  const core::ListedNode* listed = core_->NodeOf(id);
+NodeLinks::Node* NodeLinks::NodeFor(NodeId id) {
+  const job_manager::ListedNode* listed = core_->NodeOf(id);
   if (listed == nullptr) {
     const auto it = nodes_.find(id);
     return it == nodes_.end() || it->second.address.empty() ? nullptr : &it->second;
@@ -61,7 +61,7 @@
   return &node;
 }
 
-ConnId NodeLinks::OpenTo(Micros now, MachineId id, Node& node, bool control) {
+ConnId NodeLinks::OpenTo(Micros now, NodeId id, Node& node, bool control) {
   const ConnId conn = ++next_conn_;
   Conn& c = conns_[conn];
   c.node = id;
@@ -87,26 +87,27 @@
   actions_.push_back(CloseConn{id});
 }
 
-void NodeLinks::Take(Micros now, const core::Output& output) {
-  if (const auto* ask = std::get_if<core::AskNode>(&output)) return Ask(now, *ask);
-  if (const auto* go = std::get_if<core::CommitNode>(&output)) {
+void NodeLinks::Take(Micros now, const job_manager::Output& output) {
+  if (const auto* ask = std::get_if<job_manager::AskNode>(&output)) return Ask(now, *ask);
+  if (const auto* go = std::get_if<job_manager::CommitNode>(&output)) {
     const auto of = of_attempt_.find({go->attempt.job, go->attempt.number});
     if (of == of_attempt_.end()) {  // its connection broke meanwhile: nothing was sent
-      messages_.push_back(core::Broken{go->attempt, false});
+      messages_.push_back(job_manager::Broken{go->attempt, false});
       return;
     }
     Conn& conn = conns_.at(of->second);
     conn.step = Step::kGoing;
     std::string bytes;
-    pbs::Encode(Form(pbs::RequestType::kCommit, options_.user, core_->NameOf(go->attempt)), &bytes);
+    pbs_protocol::Encode(Form(pbs_protocol::RequestType::kCommit, options_.user, core_->NameOf(go->attempt)),
+                         &bytes);
     return Send(of->second, conn, std::move(bytes));
   }
-  if (const auto* abandon = std::get_if<core::AbandonAsk>(&output)) {
+  if (const auto* abandon = std::get_if<job_manager::AbandonAsk>(&output)) {
     const auto of = of_attempt_.find({abandon->attempt.job, abandon->attempt.number});
     if (of != of_attempt_.end()) {  // a connection lost before the commit leaves no job
       const ConnId id = of->second;
       of_attempt_.erase(of);
-      const MachineId node = conns_.at(id).node;
+      const NodeId node = conns_.at(id).node;
       --nodes_[node].busy;
       Drop(id);
       return Next(now, node);
@@ -115,22 +116,24 @@
     if (node != nodes_.end()) std::erase(node->second.waiting, abandon->attempt);
     return;
   }
-  if (const auto* stop = std::get_if<core::StopOnNode>(&output)) {
+  if (const auto* stop = std::get_if<job_manager::StopOnNode>(&output)) {
     // Its commit's reply may never come; the connection is not kept for it for ever.
     const auto of = of_attempt_.find({stop->attempt.job, stop->attempt.number});
     if (of != of_attempt_.end())
       SetDeadline(of->second, conns_.at(of->second), now + 2 * options_.control_timeout);
     return ControlRequest(now, stop->node, output);
   }
-  if (const auto* signal = std::get_if<core::SignalOnNode>(&output))
+  if (const auto* signal = std::get_if<job_manager::SignalOnNode>(&output))
     return ControlRequest(now, signal->node, output);
-  if (const auto* query = std::get_if<core::QueryNode>(&output))
+  if (const auto* query = std::get_if<job_manager::QueryNode>(&output))
     return ControlRequest(now, query->node, output);
-  if (const auto* sync = std::get_if<core::SyncNode>(&output)) return ControlRequest(now, sync->node, output);
-  if (const auto* find = std::get_if<core::FindKey>(&output)) return ControlRequest(now, find->node, output);
-  if (const auto* probe = std::get_if<core::ProbeNode>(&output))
+  if (const auto* sync = std::get_if<job_manager::SyncNode>(&output))
+    return ControlRequest(now, sync->node, output);
+  if (const auto* find = std::get_if<job_manager::FindKey>(&output))
+    return ControlRequest(now, find->node, output);
+  if (const auto* probe = std::get_if<job_manager::ProbeNode>(&output))
     return ControlRequest(now, probe->node, output);
-  if (const auto* forget = std::get_if<core::ForgetNode>(&output)) {
+  if (const auto* forget = std::get_if<job_manager::ForgetNode>(&output)) {
     std::vector<ConnId> its;
     for (const auto& [id, conn] : conns_) {
       if (conn.node == forget->node) its.push_back(id);
@@ -145,11 +148,11 @@
 
 // ---- Attempts ----
 
-void NodeLinks::Ask(Micros now, const core::AskNode& ask) {
+void NodeLinks::Ask(Micros now, const job_manager::AskNode& ask) {
   Node* node = NodeFor(ask.node);
   if (node == nullptr ||
       (node->busy >= options_.most_connections && node->waiting.size() >= options_.most_waiting)) {
-    messages_.push_back(core::Broken{ask.attempt, false});
+    messages_.push_back(job_manager::Broken{ask.attempt, false});
     return;
   }
   if (node->busy >= options_.most_connections) {
@@ -159,16 +162,16 @@
   Start(now, ask.node, *node, ask.attempt);
 }
 
-void NodeLinks::Start(Micros now, MachineId id, Node& node, const core::AttemptId& attempt) {
-  const core::Job* job = core_->Find(attempt.job);
-  const core::Attempt* of = nullptr;
+void NodeLinks::Start(Micros now, NodeId id, Node& node, const job_manager::AttemptId& attempt) {
+  const job_manager::Job* job = core_->Find(attempt.job);
+  const job_manager::Attempt* of = nullptr;
   if (job != nullptr) {
-    for (const core::Attempt& a : job->attempts) {
+    for (const job_manager::Attempt& a : job->attempts) {
       if (a.number == attempt.number) of = &a;
     }
   }
   if (of == nullptr) {
-    messages_.push_back(core::Broken{attempt, false});
+    messages_.push_back(job_manager::Broken{attempt, false});
     return;
   }
   ConnId conn_id = 0;
@@ -184,36 +187,36 @@
   conn.attempt = attempt;
   conn.refused = false;
   of_attempt_[{attempt.job, attempt.number}] = conn_id;
-  const core::JobSpec& spec = *job->spec;
+  const job_manager::JobSpec& spec = *job->spec;
   const std::string name = core_->NameOf(attempt);
   std::string bytes;
-  pbs::Request queue = Form(pbs::RequestType::kQueueJob, options_.user, name);
+  pbs_protocol::Request queue = Form(pbs_protocol::RequestType::kQueueJob, options_.user, name);
   queue.destination = spec.queue;
-  queue.attributes = batch::ForNode(spec, words_);
+  queue.attributes = pbs_server::ForNode(spec, words_);
   const auto put = [&queue](const char* key, std::string value) {
-    queue.attributes.push_back({key, "", std::move(value), pbs::Op::kSet});
+    queue.attributes.push_back({key, "", std::move(value), pbs_protocol::Op::kSet});
   };
   put("until", std::to_string(of->until));  // a commit that comes later is refused
   put("report_to", options_.report_to);
   put("server", core_->options().server);
   put("class_priority", std::to_string(core_->options().settings.classes[spec.task_class].priority));
-  pbs::Encode(queue, &bytes);
+  pbs_protocol::Encode(queue, &bytes);
   conn.replies = 2;
   std::size_t at = 0;
   do {  // an empty script is one empty piece
-    pbs::Request piece = Form(pbs::RequestType::kJobScript, options_.user, name);
+    pbs_protocol::Request piece = Form(pbs_protocol::RequestType::kJobScript, options_.user, name);
     piece.sequence = conn.replies - 2;
     piece.script = spec.script.substr(at, kPiece);
     at += piece.script.size();
-    pbs::Encode(piece, &bytes);
+    pbs_protocol::Encode(piece, &bytes);
     ++conn.replies;
   } while (at < spec.script.size());
-  pbs::Encode(Form(pbs::RequestType::kReadyToCommit, options_.user, name), &bytes);
+  pbs_protocol::Encode(Form(pbs_protocol::RequestType::kReadyToCommit, options_.user, name), &bytes);
   Send(conn_id, conn, std::move(bytes));
 }
 
 void NodeLinks::Free(Micros now, ConnId id, Conn& conn) {
-  const MachineId node_id = conn.node;
+  const NodeId node_id = conn.node;
   Node& node = nodes_[node_id];
   of_attempt_.erase({conn.attempt.job, conn.attempt.number});
   conn.step = Step::kIdle;
@@ -227,10 +230,10 @@
   Next(now, node_id);
 }
 
-void NodeLinks::Next(Micros now, MachineId id) {
+void NodeLinks::Next(Micros now, NodeId id) {
   Node& node = nodes_[id];
   while (!node.waiting.empty() && node.busy < options_.most_connections) {
-    const core::AttemptId attempt = node.waiting.front();
+    const job_manager::AttemptId attempt = node.waiting.front();
     node.waiting.pop_front();
     Start(now, id, node, attempt);
   }
@@ -238,104 +241,108 @@
 
 // ---- Control ----
 
-void NodeLinks::FailControl(const core::Output& asked, MachineId node) {
-  if (const auto* stop = std::get_if<core::StopOnNode>(&asked))
-    messages_.push_back(core::StopFailed{stop->attempt});
-  if (const auto* query = std::get_if<core::QueryNode>(&asked))
-    messages_.push_back(core::QueryFailed{query->attempt});
-  if (std::holds_alternative<core::SyncNode>(asked)) messages_.push_back(core::SyncFailed{node});
-  if (const auto* find = std::get_if<core::FindKey>(&asked)) {
-    core::KeyFound found;
+void NodeLinks::FailControl(const job_manager::Output& asked, NodeId node) {
+  if (const auto* stop = std::get_if<job_manager::StopOnNode>(&asked))
+    messages_.push_back(job_manager::StopFailed{stop->attempt});
+  if (const auto* query = std::get_if<job_manager::QueryNode>(&asked))
+    messages_.push_back(job_manager::QueryFailed{query->attempt});
+  if (std::holds_alternative<job_manager::SyncNode>(asked))
+    messages_.push_back(job_manager::SyncFailed{node});
+  if (const auto* find = std::get_if<job_manager::FindKey>(&asked)) {
+    job_manager::KeyFound found;
     found.node = node;
     found.job = find->job;
     found.key = find->key;
     messages_.push_back(found);
   }
-  if (std::holds_alternative<core::ProbeNode>(asked)) messages_.push_back(core::Probed{node, false, 0, {}});
+  if (std::holds_alternative<job_manager::ProbeNode>(asked))
+    messages_.push_back(job_manager::Probed{node, false, 0, {}});
 }
 
-void NodeLinks::ControlRequest(Micros now, MachineId id, const core::Output& asked) {
+void NodeLinks::ControlRequest(Micros now, NodeId id, const job_manager::Output& asked) {
   Node* node = NodeFor(id);
   if (node == nullptr) return FailControl(asked, id);
   if (node->control == 0) node->control = OpenTo(now, id, *node, true);
   Conn& conn = conns_.at(node->control);
   if (conn.awaited.size() >= options_.most_controls) return FailControl(asked, id);
-  pbs::Request r = Form(pbs::RequestType::kStatusJob, options_.user, "");
-  if (const auto* stop = std::get_if<core::StopOnNode>(&asked)) {
-    r.type = pbs::RequestType::kDeleteJob;
+  pbs_protocol::Request r = Form(pbs_protocol::RequestType::kStatusJob, options_.user, "");
+  if (const auto* stop = std::get_if<job_manager::StopOnNode>(&asked)) {
+    r.type = pbs_protocol::RequestType::kDeleteJob;
     r.command = 1;
     r.id = core_->NameOf(stop->attempt);
-  } else if (const auto* signal = std::get_if<core::SignalOnNode>(&asked)) {
-    r.type = pbs::RequestType::kSignalJob;
+  } else if (const auto* signal = std::get_if<job_manager::SignalOnNode>(&asked)) {
+    r.type = pbs_protocol::RequestType::kSignalJob;
     r.id = core_->NameOf(signal->attempt);
     r.signal = signal->signal;
-  } else if (const auto* query = std::get_if<core::QueryNode>(&asked)) {
+  } else if (const auto* query = std::get_if<job_manager::QueryNode>(&asked)) {
     r.id = core_->NameOf(query->attempt);
-  } else if (std::holds_alternative<core::SyncNode>(asked)) {
-    r.attributes.push_back({"server", "", core_->options().server, pbs::Op::kEq});
-    r.attributes.push_back({"report_to", "", options_.report_to, pbs::Op::kSet});
-  } else if (const auto* find = std::get_if<core::FindKey>(&asked)) {
-    r.type = pbs::RequestType::kSelectJobs;
-    r.attributes.push_back({"key", "", find->key, pbs::Op::kEq});
+  } else if (std::holds_alternative<job_manager::SyncNode>(asked)) {
+    r.attributes.push_back({"server", "", core_->options().server, pbs_protocol::Op::kEq});
+    r.attributes.push_back({"report_to", "", options_.report_to, pbs_protocol::Op::kSet});
+  } else if (const auto* find = std::get_if<job_manager::FindKey>(&asked)) {
+    r.type = pbs_protocol::RequestType::kSelectJobs;
+    r.attributes.push_back({"key", "", find->key, pbs_protocol::Op::kEq});
   } else {
-    r.type = pbs::RequestType::kStatusServer;
+    r.type = pbs_protocol::RequestType::kStatusServer;
   }
   std::string bytes;
-  pbs::Encode(r, &bytes);
+  pbs_protocol::Encode(r, &bytes);
   conn.awaited.push_back({asked, now});
   if (conn.open && conn.deadline == 0) SetDeadline(node->control, conn, now + options_.control_timeout);
   Send(node->control, conn, std::move(bytes));
 }
 
-core::Synced NodeLinks::ReadSync(MachineId node, const pbs::Reply& reply) const {
-  core::Synced synced;
+job_manager::Synced NodeLinks::ReadSync(NodeId node, const pbs_protocol::Reply& reply) const {
+  job_manager::Synced synced;
   synced.node = node;
-  for (const pbs::StatusObject& o : reply.objects) {
-    if (o.type == pbs::ObjectType::kServer) {
+  for (const pbs_protocol::StatusObject& o : reply.objects) {
+    if (o.type == pbs_protocol::ObjectType::kServer) {
       std::uint64_t started = 0;
-      if (batch::ReadCount(pbs::ValueOf(o.attributes, "started"), &started)) synced.started = started;
+      if (pbs_server::ReadCount(pbs_protocol::ValueOf(o.attributes, "started"), &started))
+        synced.started = started;
       continue;
     }
-    core::RunningOnNode held;
+    job_manager::RunningOnNode held;
     std::string server;
     if (!core_->AttemptOf(o.name, &held.attempt, &server) || server != core_->options().server) continue;
-    held.ended = pbs::ValueOf(o.attributes, "job_state") == "E";
-    held.spec.user = pbs::ValueOf(o.attributes, "Job_Owner");
-    pbs::Attributes known = o.attributes;
-    std::erase_if(known, [](const pbs::Attribute& a) {
+    held.ended = pbs_protocol::ValueOf(o.attributes, "job_state") == "E";
+    held.spec.user = pbs_protocol::ValueOf(o.attributes, "Job_Owner");
+    pbs_protocol::Attributes known = o.attributes;
+    std::erase_if(known, [](const pbs_protocol::Attribute& a) {
       return a.name == "job_state" || a.name == "Job_Owner" || a.name == "queue";
     });
-    const batch::Problem problem =
-        batch::Read(known, std::string(pbs::ValueOf(o.attributes, "queue")), words_, false, &held.spec);
-    if (problem.code != pbs::Code::kNone) held.spec.task_class = ~0u;  // told by the core as not adopted
+    const pbs_server::Problem problem = pbs_server::Read(
+        known, std::string(pbs_protocol::ValueOf(o.attributes, "queue")), words_, false, &held.spec);
+    if (problem.code != pbs_protocol::Code::kNone)
+      held.spec.task_class = ~0u;  // told by the core as not adopted
     synced.held.push_back(std::move(held));
   }
   return synced;
 }
 
-void NodeLinks::OnControlReply(Micros now, Conn& conn, const pbs::Reply& reply) {
+void NodeLinks::OnControlReply(Micros now, Conn& conn, const pbs_protocol::Reply& reply) {
   const Control control = std::move(conn.awaited.front());
   conn.awaited.pop_front();
-  if (const auto* stop = std::get_if<core::StopOnNode>(&control.asked)) {
-    messages_.push_back(core::Stopped{stop->attempt, reply.code == pbs::Code::kNone});
-  } else if (const auto* query = std::get_if<core::QueryNode>(&control.asked)) {
-    messages_.push_back(core::Found{query->attempt, reply.code == pbs::Code::kNone});
-  } else if (std::holds_alternative<core::SyncNode>(control.asked)) {
+  if (const auto* stop = std::get_if<job_manager::StopOnNode>(&control.asked)) {
+    messages_.push_back(job_manager::Stopped{stop->attempt, reply.code == pbs_protocol::Code::kNone});
+  } else if (const auto* query = std::get_if<job_manager::QueryNode>(&control.asked)) {
+    messages_.push_back(job_manager::Found{query->attempt, reply.code == pbs_protocol::Code::kNone});
+  } else if (std::holds_alternative<job_manager::SyncNode>(control.asked)) {
     messages_.push_back(ReadSync(conn.node, reply));
-  } else if (const auto* find = std::get_if<core::FindKey>(&control.asked)) {
-    core::KeyFound found;
+  } else if (const auto* find = std::get_if<job_manager::FindKey>(&control.asked)) {
+    job_manager::KeyFound found;
     found.node = conn.node;
     found.job = find->job;
     found.key = find->key;
-    found.reached = reply.code == pbs::Code::kNone;
+    found.reached = reply.code == pbs_protocol::Code::kNone;
     if (found.reached && !reply.ids.empty()) {
       found.found = core_->AttemptOf(reply.ids[0], &found.attempt, &found.server);
     }
     messages_.push_back(found);
-  } else if (std::holds_alternative<core::ProbeNode>(control.asked)) {
-    core::Probed probed{conn.node, reply.code == pbs::Code::kNone, now - control.sent, {}};
+  } else if (std::holds_alternative<job_manager::ProbeNode>(control.asked)) {
+    job_manager::Probed probed{conn.node, reply.code == pbs_protocol::Code::kNone, now - control.sent, {}};
     if (!reply.objects.empty())
-      probed.report = batch::ReadLoad(pbs::ValueOf(reply.objects[0].attributes, "load"));
+      probed.report = pbs_server::ReadLoad(pbs_protocol::ValueOf(reply.objects[0].attributes, "load"));
     messages_.push_back(probed);
   }
 }
@@ -362,15 +369,15 @@
     Conn& conn = it->second;
     const std::string_view left = std::string_view(conn.input).substr(used);
     if (left.size() < conn.needs) break;
-    pbs::Reply reply;
-    const pbs::Parsed parsed = pbs::Decode(left, &reply);
-    if (parsed.state == pbs::DisState::kMore) {
+    pbs_protocol::Reply reply;
+    const pbs_protocol::Parsed parsed = pbs_protocol::Decode(left, &reply);
+    if (parsed.state == pbs_protocol::DisState::kMore) {
       conn.needs = parsed.needs;
       break;
     }
     conn.needs = 1;
     const bool awaited = conn.control ? !conn.awaited.empty() : conn.replies > 0 || conn.step == Step::kGoing;
-    if (parsed.state == pbs::DisState::kBad || !awaited) {
+    if (parsed.state == pbs_protocol::DisState::kBad || !awaited) {
       actions_.push_back(CloseConn{id});
       return Break(now, id);
     }
@@ -385,34 +392,35 @@
   it->second.input.erase(0, used);
 }
 
-void NodeLinks::OnReply(Micros now, ConnId id, Conn& conn, pbs::Reply reply) {
+void NodeLinks::OnReply(Micros now, ConnId id, Conn& conn, pbs_protocol::Reply reply) {
   if (conn.step == Step::kGoing) {
-    const core::AttemptId attempt = conn.attempt;
-    if (reply.code == pbs::Code::kNone) {
-      messages_.push_back(core::Committed{attempt});
+    const job_manager::AttemptId attempt = conn.attempt;
+    if (reply.code == pbs_protocol::Code::kNone) {
+      messages_.push_back(job_manager::Committed{attempt});
     } else {
       auto [words, load] = SplitRefusal(reply.text);
-      if (words.empty()) words = pbs::Describe(reply.code);
-      messages_.push_back(core::Refused{
-          attempt, static_cast<Cause>(std::clamp<std::int64_t>(reply.auxiliary, 0, 7)), words, load});
+      if (words.empty()) words = pbs_protocol::Describe(reply.code);
+      messages_.push_back(job_manager::Refused{
+          attempt, static_cast<RejectionReason>(std::clamp<std::int64_t>(reply.auxiliary, 0, 7)), words,
+          load});
     }
     return Free(now, id, conn);
   }
-  if (reply.code != pbs::Code::kNone && !conn.refused) {
+  if (reply.code != pbs_protocol::Code::kNone && !conn.refused) {
     conn.refused = true;
     conn.refusal = std::move(reply);
   }
   if (--conn.replies > 0) return;
   if (!conn.refused) {
     conn.step = Step::kReady;
-    messages_.push_back(core::Ready{conn.attempt});
+    messages_.push_back(job_manager::Ready{conn.attempt});
     return;
   }
   auto [words, load] = SplitRefusal(conn.refusal.text);
-  if (words.empty()) words = pbs::Describe(conn.refusal.code);
-  messages_.push_back(
-      core::Refused{conn.attempt, static_cast<Cause>(std::clamp<std::int64_t>(conn.refusal.auxiliary, 0, 7)),
-                    words, load, false});
+  if (words.empty()) words = pbs_protocol::Describe(conn.refusal.code);
+  messages_.push_back(job_manager::Refused{
+      conn.attempt, static_cast<RejectionReason>(std::clamp<std::int64_t>(conn.refusal.auxiliary, 0, 7)),
+      words, load, false});
   Free(now, id, conn);
 }
 
@@ -430,11 +438,11 @@
     if (node.control == id) node.control = 0;
     bool synced = false;
     for (const Control& c : conn.awaited) {
-      synced |= std::holds_alternative<core::SyncNode>(c.asked);
+      synced |= std::holds_alternative<job_manager::SyncNode>(c.asked);
       FailControl(c.asked, conn.node);
     }
     // A control connection that broke may mean that the node died: its list of attempts is asked for again.
-    if (!synced) messages_.push_back(core::SyncFailed{conn.node});
+    if (!synced) messages_.push_back(job_manager::SyncFailed{conn.node});
     return;
   }
   if (conn.step == Step::kIdle) {
@@ -443,8 +451,8 @@
   }
   of_attempt_.erase({conn.attempt.job, conn.attempt.number});
   --node.busy;
-  messages_.push_back(core::Broken{conn.attempt, conn.step == Step::kGoing});
+  messages_.push_back(job_manager::Broken{conn.attempt, conn.step == Step::kGoing});
   Next(now, conn.node);
 }
 
-}  // namespace mountflow::links
+}  // namespace mountflow::node_sessions
--- a/links/node_links.hpp
+++ b/src/node_sessions/node_sessions.hpp
@@ -12,9 +12,9 @@
 // Bounds, for each node: `most_connections` attempts at once, `most_waiting`
 // more in line (beyond: told as broken before the commit, so never run),
 // `most_controls` control requests without a reply (beyond: each is told as
-// failed), replies of pbs::kMostReply bytes.
-#ifndef MOUNTFLOW_LINKS_NODE_LINKS_HPP_
-#define MOUNTFLOW_LINKS_NODE_LINKS_HPP_
+// failed), replies of pbs_protocol::kMostReply bytes.
+#ifndef MOUNTFLOW_NODE_SESSIONS_NODE_SESSIONS_HPP_
+#define MOUNTFLOW_NODE_SESSIONS_NODE_SESSIONS_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -26,12 +26,12 @@
 #include <variant>
 #include <vector>
 
-#include "batch/translate.hpp"
-#include "core/core.hpp"
-#include "core/messages.hpp"
-#include "pbs/protocol.hpp"
+#include "job_manager/job_manager.hpp"
+#include "job_manager/messages.hpp"
+#include "pbs_protocol/protocol.hpp"
+#include "pbs_server/attribute_mapping.hpp"
 
-namespace mountflow::links {
+namespace mountflow::node_sessions {
 
 using ConnId = std::uint64_t;
 
@@ -62,10 +62,10 @@
 
 class NodeLinks {
  public:
-  NodeLinks(const core::Core* core, batch::Vocabulary words, LinkOptions options);
+  NodeLinks(const job_manager::JobManager* core, pbs_server::Vocabulary words, LinkOptions options);
 
   // From the core.
-  void Take(Micros now, const core::Output& output);
+  void Take(Micros now, const job_manager::Output& output);
   // From the shell. After Closed or ConnectFailed the number is not used again.
   void Connected(Micros now, ConnId conn);
   void Received(Micros now, ConnId conn, std::string_view bytes);
@@ -75,18 +75,18 @@
 
   // To the shell, and to the core: take and clear.
   std::vector<LinkAction>& actions() { return actions_; }
-  std::vector<core::NodeMessage>& messages() { return messages_; }
+  std::vector<job_manager::NodeMessage>& messages() { return messages_; }
   std::size_t connections() const { return conns_.size(); }
   void SetReportTo(std::string address) { options_.report_to = std::move(address); }
 
  private:
   enum class Step : std::uint8_t { kIdle, kAsking, kReady, kGoing };
   struct Control {  // a control request whose reply is awaited
-    core::Output asked;
+    job_manager::Output asked;
     Micros sent = 0;
   };
   struct Conn {
-    MachineId node = 0;
+    NodeId node = 0;
     bool control = false;
     bool open = false;
     std::string input;
@@ -95,10 +95,10 @@
     std::string unsent;   // until it is open
     // Of an attempt:
     Step step = Step::kIdle;
-    core::AttemptId attempt;
+    job_manager::AttemptId attempt;
     unsigned replies = 0;  // still awaited of the ask
     bool refused = false;
-    pbs::Reply refusal;
+    pbs_protocol::Reply refusal;
     // Of the control connection:
     std::deque<Control> awaited;
   };
@@ -107,37 +107,37 @@
     ConnId control = 0;
     std::vector<ConnId> idle;
     std::size_t busy = 0;
-    std::deque<core::AttemptId> waiting;
+    std::deque<job_manager::AttemptId> waiting;
   };
 
-  ConnId OpenTo(Micros now, MachineId id, Node& node, bool control);
-  Node* NodeFor(MachineId id);
-  void Ask(Micros now, const core::AskNode& ask);
-  void Start(Micros now, MachineId id, Node& node, const core::AttemptId& attempt);
+  ConnId OpenTo(Micros now, NodeId id, Node& node, bool control);
+  Node* NodeFor(NodeId id);
+  void Ask(Micros now, const job_manager::AskNode& ask);
+  void Start(Micros now, NodeId id, Node& node, const job_manager::AttemptId& attempt);
   void Send(ConnId id, Conn& conn, std::string bytes);
   void Drop(ConnId id);  // closes it from our side
   void Free(Micros now, ConnId id, Conn& conn);
-  void Next(Micros now, MachineId id);
-  void OnReply(Micros now, ConnId id, Conn& conn, pbs::Reply reply);
-  void OnControlReply(Micros now, Conn& conn, const pbs::Reply& reply);
-  void ControlRequest(Micros now, MachineId node, const core::Output& asked);
-  void FailControl(const core::Output& asked, MachineId node);
+  void Next(Micros now, NodeId id);
+  void OnReply(Micros now, ConnId id, Conn& conn, pbs_protocol::Reply reply);
+  void OnControlReply(Micros now, Conn& conn, const pbs_protocol::Reply& reply);
+  void ControlRequest(Micros now, NodeId node, const job_manager::Output& asked);
+  void FailControl(const job_manager::Output& asked, NodeId node);
   void Break(Micros now, ConnId id);
-  core::Synced ReadSync(MachineId node, const pbs::Reply& reply) const;
+  job_manager::Synced ReadSync(NodeId node, const pbs_protocol::Reply& reply) const;
   void SetDeadline(ConnId id, Conn& conn, Micros deadline);
 
-  const core::Core* core_;
-  batch::Vocabulary words_;
+  const job_manager::JobManager* core_;
+  pbs_server::Vocabulary words_;
   LinkOptions options_;
   ConnId next_conn_ = 0;
   std::map<ConnId, Conn> conns_;
-  std::map<MachineId, Node> nodes_;
+  std::map<NodeId, Node> nodes_;
   std::map<std::pair<std::uint64_t, std::uint32_t>, ConnId> of_attempt_;
   std::set<std::pair<Micros, ConnId>> deadlines_;
   std::vector<LinkAction> actions_;
-  std::vector<core::NodeMessage> messages_;
+  std::vector<job_manager::NodeMessage> messages_;
 };
 
-}  // namespace mountflow::links
+}  // namespace mountflow::node_sessions
 
-#endif  // MOUNTFLOW_LINKS_NODE_LINKS_HPP_
+#endif  // MOUNTFLOW_NODE_SESSIONS_NODE_SESSIONS_HPP_
--- a/client/client.cpp
+++ b/src/pbs_client/pbs_client.cpp
@@ -1,4 +1,4 @@
-#include "client/client.hpp"
+#include "pbs_client/pbs_client.hpp"
 
 #include <arpa/inet.h>
 #include <errno.h>
@@ -18,7 +18,7 @@
 #include <random>
 #include <thread>
 
-namespace mountflow::client {
+namespace mountflow::pbs_client {
 namespace {
 
 constexpr std::size_t kPiece = 64 << 10;
@@ -129,16 +129,16 @@
   return true;
 }
 
-bool Client::Read(pbs::Reply* reply, Micros until, std::string* error) {
+bool Client::Read(pbs_protocol::Reply* reply, Micros until, std::string* error) {
   std::size_t needs = 1;
   for (;;) {
     if (input_.size() >= needs) {
-      const pbs::Parsed parsed = pbs::Decode(input_, reply);
-      if (parsed.state == pbs::DisState::kOk) {
+      const pbs_protocol::Parsed parsed = pbs_protocol::Decode(input_, reply);
+      if (parsed.state == pbs_protocol::DisState::kOk) {
         input_.erase(0, parsed.used);
         return true;
       }
-      if (parsed.state == pbs::DisState::kBad) {
+      if (parsed.state == pbs_protocol::DisState::kBad) {
         *error = "reply: expected " + parsed.expected;
         Close();
         return false;
@@ -162,14 +162,15 @@
   }
 }
 
-bool Client::Call(const pbs::Request& request, pbs::Reply* reply, Micros timeout, std::string* error) {
+bool Client::Call(const pbs_protocol::Request& request, pbs_protocol::Reply* reply, Micros timeout,
+                  std::string* error) {
   if (fd_ < 0) {
     *error = "not connected";
     return false;
   }
   const Micros until = Mono() + timeout;
   std::string bytes;
-  pbs::Encode(request, &bytes);
+  pbs_protocol::Encode(request, &bytes);
   return Write(bytes, until, error) && Read(reply, until, error);
 }
 
@@ -190,13 +191,13 @@
     };
     Client client;
     if (!client.Connect(address, left(), &result.error)) continue;
-    pbs::Request queue;
-    queue.type = pbs::RequestType::kQueueJob;
+    pbs_protocol::Request queue;
+    queue.type = pbs_protocol::RequestType::kQueueJob;
     queue.user = s.user;
     queue.destination = s.destination;
     queue.attributes = s.attributes;
     const auto put = [&queue](const char* name, std::string value) {
-      queue.attributes.push_back({name, "", std::move(value), pbs::Op::kSet});
+      queue.attributes.push_back({name, "", std::move(value), pbs_protocol::Op::kSet});
     };
     if (!s.key.empty()) put("key", s.key);
     const Micros deadline = s.owner_time != 0 ? WallTime() + s.owner_time : 0;
@@ -206,20 +207,21 @@
       put("repeat", "true");
       put("earlier_until", std::to_string(earlier_until));
     }
-    pbs::Reply reply;
+    pbs_protocol::Reply reply;
     const auto refused = [&] {
       result.code = reply.code;
-      result.error =
-          reply.choice == pbs::Choice::kText && !reply.text.empty() ? reply.text : pbs::Describe(reply.code);
+      result.error = reply.choice == pbs_protocol::Choice::kText && !reply.text.empty()
+                         ? reply.text
+                         : pbs_protocol::Describe(reply.code);
     };
     if (!client.Call(queue, &reply, left(), &result.error)) continue;
-    if (reply.code == pbs::Code::kExists && reply.choice == pbs::Choice::kText) {
+    if (reply.code == pbs_protocol::Code::kExists && reply.choice == pbs_protocol::Choice::kText) {
       result.ok = result.repeated = true;
       result.id = reply.text;
       result.server = address;
       return result;
     }
-    if (reply.code != pbs::Code::kNone) {
+    if (reply.code != pbs_protocol::Code::kNone) {
       refused();
       // Refused at the door: asked again after the wait that it told, and up to a quarter more, so that those
       // who were refused together do not come back together.
@@ -230,10 +232,10 @@
       continue;
     }
     const std::string id = reply.text;
-    pbs::Request r;
+    pbs_protocol::Request r;
     r.user = s.user;
     r.id = id;
-    r.type = pbs::RequestType::kJobScript;
+    r.type = pbs_protocol::RequestType::kJobScript;
     bool sent = true;
     std::size_t at = 0;
     do {
@@ -241,18 +243,18 @@
       at += r.script.size();
       sent = client.Call(r, &reply, left(), &result.error);
       ++r.sequence;
-    } while (sent && reply.code == pbs::Code::kNone && at < s.script.size());
+    } while (sent && reply.code == pbs_protocol::Code::kNone && at < s.script.size());
     if (!sent) continue;  // no commit went out: no job
     r.script.clear();
-    if (reply.code == pbs::Code::kNone) {
-      r.type = pbs::RequestType::kReadyToCommit;
+    if (reply.code == pbs_protocol::Code::kNone) {
+      r.type = pbs_protocol::RequestType::kReadyToCommit;
       if (!client.Call(r, &reply, left(), &result.error)) continue;
     }
-    if (reply.code != pbs::Code::kNone) {
+    if (reply.code != pbs_protocol::Code::kNone) {
       refused();
       return result;
     }
-    r.type = pbs::RequestType::kCommit;
+    r.type = pbs_protocol::RequestType::kCommit;
     if (!client.Call(r, &reply, left(), &result.error)) {
       // It may be there. Without a key nobody could tell a repeat from a second job.
       if (s.key.empty()) {
@@ -262,13 +264,13 @@
       earlier_until = std::max(earlier_until, deadline != 0 ? deadline : WallTime() + 600'000'000);
       continue;
     }
-    if (reply.code == pbs::Code::kExists && !reply.text.empty()) {
+    if (reply.code == pbs_protocol::Code::kExists && !reply.text.empty()) {
       result.ok = result.repeated = true;
       result.id = reply.text;
       result.server = address;
       return result;
     }
-    if (reply.code != pbs::Code::kNone) {
+    if (reply.code != pbs_protocol::Code::kNone) {
       refused();
       return result;
     }
@@ -280,4 +282,4 @@
   return result;
 }
 
-}  // namespace mountflow::client
+}  // namespace mountflow::pbs_client
--- a/client/client.hpp
+++ b/src/pbs_client/pbs_client.hpp
@@ -1,15 +1,15 @@
 // The client's side of the batch protocol for commands and tools: one blocking
 // connection with time-outs, and a submission that may be repeated.
-#ifndef MOUNTFLOW_CLIENT_CLIENT_HPP_
-#define MOUNTFLOW_CLIENT_CLIENT_HPP_
+#ifndef MOUNTFLOW_PBS_CLIENT_PBS_CLIENT_HPP_
+#define MOUNTFLOW_PBS_CLIENT_PBS_CLIENT_HPP_
 
 #include <string>
 #include <vector>
 
 #include "mountflow/scheduler.hpp"
-#include "pbs/protocol.hpp"
+#include "pbs_protocol/protocol.hpp"
 
-namespace mountflow::client {
+namespace mountflow::pbs_client {
 
 class Client {
  public:
@@ -22,13 +22,14 @@
   bool Connect(const std::string& address, Micros timeout, std::string* error);
   // Sends a request and waits for its reply. False with the reason when the connection failed or the time was
   // over; it is closed then.
-  bool Call(const pbs::Request& request, pbs::Reply* reply, Micros timeout, std::string* error);
+  bool Call(const pbs_protocol::Request& request, pbs_protocol::Reply* reply, Micros timeout,
+            std::string* error);
   bool connected() const { return fd_ >= 0; }
   void Close();
 
  private:
   bool Write(const std::string& bytes, Micros until, std::string* error);
-  bool Read(pbs::Reply* reply, Micros until, std::string* error);
+  bool Read(pbs_protocol::Reply* reply, Micros until, std::string* error);
   int fd_ = -1;
   std::string input_;
 };
@@ -36,7 +37,7 @@
 struct Submission {
   std::string user;
   std::string destination;
-  pbs::Attributes attributes;
+  pbs_protocol::Attributes attributes;
   std::string script;
   std::string key;                    // repeats over daemons need one
   Micros answer_within = 10'000'000;  // of one try at one daemon
@@ -52,7 +53,7 @@
   std::string id;
   std::string server;  // address of the daemon that has it
   std::string error;
-  pbs::Code code = pbs::Code::kNone;
+  pbs_protocol::Code code = pbs_protocol::Code::kNone;
 };
 
 // QueueJob, JobScript, RdytoCommit, Commit. When the reply to a commit is lost the job may be there: the same
@@ -64,6 +65,6 @@
 std::string UserName();  // of the invoking user
 std::string HostName();
 
-}  // namespace mountflow::client
+}  // namespace mountflow::pbs_client
 
-#endif  // MOUNTFLOW_CLIENT_CLIENT_HPP_
+#endif  // MOUNTFLOW_PBS_CLIENT_PBS_CLIENT_HPP_
--- a/pbs/dis.cpp
+++ b/src/pbs_protocol/dis.cpp
@@ -1,9 +1,9 @@
-#include "pbs/dis.hpp"
+#include "pbs_protocol/dis.hpp"
 
 #include <charconv>
 #include <limits>
 
-namespace mountflow::pbs {
+namespace mountflow::pbs_protocol {
 namespace {
 
 constexpr std::uint64_t kMostDigits = 20;  // of a 64-bit number
@@ -122,4 +122,4 @@
   return text;
 }
 
-}  // namespace mountflow::pbs
+}  // namespace mountflow::pbs_protocol
--- a/pbs/dis.hpp
+++ b/src/pbs_protocol/dis.hpp
@@ -6,15 +6,15 @@
 //
 // The Reader works on what has arrived so far and tells three things apart:
 // read, more is needed (and how much at least), and never valid.
-#ifndef MOUNTFLOW_PBS_DIS_HPP_
-#define MOUNTFLOW_PBS_DIS_HPP_
+#ifndef MOUNTFLOW_PBS_PROTOCOL_DIS_HPP_
+#define MOUNTFLOW_PBS_PROTOCOL_DIS_HPP_
 
 #include <cstddef>
 #include <cstdint>
 #include <string>
 #include <string_view>
 
-namespace mountflow::pbs {
+namespace mountflow::pbs_protocol {
 
 class DisWriter {
  public:
@@ -65,6 +65,6 @@
   const char* what_ = "";
 };
 
-}  // namespace mountflow::pbs
+}  // namespace mountflow::pbs_protocol
 
-#endif  // MOUNTFLOW_PBS_DIS_HPP_
+#endif  // MOUNTFLOW_PBS_PROTOCOL_DIS_HPP_
--- a/pbs/protocol.cpp
+++ b/src/pbs_protocol/protocol.cpp
@@ -1,6 +1,6 @@
-#include "pbs/protocol.hpp"
+#include "pbs_protocol/protocol.hpp"
 
-namespace mountflow::pbs {
+namespace mountflow::pbs_protocol {
 namespace {
 
 constexpr std::uint64_t kProtocolType = 2, kVersion = 1, kVersionAlso = 2;
@@ -332,4 +332,4 @@
   return result;
 }
 
-}  // namespace mountflow::pbs
+}  // namespace mountflow::pbs_protocol
--- a/pbs/protocol.hpp
+++ b/src/pbs_protocol/protocol.hpp
@@ -1,7 +1,7 @@
 // Requests and replies of the PBS batch protocol (Portable Batch System,
 // Internal Design Specification), as values and as bytes.
-#ifndef MOUNTFLOW_PBS_PROTOCOL_HPP_
-#define MOUNTFLOW_PBS_PROTOCOL_HPP_
+#ifndef MOUNTFLOW_PBS_PROTOCOL_PROTOCOL_HPP_
+#define MOUNTFLOW_PBS_PROTOCOL_PROTOCOL_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -10,9 +10,9 @@
 #include <string_view>
 #include <vector>
 
-#include "pbs/dis.hpp"
+#include "pbs_protocol/dis.hpp"
 
-namespace mountflow::pbs {
+namespace mountflow::pbs_protocol {
 
 // Bounds of one request or reply; what goes beyond is a protocol error.
 inline constexpr std::size_t kMostName = 256;          // bytes of a name, id, user or destination
@@ -142,6 +142,6 @@
 Parsed Decode(std::string_view bytes, Request* request);
 Parsed Decode(std::string_view bytes, Reply* reply);
 
-}  // namespace mountflow::pbs
+}  // namespace mountflow::pbs_protocol
 
-#endif  // MOUNTFLOW_PBS_PROTOCOL_HPP_
+#endif  // MOUNTFLOW_PBS_PROTOCOL_PROTOCOL_HPP_
--- a/batch/translate.cpp
+++ b/src/pbs_server/attribute_mapping.cpp
@@ -1,4 +1,4 @@
-#include "batch/translate.hpp"
+#include "pbs_server/attribute_mapping.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -6,16 +6,17 @@
 #include <cstdio>
 #include <limits>
 
-namespace mountflow::batch {
+namespace mountflow::pbs_server {
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
 constexpr double kMostTime = 1e9;  // seconds
 
-Problem Bad(const pbs::Attribute& a, const std::string& expected) {
+Problem Bad(const pbs_protocol::Attribute& a, const std::string& expected) {
   std::string name = a.name;
   if (!a.resource.empty()) name += "." + a.resource;
-  return {pbs::Code::kBadValue, name + ": expected " + expected + ", got '" + a.value.substr(0, 80) + "'"};
+  return {pbs_protocol::Code::kBadValue,
+          name + ": expected " + expected + ", got '" + a.value.substr(0, 80) + "'"};
 }
 
 bool Flag(std::string_view text, bool* flag) {
@@ -47,11 +48,11 @@
   return std::any_of(std::begin(kNames), std::end(kNames), [&name](const char* one) { return name == one; });
 }
 
-Problem ReadQueue(const std::string& name, const Vocabulary& words, core::JobSpec* spec) {
+Problem ReadQueue(const std::string& name, const Vocabulary& words, job_manager::JobSpec* spec) {
   const auto it = std::find(words.queues.begin(), words.queues.end(), name);
   if (it == words.queues.end()) {
-    return {pbs::Code::kUnknownQueue, name.empty() ? "no queue named, and there is no default queue"
-                                                   : "unknown queue '" + name.substr(0, 80) + "'"};
+    return {pbs_protocol::Code::kUnknownQueue, name.empty() ? "no queue named, and there is no default queue"
+                                                            : "unknown queue '" + name.substr(0, 80) + "'"};
   }
   spec->queue = name;
   spec->task_class = static_cast<unsigned>(it - words.queues.begin());
@@ -60,28 +61,28 @@
 
 }  // namespace
 
-pbs::Code CodeOf(core::Verdict verdict) {
+pbs_protocol::Code CodeOf(job_manager::Verdict verdict) {
   switch (verdict) {
-    case core::Verdict::kOk:
-      return pbs::Code::kNone;
-    case core::Verdict::kUnknownJob:
-      return pbs::Code::kUnknownJob;
-    case core::Verdict::kPermission:
-      return pbs::Code::kPermission;
-    case core::Verdict::kBadState:
-      return pbs::Code::kBadState;
-    case core::Verdict::kNotRunning:
-      return pbs::Code::kNotRunning;
-    case core::Verdict::kFull:
-      return pbs::Code::kTooMany;
-    case core::Verdict::kExists:
-      return pbs::Code::kExists;
-    case core::Verdict::kBadValue:
-      return pbs::Code::kBadValue;
-    case core::Verdict::kStopping:
-      return pbs::Code::kSystem;
+    case job_manager::Verdict::kOk:
+      return pbs_protocol::Code::kNone;
+    case job_manager::Verdict::kUnknownJob:
+      return pbs_protocol::Code::kUnknownJob;
+    case job_manager::Verdict::kPermission:
+      return pbs_protocol::Code::kPermission;
+    case job_manager::Verdict::kBadState:
+      return pbs_protocol::Code::kBadState;
+    case job_manager::Verdict::kNotRunning:
+      return pbs_protocol::Code::kNotRunning;
+    case job_manager::Verdict::kFull:
+      return pbs_protocol::Code::kTooMany;
+    case job_manager::Verdict::kExists:
+      return pbs_protocol::Code::kExists;
+    case job_manager::Verdict::kBadValue:
+      return pbs_protocol::Code::kBadValue;
+    case job_manager::Verdict::kStopping:
+      return pbs_protocol::Code::kSystem;
   }
-  return pbs::Code::kSystem;
+  return pbs_protocol::Code::kSystem;
 }
 
 bool ReadNumber(std::string_view text, double* number) {
@@ -170,7 +171,7 @@
   put("x0", report.free_cores);
   put("x1", report.free_memory);
   put("queue", report.queued);
-  put("util", report.busy);
+  put("util", report.utilisation);
   return text;
 }
 
@@ -187,23 +188,24 @@
     if (name == "x0") report.free_cores = value;
     if (name == "x1") report.free_memory = value;
     if (name == "queue") report.queued = value;
-    if (name == "util") report.busy = value;
+    if (name == "util") report.utilisation = value;
   }
   return report;
 }
 
-Problem Read(const pbs::Attributes& list, const std::string& destination, const Vocabulary& words,
-             bool change, core::JobSpec* spec) {
+Problem Read(const pbs_protocol::Attributes& list, const std::string& destination, const Vocabulary& words,
+             bool change, job_manager::JobSpec* spec) {
   if (!change) {
     // A destination is QUEUE, @SERVER or QUEUE@SERVER; the server part led here.
     std::string queue = destination.substr(0, destination.find('@'));
     if (queue.empty()) queue = words.default_queue;
-    if (Problem p = ReadQueue(queue, words, spec); p.code != pbs::Code::kNone) return p;
+    if (Problem p = ReadQueue(queue, words, spec); p.code != pbs_protocol::Code::kNone) return p;
   }
-  for (const pbs::Attribute& a : list) {
+  for (const pbs_protocol::Attribute& a : list) {
     const bool identity = a.name == "service" || a.name == "key" || a.name == "repeat" ||
                           a.name == "owner_deadline" || a.name == "earlier_until";
-    if (change && identity) return {pbs::Code::kReadOnly, a.name + ": stands from the submission on"};
+    if (change && identity)
+      return {pbs_protocol::Code::kReadOnly, a.name + ": stands from the submission on"};
     std::uint64_t count = 0;
     double number = 0.0;
     if (a.name == "Job_Name") {
@@ -224,7 +226,7 @@
       } else if (a.resource == "walltime") {
         if (!ReadTime(a.value, &spec->walltime)) return Bad(a, "a time as HH:MM:SS or seconds");
       } else {
-        return {pbs::Code::kNoAttribute,
+        return {pbs_protocol::Code::kNoAttribute,
                 "Resource_List." + a.resource.substr(0, 80) + ": expected one of ncpus, mem, walltime"};
       }
     } else if (a.name == "Account_Name") {
@@ -268,19 +270,19 @@
       std::erase_if(spec->passed, [&a](const auto& one) { return one.first == a.name; });
       spec->passed.emplace_back(a.name, a.value);
     } else if (IsShownOnly(a.name)) {
-      return {pbs::Code::kReadOnly, a.name + ": is shown, not set"};
+      return {pbs_protocol::Code::kReadOnly, a.name + ": is shown, not set"};
     } else {
-      return {pbs::Code::kNoAttribute, "unknown attribute '" + a.name.substr(0, 80) + "'"};
+      return {pbs_protocol::Code::kNoAttribute, "unknown attribute '" + a.name.substr(0, 80) + "'"};
     }
   }
   if (spec->service.empty()) spec->service = spec->name;
   return {};
 }
 
-pbs::Attributes ForNode(const core::JobSpec& spec, const Vocabulary& words) {
-  pbs::Attributes list;
+pbs_protocol::Attributes ForNode(const job_manager::JobSpec& spec, const Vocabulary& words) {
+  pbs_protocol::Attributes list;
   const auto put = [&list](const char* name, std::string value, const char* resource = "") {
-    list.push_back({name, resource, std::move(value), pbs::Op::kSet});
+    list.push_back({name, resource, std::move(value), pbs_protocol::Op::kSet});
   };
   put("Job_Name", spec.name);
   put("Job_Owner", spec.user);
@@ -296,12 +298,13 @@
   return list;
 }
 
-pbs::Attributes ForStatus(const core::Core& core, const core::Job& job, const Vocabulary& words) {
-  const core::JobSpec& spec = *job.spec;
-  pbs::Attributes list = ForNode(spec, words);
-  std::erase_if(list, [](const pbs::Attribute& a) { return a.name == "Rerunable"; });
+pbs_protocol::Attributes ForStatus(const job_manager::JobManager& core, const job_manager::Job& job,
+                                   const Vocabulary& words) {
+  const job_manager::JobSpec& spec = *job.spec;
+  pbs_protocol::Attributes list = ForNode(spec, words);
+  std::erase_if(list, [](const pbs_protocol::Attribute& a) { return a.name == "Rerunable"; });
   const auto put = [&list](const char* name, std::string value, const char* resource = "") {
-    list.push_back({name, resource, std::move(value), pbs::Op::kSet});
+    list.push_back({name, resource, std::move(value), pbs_protocol::Op::kSet});
   };
   const auto seconds = [](Micros time) { return std::to_string(time / kSecond); };
   put("job_state", std::string(1, static_cast<char>(job.state)));
@@ -316,11 +319,11 @@
   put("mtime", seconds(job.changed));
   if (job.placed != 0) put("stime", seconds(job.placed));
   if (!job.node.empty()) put("exec_host", job.node + "/0");
-  if (job.answer != core::Answer::kNone) put("answer", core::Name(job.answer));
+  if (job.answer != job_manager::Answer::kNone) put("answer", job_manager::Name(job.answer));
   if (!job.comment.empty()) put("comment", job.comment);
   if (job.has_exit) put("exit_status", std::to_string(job.exit_status));
   if (job.attempts_made != 0) put("run_count", std::to_string(job.attempts_made));
   return list;
 }
 
-}  // namespace mountflow::batch
+}  // namespace mountflow::pbs_server
--- a/batch/translate.hpp
+++ b/src/pbs_server/attribute_mapping.hpp
@@ -1,19 +1,19 @@
 // Between the attributes of the batch protocol and the core's job: one table
 // of names for clients, daemon and nodes.
-#ifndef MOUNTFLOW_BATCH_TRANSLATE_HPP_
-#define MOUNTFLOW_BATCH_TRANSLATE_HPP_
+#ifndef MOUNTFLOW_PBS_SERVER_ATTRIBUTE_MAPPING_HPP_
+#define MOUNTFLOW_PBS_SERVER_ATTRIBUTE_MAPPING_HPP_
 
 #include <map>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "core/core.hpp"
-#include "core/job.hpp"
-#include "core/messages.hpp"
-#include "pbs/protocol.hpp"
+#include "job_manager/job.hpp"
+#include "job_manager/job_manager.hpp"
+#include "job_manager/messages.hpp"
+#include "pbs_protocol/protocol.hpp"
 
-namespace mountflow::batch {
+namespace mountflow::pbs_server {
 
 // The words of one deployment, and the bounds of what a job may ask for.
 struct Vocabulary {
@@ -26,24 +26,25 @@
 };
 
 struct Problem {
-  pbs::Code code = pbs::Code::kNone;
+  pbs_protocol::Code code = pbs_protocol::Code::kNone;
   std::string text;  // names the attribute and what was expected
 };
 
 // Reads the attributes of a submission into `spec`, or of a change to it
 // (`change`: what a user may not alter is kReadOnly). Unknown names are
 // kNoAttribute.
-Problem Read(const pbs::Attributes& list, const std::string& destination, const Vocabulary& words,
-             bool change, core::JobSpec* spec);
+Problem Read(const pbs_protocol::Attributes& list, const std::string& destination, const Vocabulary& words,
+             bool change, job_manager::JobSpec* spec);
 
 // The attributes of a job for a node: what it needs to run and to report it.
-pbs::Attributes ForNode(const core::JobSpec& spec, const Vocabulary& words);
+pbs_protocol::Attributes ForNode(const job_manager::JobSpec& spec, const Vocabulary& words);
 
 // All attributes of a job as status replies show them.
-pbs::Attributes ForStatus(const core::Core& core, const core::Job& job, const Vocabulary& words);
+pbs_protocol::Attributes ForStatus(const job_manager::JobManager& core, const job_manager::Job& job,
+                                   const Vocabulary& words);
 
 // The reply code of a command's verdict.
-pbs::Code CodeOf(core::Verdict verdict);
+pbs_protocol::Code CodeOf(job_manager::Verdict verdict);
 
 // "512mb", "2gb", "1024" (bytes) and the like in bytes; false when it is not a size.
 bool ReadSize(std::string_view text, double* bytes);
@@ -58,6 +59,6 @@
 std::string WriteLoad(const LoadReport& report);
 LoadReport ReadLoad(std::string_view text);
 
-}  // namespace mountflow::batch
+}  // namespace mountflow::pbs_server
 
-#endif  // MOUNTFLOW_BATCH_TRANSLATE_HPP_
+#endif  // MOUNTFLOW_PBS_SERVER_ATTRIBUTE_MAPPING_HPP_
--- a/batch/complaints.cpp
+++ b/src/pbs_server/complaints.cpp
@@ -1,8 +1,8 @@
-#include "batch/complaints.hpp"
+#include "pbs_server/complaints.hpp"
 
 #include <utility>
 
-namespace mountflow::batch {
+namespace mountflow::pbs_server {
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
@@ -42,4 +42,4 @@
 
 Micros Complaints::NextTimer() const { return second_end_ == 0 ? ~Micros{0} : second_end_; }
 
-}  // namespace mountflow::batch
+}  // namespace mountflow::pbs_server
--- a/batch/complaints.hpp
+++ b/src/pbs_server/complaints.hpp
@@ -1,8 +1,8 @@
 // Complaints about bad input, folded for the log: of each kind the first in a second as it
 // is, the others of that second as one line with their count and that of their peers.
 // Sans-I/O. Bounds: kMostKinds kinds a second; further ones fold into the last.
-#ifndef MOUNTFLOW_BATCH_COMPLAINTS_HPP_
-#define MOUNTFLOW_BATCH_COMPLAINTS_HPP_
+#ifndef MOUNTFLOW_PBS_SERVER_COMPLAINTS_HPP_
+#define MOUNTFLOW_PBS_SERVER_COMPLAINTS_HPP_
 
 #include <cstdint>
 #include <map>
@@ -12,7 +12,7 @@
 
 #include "mountflow/scheduler.hpp"
 
-namespace mountflow::batch {
+namespace mountflow::pbs_server {
 
 class Complaints {
  public:
@@ -37,6 +37,6 @@
   std::uint64_t all_ = 0;
 };
 
-}  // namespace mountflow::batch
+}  // namespace mountflow::pbs_server
 
-#endif  // MOUNTFLOW_BATCH_COMPLAINTS_HPP_
+#endif  // MOUNTFLOW_PBS_SERVER_COMPLAINTS_HPP_
--- a/batch/front.cpp
+++ b/src/pbs_server/pbs_server.cpp
@@ -1,20 +1,20 @@
-#include "batch/front.hpp"
+#include "pbs_server/pbs_server.hpp"
 
 #include <algorithm>
 
-namespace mountflow::batch {
+namespace mountflow::pbs_server {
 namespace {
 
-pbs::Reply Text(pbs::Code code, std::string text) {
-  pbs::Reply reply;
+pbs_protocol::Reply Text(pbs_protocol::Code code, std::string text) {
+  pbs_protocol::Reply reply;
   reply.code = code;
-  reply.choice = pbs::Choice::kText;
+  reply.choice = pbs_protocol::Choice::kText;
   reply.text = std::move(text);
   return reply;
 }
 
-pbs::Reply Of(pbs::Code code) {
-  pbs::Reply reply;
+pbs_protocol::Reply Of(pbs_protocol::Code code) {
+  pbs_protocol::Reply reply;
   reply.code = code;
   return reply;
 }
@@ -22,8 +22,8 @@
 // Users come as NAME or NAME@HOST.
 std::string UserOf(const std::string& user) { return user.substr(0, user.find('@')); }
 
-bool Matches(const pbs::Attributes& shown, const pbs::Attribute& wanted) {
-  const pbs::Attribute* have = pbs::Find(shown, wanted.name, wanted.resource);
+bool Matches(const pbs_protocol::Attributes& shown, const pbs_protocol::Attribute& wanted) {
+  const pbs_protocol::Attribute* have = pbs_protocol::Find(shown, wanted.name, wanted.resource);
   const std::string value = have != nullptr ? have->value : "";
   double a = 0.0, b = 0.0;
   Micros at = 0, bt = 0;
@@ -34,22 +34,23 @@
     order = a < b ? -1 : a > b ? 1 : 0;
   } else if (wanted.resource == "walltime" && ReadTime(value, &at) && ReadTime(wanted.value, &bt)) {
     order = at < bt ? -1 : at > bt ? 1 : 0;
-  } else if (wanted.name == "job_state" && (wanted.op == pbs::Op::kEq || wanted.op == pbs::Op::kSet)) {
+  } else if (wanted.name == "job_state" &&
+             (wanted.op == pbs_protocol::Op::kEq || wanted.op == pbs_protocol::Op::kSet)) {
     return value.size() == 1 && wanted.value.find(value[0]) != std::string::npos;  // any of several states
   } else if (wanted.name == "Job_Owner") {
     const auto same = UserOf(value) == UserOf(wanted.value);
-    return wanted.op == pbs::Op::kNe ? !same : same;
+    return wanted.op == pbs_protocol::Op::kNe ? !same : same;
   }
   switch (wanted.op) {
-    case pbs::Op::kNe:
+    case pbs_protocol::Op::kNe:
       return order != 0;
-    case pbs::Op::kGe:
+    case pbs_protocol::Op::kGe:
       return order >= 0;
-    case pbs::Op::kGt:
+    case pbs_protocol::Op::kGt:
       return order > 0;
-    case pbs::Op::kLe:
+    case pbs_protocol::Op::kLe:
       return order <= 0;
-    case pbs::Op::kLt:
+    case pbs_protocol::Op::kLt:
       return order < 0;
     default:
       return order == 0;
@@ -75,16 +76,16 @@
     while (!closing && !Blocked()) {
       const std::string_view left = std::string_view(input_).substr(read_);
       if (left.size() < needs_) break;
-      pbs::Request request;
-      const pbs::Parsed parsed = pbs::Decode(left, &request);
-      if (parsed.state == pbs::DisState::kMore) {
+      pbs_protocol::Request request;
+      const pbs_protocol::Parsed parsed = pbs_protocol::Decode(left, &request);
+      if (parsed.state == pbs_protocol::DisState::kMore) {
         needs_ = parsed.needs;
         break;
       }
-      if (parsed.state == pbs::DisState::kBad) {
+      if (parsed.state == pbs_protocol::DisState::kBad) {
         front_->complaints_.Add(now, "expected " + parsed.expected, peer_.address,
                                 "expected " + parsed.expected);
-        Send(Text(parsed.unknown ? pbs::Code::kUnknownRequest : pbs::Code::kProtocol,
+        Send(Text(parsed.unknown ? pbs_protocol::Code::kUnknownRequest : pbs_protocol::Code::kProtocol,
                   "expected " + parsed.expected));
         closing = true;
         break;
@@ -111,25 +112,25 @@
   }
   bool Blocked() const { return waiting || at_door || output.size() > front_->options_.most_reply_bytes; }
 
-  void Send(const pbs::Reply& reply, bool bare = false) {
+  void Send(const pbs_protocol::Reply& reply, bool bare = false) {
     says_nothing_kept = bare && (output.empty() || says_nothing_kept);
-    pbs::Encode(reply, &output);
+    pbs_protocol::Encode(reply, &output);
     if (front_->touched_.empty() || front_->touched_.back() != id_) front_->touched_.push_back(id_);
   }
 
   // Status of one job, also when a wait is over.
   void SendStatus(std::uint64_t number) {
-    const core::Job* job = front_->core_->Find(number);
-    if (job == nullptr) return Send(Of(pbs::Code::kUnknownJob));
-    pbs::Reply reply;
-    reply.choice = pbs::Choice::kStatus;
+    const job_manager::Job* job = front_->core_->Find(number);
+    if (job == nullptr) return Send(Of(pbs_protocol::Code::kUnknownJob));
+    pbs_protocol::Reply reply;
+    reply.choice = pbs_protocol::Choice::kStatus;
     reply.objects.push_back(ObjectOf(*job, {}));
     Send(reply);
   }
 
   // Its turn at the door has come.
-  void Enter(Micros now, const door::Verdict& verdict) {
-    pbs::Request request = std::move(*asked_);
+  void Enter(Micros now, const admission::Verdict& verdict) {
+    pbs_protocol::Request request = std::move(*asked_);
     asked_.reset();
     at_door = false;
     if (verdict.admit) {
@@ -151,17 +152,17 @@
   bool wait_for_end = false;
 
  private:
-  core::Core& core() { return *front_->core_; }
+  job_manager::JobManager& core() { return *front_->core_; }
   const FrontOptions& options() const { return front_->options_; }
 
-  pbs::StatusObject ObjectOf(const core::Job& job, const pbs::Attributes& wanted) {
-    pbs::StatusObject object;
+  pbs_protocol::StatusObject ObjectOf(const job_manager::Job& job, const pbs_protocol::Attributes& wanted) {
+    pbs_protocol::StatusObject object;
     object.name = core().IdOf(job.number);
     object.attributes = ForStatus(core(), job, options().words);
     if (!wanted.empty()) {
-      std::erase_if(object.attributes, [&wanted](const pbs::Attribute& a) {
+      std::erase_if(object.attributes, [&wanted](const pbs_protocol::Attribute& a) {
         return std::none_of(wanted.begin(), wanted.end(),
-                            [&a](const pbs::Attribute& w) { return w.name == a.name; });
+                            [&a](const pbs_protocol::Attribute& w) { return w.name == a.name; });
       });
     }
     return object;
@@ -175,88 +176,90 @@
   // Empty for managers: they may act on all jobs.
   std::string ActsAs(const std::string& user) const { return options().managers.count(user) > 0 ? "" : user; }
 
-  void Handle(Micros now, pbs::Request* r) {
+  void Handle(Micros now, pbs_protocol::Request* r) {
     const std::string user = UserOf(r->user);
-    if (r->type != pbs::RequestType::kJobObit && !Allowed(user)) {
+    if (r->type != pbs_protocol::RequestType::kJobObit && !Allowed(user)) {
       front_->complaints_.Add(now, "a user asked as another", peer_.address,
                               "user " + peer_.user + " asked as " + user);
-      return Send(Text(pbs::Code::kPermission, "connection belongs to " + peer_.user + ", not to " + user));
+      return Send(
+          Text(pbs_protocol::Code::kPermission, "connection belongs to " + peer_.user + ", not to " + user));
     }
     switch (r->type) {
-      case pbs::RequestType::kConnect:
-        return Send(Of(pbs::Code::kNone), true);
-      case pbs::RequestType::kDisconnect:
+      case pbs_protocol::RequestType::kConnect:
+        return Send(Of(pbs_protocol::Code::kNone), true);
+      case pbs_protocol::RequestType::kDisconnect:
         closing = true;
         return;
-      case pbs::RequestType::kQueueJob:
+      case pbs_protocol::RequestType::kQueueJob:
         if (front_->door_ != nullptr && !open_) return Arrive(now, r);
         return Queue(r, user);
-      case pbs::RequestType::kJobScript:
+      case pbs_protocol::RequestType::kJobScript:
         return Script(r);
-      case pbs::RequestType::kReadyToCommit:
+      case pbs_protocol::RequestType::kReadyToCommit:
         return ReadyToCommit(*r);
-      case pbs::RequestType::kCommit:
+      case pbs_protocol::RequestType::kCommit:
         return Commit(now, *r);
-      case pbs::RequestType::kDeleteJob:
+      case pbs_protocol::RequestType::kDeleteJob:
         return Manage(*r, [&](std::uint64_t job) { return core().Delete(now, job, ActsAs(user)); });
-      case pbs::RequestType::kHoldJob:
-      case pbs::RequestType::kReleaseJob: {
-        std::string types(pbs::ValueOf(r->attributes, "Hold_Types"));
+      case pbs_protocol::RequestType::kHoldJob:
+      case pbs_protocol::RequestType::kReleaseJob: {
+        std::string types(pbs_protocol::ValueOf(r->attributes, "Hold_Types"));
         if (types.empty()) types = "u";
         if (types.find_first_not_of("uosn") != std::string::npos) {
-          return Send(Text(pbs::Code::kBadValue, "Hold_Types: expected letters of u, o, s or n"));
+          return Send(Text(pbs_protocol::Code::kBadValue, "Hold_Types: expected letters of u, o, s or n"));
         }
         std::erase(types, 'n');
         if (!ActsAs(user).empty() && types.find_first_of("os") != std::string::npos) {
-          return Send(Text(pbs::Code::kPermission, "operator and system holds are for managers"));
+          return Send(Text(pbs_protocol::Code::kPermission, "operator and system holds are for managers"));
         }
-        const bool hold = r->type == pbs::RequestType::kHoldJob;
+        const bool hold = r->type == pbs_protocol::RequestType::kHoldJob;
         return Manage(*r, [&](std::uint64_t job) {
           return hold ? core().Hold(now, job, ActsAs(user), types)
                       : core().Release(now, job, ActsAs(user), types);
         });
       }
-      case pbs::RequestType::kModifyJob:
+      case pbs_protocol::RequestType::kModifyJob:
         return Alter(now, *r, user);
-      case pbs::RequestType::kMoveJob: {
-        pbs::Attributes none;
+      case pbs_protocol::RequestType::kMoveJob: {
+        pbs_protocol::Attributes none;
         Problem problem;
         const std::uint64_t number = core().NumberOf(r->id);
-        const core::Verdict v = core().Alter(now, number, ActsAs(user), [&](core::JobSpec* spec) {
-          problem = Read(none, r->destination, options().words, false, spec);
-          return problem.code == pbs::Code::kNone;
-        });
-        if (problem.code != pbs::Code::kNone) return Send(Text(problem.code, problem.text));
+        const job_manager::Verdict v =
+            core().Alter(now, number, ActsAs(user), [&](job_manager::JobSpec* spec) {
+              problem = Read(none, r->destination, options().words, false, spec);
+              return problem.code == pbs_protocol::Code::kNone;
+            });
+        if (problem.code != pbs_protocol::Code::kNone) return Send(Text(problem.code, problem.text));
         return Reply(v);
       }
-      case pbs::RequestType::kRerunJob:
+      case pbs_protocol::RequestType::kRerunJob:
         return Manage(*r, [&](std::uint64_t job) { return core().Rerun(now, job, ActsAs(user)); });
-      case pbs::RequestType::kSignalJob:
+      case pbs_protocol::RequestType::kSignalJob:
         return Manage(*r,
                       [&](std::uint64_t job) { return core().Signal(now, job, ActsAs(user), r->signal); });
-      case pbs::RequestType::kSelectJobs:
+      case pbs_protocol::RequestType::kSelectJobs:
         return Select(*r);
-      case pbs::RequestType::kStatusJob:
+      case pbs_protocol::RequestType::kStatusJob:
         return Status(now, *r);
-      case pbs::RequestType::kStatusQueue:
+      case pbs_protocol::RequestType::kStatusQueue:
         return StatusQueue(*r);
-      case pbs::RequestType::kStatusServer:
+      case pbs_protocol::RequestType::kStatusServer:
         return StatusServer();
-      case pbs::RequestType::kJobObit:
+      case pbs_protocol::RequestType::kJobObit:
         return Obit(now, *r);
     }
-    Send(Of(pbs::Code::kUnknownRequest));
+    Send(Of(pbs_protocol::Code::kUnknownRequest));
   }
 
-  void Reply(core::Verdict verdict) {
-    if (verdict == core::Verdict::kOk) return Send(Of(pbs::Code::kNone));
+  void Reply(job_manager::Verdict verdict) {
+    if (verdict == job_manager::Verdict::kOk) return Send(Of(pbs_protocol::Code::kNone));
     Send(Of(CodeOf(verdict)));
   }
 
   template <typename Act>
-  void Manage(const pbs::Request& r, Act act) {
+  void Manage(const pbs_protocol::Request& r, Act act) {
     const std::uint64_t number = core().NumberOf(r.id);
-    if (number == 0) return Send(Of(pbs::Code::kUnknownJob));
+    if (number == 0) return Send(Of(pbs_protocol::Code::kUnknownJob));
     Reply(act(number));
   }
 
@@ -266,38 +269,38 @@
     marks_.emplace_back(input_.size(), arrived);
   }
 
-  void Arrive(Micros now, pbs::Request* r) {
-    door::Asked asked;
+  void Arrive(Micros now, pbs_protocol::Request* r) {
+    admission::Asked asked;
     asked.now = now;
     asked.arrived = marks_.empty() ? now : marks_.front().second;
     asked.give_up = GiveUp(*r, asked.arrived);
     asked.in_line = front_->line_.size();
     asked.unanswered = core().Count().queued;
-    const door::Verdict verdict = front_->door_->Ask(asked);
+    const admission::Verdict verdict = front_->door_->Ask(asked);
     if (!verdict.admit) return Turned(verdict);
     at_door = true;
-    asked_ = std::make_unique<pbs::Request>(std::move(*r));
+    asked_ = std::make_unique<pbs_protocol::Request>(std::move(*r));
     front_->line_.push_back({id_, ++visits, asked.arrived, asked.give_up});
   }
 
   // The end of the owner's time as far as the request tells it; what is wrong in it is told later.
-  Micros GiveUp(const pbs::Request& r, Micros arrived) {
+  Micros GiveUp(const pbs_protocol::Request& r, Micros arrived) {
     const std::string& queue = r.destination.empty() ? options().words.default_queue : r.destination;
     const auto& queues = options().words.queues;
     const auto at = static_cast<std::size_t>(std::find(queues.begin(), queues.end(), queue) - queues.begin());
     Micros owner = at < queues.size() ? core().options().hard_limits[at] : options().longest_wait;
     Micros stated = 0;
-    if (ReadTime(std::string(pbs::ValueOf(r.attributes, "owner_time")), &stated) && stated != 0)
+    if (ReadTime(std::string(pbs_protocol::ValueOf(r.attributes, "owner_time")), &stated) && stated != 0)
       owner = stated;
     Micros give_up = arrived + owner;
     std::uint64_t deadline = 0;
-    if (ReadCount(pbs::ValueOf(r.attributes, "owner_deadline"), &deadline) && deadline != 0)
+    if (ReadCount(pbs_protocol::ValueOf(r.attributes, "owner_deadline"), &deadline) && deadline != 0)
       give_up = std::min<Micros>(give_up, deadline);
     return give_up;
   }
 
-  void Turned(const door::Verdict& verdict) {
-    pbs::Reply no = Text(CodeOf(core::Verdict::kFull), verdict.reason);
+  void Turned(const admission::Verdict& verdict) {
+    pbs_protocol::Reply no = Text(CodeOf(job_manager::Verdict::kFull), verdict.reason);
     if (verdict.wait != 0) {
       no.auxiliary = static_cast<std::int64_t>((verdict.wait + 999) / 1000);
       no.text += "; ask again in " + std::to_string(no.auxiliary) + " ms";
@@ -305,33 +308,34 @@
     Send(no, true);
   }
 
-  void Queue(pbs::Request* r, const std::string& user) {
-    if (open_) return Send(Text(pbs::Code::kTooMany, "a submission is in progress on this connection"));
+  void Queue(pbs_protocol::Request* r, const std::string& user) {
+    if (open_)
+      return Send(Text(pbs_protocol::Code::kTooMany, "a submission is in progress on this connection"));
     if (!core().refuses_new().empty()) {
-      return Send(Text(CodeOf(core::Verdict::kFull), core().refuses_new()), true);
+      return Send(Text(CodeOf(job_manager::Verdict::kFull), core().refuses_new()), true);
     }
-    core::JobSpec spec;
+    job_manager::JobSpec spec;
     spec.user = user;
     const Problem problem = Read(r->attributes, r->destination, options().words, false, &spec);
-    if (problem.code != pbs::Code::kNone) return Send(Text(problem.code, problem.text));
+    if (problem.code != pbs_protocol::Code::kNone) return Send(Text(problem.code, problem.text));
     std::uint64_t number = 0;
     if (!r->id.empty()) {
       // An id from a client is one that it got before: a repeat of a submission whose end it did not learn.
       number = core().NumberOf(r->id);
-      if (number == 0) return Send(Of(pbs::Code::kUnknownJob));
-      if (core().Find(number) != nullptr) return Send(Text(pbs::Code::kExists, core().IdOf(number)));
+      if (number == 0) return Send(Of(pbs_protocol::Code::kUnknownJob));
+      if (core().Find(number) != nullptr) return Send(Text(pbs_protocol::Code::kExists, core().IdOf(number)));
       if (!core().Issued(number))
-        return Send(Text(pbs::Code::kBadValue, "job id: expected one that was given out"));
+        return Send(Text(pbs_protocol::Code::kBadValue, "job id: expected one that was given out"));
     } else if (const std::uint64_t had = core().JobOfKey(user, spec.key); had != 0) {
-      return Send(Text(pbs::Code::kExists, core().IdOf(had)));
+      return Send(Text(pbs_protocol::Code::kExists, core().IdOf(had)));
     }
     if (number == 0) number = core().NewJobNumber();
     open_ = true;
     open_number_ = number;
     open_spec_ = std::move(spec);
     open_id_ = core().IdOf(number);
-    pbs::Reply reply;
-    reply.choice = pbs::Choice::kQueued;
+    pbs_protocol::Reply reply;
+    reply.choice = pbs_protocol::Choice::kQueued;
     reply.text = open_id_;
     Send(reply, true);
   }
@@ -344,99 +348,101 @@
     open_spec_ = {};
   }
 
-  void Script(pbs::Request* r) {
-    if (!IsOpen(r->id)) return Send(Of(pbs::Code::kUnknownJob));
+  void Script(pbs_protocol::Request* r) {
+    if (!IsOpen(r->id)) return Send(Of(pbs_protocol::Code::kUnknownJob));
     if (open_spec_.script.size() + r->script.size() > options().most_script) {
       Drop();
-      return Send(Text(pbs::Code::kBadValue,
+      return Send(Text(pbs_protocol::Code::kBadValue,
                        "script: expected at most " + std::to_string(options().most_script) + " bytes"));
     }
     open_spec_.script += r->script;
-    Send(Of(pbs::Code::kNone), true);
+    Send(Of(pbs_protocol::Code::kNone), true);
   }
 
-  void ReadyToCommit(const pbs::Request& r) {
-    if (!IsOpen(r.id)) return Send(Of(pbs::Code::kUnknownJob));
-    pbs::Reply reply;
-    reply.choice = pbs::Choice::kReady;
+  void ReadyToCommit(const pbs_protocol::Request& r) {
+    if (!IsOpen(r.id)) return Send(Of(pbs_protocol::Code::kUnknownJob));
+    pbs_protocol::Reply reply;
+    reply.choice = pbs_protocol::Choice::kReady;
     reply.text = open_id_;
     Send(reply, true);
   }
 
-  void Commit(Micros now, const pbs::Request& r) {
+  void Commit(Micros now, const pbs_protocol::Request& r) {
     if (!IsOpen(r.id)) {
       const std::uint64_t number = core().NumberOf(r.id);
-      return Send(
-          Of(number != 0 && core().Find(number) != nullptr ? pbs::Code::kExists : pbs::Code::kUnknownJob));
+      return Send(Of(number != 0 && core().Find(number) != nullptr ? pbs_protocol::Code::kExists
+                                                                   : pbs_protocol::Code::kUnknownJob));
     }
-    const core::Submitted done = core().Submit(now, open_number_, std::move(open_spec_));
+    const job_manager::Submitted done = core().Submit(now, open_number_, std::move(open_spec_));
     Drop();
-    if (done.verdict == core::Verdict::kExists) return Send(Text(pbs::Code::kExists, core().IdOf(done.job)));
-    if (done.verdict != core::Verdict::kOk) {
-      const bool full = done.verdict == core::Verdict::kFull || done.verdict == core::Verdict::kStopping;
+    if (done.verdict == job_manager::Verdict::kExists)
+      return Send(Text(pbs_protocol::Code::kExists, core().IdOf(done.job)));
+    if (done.verdict != job_manager::Verdict::kOk) {
+      const bool full =
+          done.verdict == job_manager::Verdict::kFull || done.verdict == job_manager::Verdict::kStopping;
       return Send(Text(CodeOf(done.verdict), done.reason), full);
     }
-    pbs::Reply reply;
-    reply.choice = pbs::Choice::kCommitted;
+    pbs_protocol::Reply reply;
+    reply.choice = pbs_protocol::Choice::kCommitted;
     reply.text = open_id_;
     Send(reply);
   }
 
-  void Alter(Micros now, const pbs::Request& r, const std::string& user) {
+  void Alter(Micros now, const pbs_protocol::Request& r, const std::string& user) {
     const std::uint64_t number = core().NumberOf(r.id);
-    if (number == 0) return Send(Of(pbs::Code::kUnknownJob));
+    if (number == 0) return Send(Of(pbs_protocol::Code::kUnknownJob));
     Problem problem;
-    const core::Verdict v = core().Alter(now, number, ActsAs(user), [&](core::JobSpec* spec) {
+    const job_manager::Verdict v = core().Alter(now, number, ActsAs(user), [&](job_manager::JobSpec* spec) {
       problem = Read(r.attributes, "", options().words, true, spec);
-      return problem.code == pbs::Code::kNone;
+      return problem.code == pbs_protocol::Code::kNone;
     });
-    if (problem.code != pbs::Code::kNone) return Send(Text(problem.code, problem.text));
+    if (problem.code != pbs_protocol::Code::kNone) return Send(Text(problem.code, problem.text));
     Reply(v);
   }
 
-  void Select(const pbs::Request& r) {
-    pbs::Reply reply;
-    reply.choice = pbs::Choice::kSelected;
-    core().ForEach(0, [&](const core::Job& job) {
-      const bool complete = job.state == core::JobState::kComplete;
-      const pbs::Attribute* state = pbs::Find(r.attributes, "job_state");
+  void Select(const pbs_protocol::Request& r) {
+    pbs_protocol::Reply reply;
+    reply.choice = pbs_protocol::Choice::kSelected;
+    core().ForEach(0, [&](const job_manager::Job& job) {
+      const bool complete = job.state == job_manager::JobState::kComplete;
+      const pbs_protocol::Attribute* state = pbs_protocol::Find(r.attributes, "job_state");
       if (complete && (state == nullptr || state->value.find('C') == std::string::npos)) return true;
-      const pbs::Attributes shown = ForStatus(core(), job, options().words);
+      const pbs_protocol::Attributes shown = ForStatus(core(), job, options().words);
       const bool fits = std::all_of(r.attributes.begin(), r.attributes.end(),
-                                    [&shown](const pbs::Attribute& a) { return Matches(shown, a); });
+                                    [&shown](const pbs_protocol::Attribute& a) { return Matches(shown, a); });
       if (fits) reply.ids.push_back(core().IdOf(job.number));
-      return reply.ids.size() < pbs::kMostObjects;
+      return reply.ids.size() < pbs_protocol::kMostObjects;
     });
     Send(reply);
   }
 
-  void Status(Micros now, const pbs::Request& r) {
-    pbs::Reply reply;
-    reply.choice = pbs::Choice::kStatus;
+  void Status(Micros now, const pbs_protocol::Request& r) {
+    pbs_protocol::Reply reply;
+    reply.choice = pbs_protocol::Choice::kStatus;
     if (!r.id.empty() && std::find(options().words.queues.begin(), options().words.queues.end(), r.id) ==
                              options().words.queues.end()) {
       const std::uint64_t number = core().NumberOf(r.id);
-      const core::Job* job = number != 0 ? core().Find(number) : nullptr;
-      if (job == nullptr) return Send(Of(pbs::Code::kUnknownJob));
+      const job_manager::Job* job = number != 0 ? core().Find(number) : nullptr;
+      if (job == nullptr) return Send(Of(pbs_protocol::Code::kUnknownJob));
       if (r.extension.rfind("wait=", 0) == 0) return Wait(now, r, *job);
       reply.objects.push_back(ObjectOf(*job, r.attributes));
       return Send(reply);
     }
     // All, or those of one queue. Complete ones only on request.
     const bool history = r.extension.find("x") != std::string::npos;
-    core().ForEach(0, [&](const core::Job& job) {
+    core().ForEach(0, [&](const job_manager::Job& job) {
       if (!r.id.empty() && job.spec->queue != r.id) return true;
-      if (!history && job.state == core::JobState::kComplete) return true;
+      if (!history && job.state == job_manager::JobState::kComplete) return true;
       reply.objects.push_back(ObjectOf(job, r.attributes));
-      return reply.objects.size() < pbs::kMostObjects;
+      return reply.objects.size() < pbs_protocol::kMostObjects;
     });
     Send(reply);
   }
 
-  void Wait(Micros now, const pbs::Request& r, const core::Job& job) {
+  void Wait(Micros now, const pbs_protocol::Request& r, const job_manager::Job& job) {
     wait_for_end = r.extension.rfind("wait=end", 0) == 0;
-    const bool there =
-        wait_for_end ? job.state == core::JobState::kComplete : job.answer != core::Answer::kNone;
+    const bool there = wait_for_end ? job.state == job_manager::JobState::kComplete
+                                    : job.answer != job_manager::Answer::kNone;
     if (there) return SendStatus(job.number);
     Micros longest = options().longest_wait;
     const std::size_t at = r.extension.find(",seconds=");
@@ -450,35 +456,36 @@
     front_->deadlines_.insert({wait_until, id_});
   }
 
-  void StatusQueue(const pbs::Request& r) {
-    pbs::Reply reply;
-    reply.choice = pbs::Choice::kStatus;
+  void StatusQueue(const pbs_protocol::Request& r) {
+    pbs_protocol::Reply reply;
+    reply.choice = pbs_protocol::Choice::kStatus;
     const auto& queues = options().words.queues;
     if (!r.id.empty() && std::find(queues.begin(), queues.end(), r.id) == queues.end()) {
-      return Send(Of(pbs::Code::kUnknownQueue));
+      return Send(Of(pbs_protocol::Code::kUnknownQueue));
     }
-    std::map<std::string, std::map<core::JobState, std::size_t>> counts;
-    core().ForEach(0, [&](const core::Job& job) {
-      if (job.state != core::JobState::kComplete) ++counts[job.spec->queue][job.state];
+    std::map<std::string, std::map<job_manager::JobState, std::size_t>> counts;
+    core().ForEach(0, [&](const job_manager::Job& job) {
+      if (job.state != job_manager::JobState::kComplete) ++counts[job.spec->queue][job.state];
       return true;
     });
     for (std::size_t i = 0; i < queues.size(); ++i) {
       if (!r.id.empty() && queues[i] != r.id) continue;
-      pbs::StatusObject o;
-      o.type = pbs::ObjectType::kQueue;
+      pbs_protocol::StatusObject o;
+      o.type = pbs_protocol::ObjectType::kQueue;
       o.name = queues[i];
       auto& c = counts[queues[i]];
       std::size_t total = 0;
       std::string by_state;
-      for (const core::JobState s : {core::JobState::kQueued, core::JobState::kHeld, core::JobState::kWaiting,
-                                     core::JobState::kRunning, core::JobState::kExiting}) {
+      for (const job_manager::JobState s :
+           {job_manager::JobState::kQueued, job_manager::JobState::kHeld, job_manager::JobState::kWaiting,
+            job_manager::JobState::kRunning, job_manager::JobState::kExiting}) {
         total += c[s];
         by_state +=
             std::string(by_state.empty() ? "" : " ") + static_cast<char>(s) + ":" + std::to_string(c[s]);
       }
       const auto& settings = core().options().settings.classes[i];
       const auto put = [&o](const char* name, std::string value) {
-        o.attributes.push_back({name, "", std::move(value), pbs::Op::kSet});
+        o.attributes.push_back({name, "", std::move(value), pbs_protocol::Op::kSet});
       };
       put("queue_type", "Execution");
       put("Priority", std::to_string(settings.priority));
@@ -486,9 +493,9 @@
       put("state_count", by_state);
       put("enabled", "True");
       put("started", "True");
-      put("effect", settings.effect == Effect::kSafe    ? "safe"
-                    : settings.effect == Effect::kKeyed ? "keyed"
-                                                        : "unsafe");
+      put("effect", settings.idempotency == Idempotency::kIdempotent ? "safe"
+                    : settings.idempotency == Idempotency::kWithKey  ? "keyed"
+                                                                     : "unsafe");
       put("owner_time", WriteTime(core().options().hard_limits[i]));
       reply.objects.push_back(std::move(o));
     }
@@ -496,17 +503,17 @@
   }
 
   void StatusServer() {
-    pbs::Reply reply;
-    reply.choice = pbs::Choice::kStatus;
-    pbs::StatusObject o;
-    o.type = pbs::ObjectType::kServer;
+    pbs_protocol::Reply reply;
+    reply.choice = pbs_protocol::Choice::kStatus;
+    pbs_protocol::StatusObject o;
+    o.type = pbs_protocol::ObjectType::kServer;
     o.name = core().options().server;
-    const core::Counts c = core().Count();
+    const job_manager::Counts c = core().Count();
     const auto put = [&o](const char* name, std::string value) {
-      o.attributes.push_back({name, "", std::move(value), pbs::Op::kSet});
+      o.attributes.push_back({name, "", std::move(value), pbs_protocol::Op::kSet});
     };
     std::size_t nodes = 0;
-    core().ForEachNode([&nodes](MachineId, const core::ListedNode&) { ++nodes; });
+    core().ForEachNode([&nodes](NodeId, const job_manager::ListedNode&) { ++nodes; });
     put("server_state", "Active");
     put("total_jobs", std::to_string(c.queued + c.held + c.waiting + c.running + c.exiting));
     put("state_count", "Q:" + std::to_string(c.queued) + " H:" + std::to_string(c.held) +
@@ -520,39 +527,39 @@
     Send(reply);
   }
 
-  void Obit(Micros now, const pbs::Request& r) {
+  void Obit(Micros now, const pbs_protocol::Request& r) {
     // Any user could write one; where the system tells who owns the connection, only our own kind may.
     if (!peer_.user.empty() && !peer_.local) {
       front_->complaints_.Add(now, "a user sent a node's report", peer_.address,
                               "user " + peer_.user + " sent a node's report");
-      return Send(Of(pbs::Code::kPermission));
+      return Send(Of(pbs_protocol::Code::kPermission));
     }
-    core::AttemptEnded ended;
+    job_manager::AttemptFinished ended;
     std::string server;
     if (!core().AttemptOf(r.id, &ended.attempt, &server)) {
-      return Send(Text(pbs::Code::kUnknownJob, "expected an attempt's name"));
+      return Send(Text(pbs_protocol::Code::kUnknownJob, "expected an attempt's name"));
     }
-    if (server != core().options().server) return Send(Of(pbs::Code::kUnknownJob));
-    const std::string_view reason = pbs::ValueOf(r.attributes, "end_reason");
-    static const std::pair<const char*, core::EndReason> kReasons[] = {
-        {"exited", core::EndReason::kExited},      {"killed", core::EndReason::kKilled},
-        {"evicted", core::EndReason::kEvicted},    {"pushed_out", core::EndReason::kPushedOut},
-        {"sent_away", core::EndReason::kSentAway}, {"error", core::EndReason::kError},
-        {"lost", core::EndReason::kLost}};
+    if (server != core().options().server) return Send(Of(pbs_protocol::Code::kUnknownJob));
+    const std::string_view reason = pbs_protocol::ValueOf(r.attributes, "end_reason");
+    static const std::pair<const char*, job_manager::EndReason> kReasons[] = {
+        {"exited", job_manager::EndReason::kExited},      {"killed", job_manager::EndReason::kKilled},
+        {"evicted", job_manager::EndReason::kEvicted},    {"pushed_out", job_manager::EndReason::kPushedOut},
+        {"sent_away", job_manager::EndReason::kSentAway}, {"error", job_manager::EndReason::kError},
+        {"lost", job_manager::EndReason::kLost}};
     for (const auto& [name, value] : kReasons) {
       if (reason == name) ended.reason = value;
     }
     ended.exit_status = static_cast<int>(std::clamp<std::int64_t>(r.status, -1'000'000, 1'000'000));
-    ended.text = pbs::ValueOf(r.attributes, "comment");
+    ended.text = pbs_protocol::ValueOf(r.attributes, "comment");
     std::uint64_t started = 0, over = 0;
-    if (ReadCount(pbs::ValueOf(r.attributes, "start"), &started) &&
-        ReadCount(pbs::ValueOf(r.attributes, "end"), &over)) {
+    if (ReadCount(pbs_protocol::ValueOf(r.attributes, "start"), &started) &&
+        ReadCount(pbs_protocol::ValueOf(r.attributes, "end"), &over)) {
       ended.started = started, ended.ended = over;
     }
-    ended.report = ReadLoad(pbs::ValueOf(r.attributes, "load"));
+    ended.report = ReadLoad(pbs_protocol::ValueOf(r.attributes, "load"));
     const bool known = core().Find(ended.attempt.job) != nullptr;
     core().Take(now, ended);
-    Send(Of(known ? pbs::Code::kNone : pbs::Code::kUnknownJob));
+    Send(Of(known ? pbs_protocol::Code::kNone : pbs_protocol::Code::kUnknownJob));
   }
 
   Front* front_;
@@ -562,14 +569,15 @@
   std::size_t read_ = 0, needs_ = 1;
   static constexpr std::size_t kMostMarks = 64;
   std::deque<std::pair<std::size_t, Micros>> marks_;  // input up to there came then
-  std::unique_ptr<pbs::Request> asked_;               // at the door
+  std::unique_ptr<pbs_protocol::Request> asked_;      // at the door
   bool open_ = false;                                 // a submission is in progress
   std::uint64_t open_number_ = 0;
   std::string open_id_;
-  core::JobSpec open_spec_;
+  job_manager::JobSpec open_spec_;
 };
 
-Front::Front(core::Core* core, FrontOptions options) : core_(core), options_(std::move(options)) {}
+Front::Front(job_manager::JobManager* core, FrontOptions options)
+    : core_(core), options_(std::move(options)) {}
 Front::~Front() = default;
 
 void Front::Open(Id session, Peer peer) {
@@ -592,7 +600,7 @@
     const auto it = sessions_.find(one.session);
     if (it == sessions_.end() || !it->second->at_door || it->second->visits != one.number) continue;
     did = true;
-    const door::Verdict verdict = door_->Ask({now, one.arrived, one.give_up, 0, core_->Count().queued});
+    const admission::Verdict verdict = door_->Ask({now, one.arrived, one.give_up, 0, core_->Count().queued});
     entered += verdict.admit;
     it->second->Enter(now, verdict);
   }
@@ -635,8 +643,8 @@
   for (Id id : ready) Finish(now, id, *sessions_.at(id), job);
 }
 
-void Front::On(Micros now, const core::Answered& answered) { Wake(now, answered.job, false); }
-void Front::On(Micros now, const core::Ended& ended) { Wake(now, ended.job, true); }
+void Front::On(Micros now, const job_manager::Answered& answered) { Wake(now, answered.job, false); }
+void Front::On(Micros now, const job_manager::Ended& ended) { Wake(now, ended.job, true); }
 
 void Front::Tick(Micros now) {
   while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
@@ -687,4 +695,4 @@
 
 std::vector<std::string> Front::TakeComplaints(Micros now) { return complaints_.Take(now); }
 
-}  // namespace mountflow::batch
+}  // namespace mountflow::pbs_server
--- a/batch/front.hpp
+++ b/src/pbs_server/pbs_server.hpp
@@ -16,8 +16,8 @@
 // script at most `most_script` bytes (beyond: kBadValue and the submission is
 // dropped), one request in the buffer at its stated size, replies not read by
 // the peer at most `most_reply_bytes` (beyond: nothing more is read from it).
-#ifndef MOUNTFLOW_BATCH_FRONT_HPP_
-#define MOUNTFLOW_BATCH_FRONT_HPP_
+#ifndef MOUNTFLOW_PBS_SERVER_PBS_SERVER_HPP_
+#define MOUNTFLOW_PBS_SERVER_PBS_SERVER_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -32,13 +32,13 @@
 #include <utility>
 #include <vector>
 
-#include "batch/complaints.hpp"
-#include "batch/translate.hpp"
-#include "core/core.hpp"
-#include "door/door.hpp"
-#include "pbs/protocol.hpp"
+#include "admission/admission.hpp"
+#include "job_manager/job_manager.hpp"
+#include "pbs_protocol/protocol.hpp"
+#include "pbs_server/attribute_mapping.hpp"
+#include "pbs_server/complaints.hpp"
 
-namespace mountflow::batch {
+namespace mountflow::pbs_server {
 
 struct FrontOptions {
   Vocabulary words;
@@ -59,7 +59,7 @@
 
 class Front {
  public:
-  Front(core::Core* core, FrontOptions options);
+  Front(job_manager::JobManager* core, FrontOptions options);
   ~Front();
 
   using Id = std::uint64_t;
@@ -71,8 +71,8 @@
   void Close(Micros now, Id session);  // the connection is gone; an uncommitted submission leaves no job
 
   // Call with each of the core's outputs that concerns fronts.
-  void On(Micros now, const core::Answered& answered);
-  void On(Micros now, const core::Ended& ended);
+  void On(Micros now, const job_manager::Answered& answered);
+  void On(Micros now, const job_manager::Ended& ended);
   void Tick(Micros now);  // ends waits whose time is over
   Micros NextTimer() const;
 
@@ -85,7 +85,7 @@
   bool SaysNothingKept(Id session) const;
   // Goes on with input that was kept back, once output was written. True when something was done.
   bool Resume(Micros now, Id session);
-  void SetDoor(door::Door* door) { door_ = door; }
+  void SetDoor(admission::Door* door) { door_ = door; }
   // Lets in, or refuses, those at the door that may be dealt with in this turn. True when there were any.
   bool Admit(Micros now);
   std::size_t at_door() const { return line_.size(); }
@@ -106,17 +106,17 @@
     Micros arrived = 0, give_up = 0;
   };
 
-  core::Core* core_;
+  job_manager::JobManager* core_;
   FrontOptions options_;
   std::unordered_map<Id, std::unique_ptr<Session>> sessions_;
   std::multimap<std::uint64_t, Id> waiting_;   // job -> session
   std::set<std::pair<Micros, Id>> deadlines_;  // of waits
   std::vector<Id> touched_;                    // some more than once, some closed since
-  door::Door* door_ = nullptr;
+  admission::Door* door_ = nullptr;
   std::deque<AtDoor> line_;  // bounded by the door; entries of closed sessions are passed over
   Complaints complaints_;
 };
 
-}  // namespace mountflow::batch
+}  // namespace mountflow::pbs_server
 
-#endif  // MOUNTFLOW_BATCH_FRONT_HPP_
+#endif  // MOUNTFLOW_PBS_SERVER_PBS_SERVER_HPP_
--- a/platform/owner_wire.cpp
+++ b/src/platform/client_codec.cpp
@@ -1,4 +1,4 @@
-#include "platform/owner_wire.hpp"
+#include "platform/client_codec.hpp"
 
 #include <array>
 #include <cmath>
--- a/platform/owner_wire.hpp
+++ b/src/platform/client_codec.hpp
@@ -3,15 +3,15 @@
 // Bounds: a line of kMostMessage bytes with its line feed; kMostFields fields of a set-up. What is kept
 // between reads is less than one line, plus what was fed and not yet taken by Next().
 // Bad input is a value: a line whose id can be read is kUnusable, any other ends the stream as kBroken.
-#ifndef MOUNTFLOW_PLATFORM_OWNER_WIRE_HPP_
-#define MOUNTFLOW_PLATFORM_OWNER_WIRE_HPP_
+#ifndef MOUNTFLOW_PLATFORM_CLIENT_CODEC_HPP_
+#define MOUNTFLOW_PLATFORM_CLIENT_CODEC_HPP_
 
 #include <map>
 #include <optional>
 #include <string>
 #include <string_view>
 
-#include "platform/port.hpp"
+#include "platform/transport.hpp"
 
 namespace mountflow::platform {
 
@@ -58,4 +58,4 @@
 
 }  // namespace mountflow::platform
 
-#endif  // MOUNTFLOW_PLATFORM_OWNER_WIRE_HPP_
+#endif  // MOUNTFLOW_PLATFORM_CLIENT_CODEC_HPP_
--- a/platform/owners.cpp
+++ b/src/platform/client_connections.cpp
@@ -1,4 +1,4 @@
-#include "platform/owners.hpp"
+#include "platform/client_connections.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/platform/owners.hpp
+++ b/src/platform/client_connections.hpp
@@ -11,8 +11,8 @@
 //   taken, so
 //                              that what is fed and not taken is at most one read of the port
 //   kMostOwedWord, kOwedWord   word of tasks whose owner has no connection waits for its next one, this long
-#ifndef MOUNTFLOW_PLATFORM_OWNERS_HPP_
-#define MOUNTFLOW_PLATFORM_OWNERS_HPP_
+#ifndef MOUNTFLOW_PLATFORM_CLIENT_CONNECTIONS_HPP_
+#define MOUNTFLOW_PLATFORM_CLIENT_CONNECTIONS_HPP_
 
 #include <deque>
 #include <functional>
@@ -22,9 +22,9 @@
 #include <string_view>
 #include <vector>
 
-#include "platform/owner_wire.hpp"
-#include "platform/port.hpp"
-#include "platform/tasks.hpp"
+#include "platform/client_codec.hpp"
+#include "platform/request_table.hpp"
+#include "platform/transport.hpp"
 
 namespace mountflow::platform {
 
@@ -101,4 +101,4 @@
 
 }  // namespace mountflow::platform
 
-#endif  // MOUNTFLOW_PLATFORM_OWNERS_HPP_
+#endif  // MOUNTFLOW_PLATFORM_CLIENT_CONNECTIONS_HPP_
--- a/platform/meaning.cpp
+++ b/src/platform/message_mapping.cpp
@@ -1,4 +1,4 @@
-#include "platform/meaning.hpp"
+#include "platform/message_mapping.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -47,23 +47,24 @@
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
 
-Cause CauseOf(const std::string& said) {
-  static constexpr std::pair<const char*, Cause> kCauses[] = {
-      {"no_cores", Cause::kNoCores},  {"no_memory", Cause::kNoMemory}, {"queue_full", Cause::kQueueFull},
-      {"not_here", Cause::kNotHere},  {"evicted", Cause::kEvicted},    {"pushed_out", Cause::kPushedOut},
-      {"sent_away", Cause::kSentAway}};
+RejectionReason CauseOf(const std::string& said) {
+  static constexpr std::pair<const char*, RejectionReason> kCauses[] = {
+      {"no_cores", RejectionReason::kNoCores},     {"no_memory", RejectionReason::kNoMemory},
+      {"queue_full", RejectionReason::kQueueFull}, {"not_here", RejectionReason::kNotAccepting},
+      {"evicted", RejectionReason::kEvicted},      {"pushed_out", RejectionReason::kPreempted},
+      {"sent_away", RejectionReason::kDrained}};
   for (const auto& [name, cause] : kCauses) {
     if (said == name) return cause;
   }
-  return Cause::kUntold;
+  return RejectionReason::kUnspecified;
 }
 
-bool ReadNoteKind(const std::string& said, NoteKind* kind) {
-  static constexpr std::pair<const char*, NoteKind> kKinds[] = {{"runs", NoteKind::kRuns},
-                                                                {"cores", NoteKind::kCores},
-                                                                {"memory", NoteKind::kMemory},
-                                                                {"served", NoteKind::kServed},
-                                                                {"pressure", NoteKind::kPressure}};
+bool ReadNoteKind(const std::string& said, ProgressKind* kind) {
+  static constexpr std::pair<const char*, ProgressKind> kKinds[] = {{"runs", ProgressKind::kRunning},
+                                                                    {"cores", ProgressKind::kCoresUsed},
+                                                                    {"memory", ProgressKind::kMemoryUsed},
+                                                                    {"served", ProgressKind::kServed},
+                                                                    {"pressure", ProgressKind::kPressure}};
   for (const auto& [name, one] : kKinds) {
     if (said != name) continue;
     *kind = one;
@@ -73,14 +74,16 @@
 }
 
 // Before an answer, what is neither a refusal, an error nor moot is as a reset.
-Ending EndingOf(int cause, bool placed) {
+AttemptResult EndingOf(int cause, bool placed) {
   if (!placed) {
-    return cause == 34    ? Ending::kRefused
-           : cause == 47  ? Ending::kError
-           : cause == 102 ? Ending::kMoot
-                          : Ending::kLost;
+    return cause == 34    ? AttemptResult::kRejected
+           : cause == 47  ? AttemptResult::kError
+           : cause == 102 ? AttemptResult::kNotSent
+                          : AttemptResult::kLost;
   }
-  return cause == 16 ? Ending::kDone : cause == 31 ? Ending::kCancelled : Ending::kLost;
+  return cause == 16   ? AttemptResult::kCompleted
+         : cause == 31 ? AttemptResult::kCancelled
+                       : AttemptResult::kLost;
 }
 
 const char* ReadSetUp(const OwnerMessage& message, const settings::WireSettings& wire, Micros now, Task* task,
@@ -100,7 +103,7 @@
   if (!ReadHex(field("key"), 16, &task->key)) return "key: expected 16 hex digits";
   std::uint64_t half = 0;
   const std::string_view idem = field("idem");
-  const bool keyed = wire.settings.classes[task->task_class].effect == Effect::kKeyed;
+  const bool keyed = wire.settings.classes[task->task_class].idempotency == Idempotency::kWithKey;
   if (keyed || !idem.empty()) {
     if (idem.size() != 32 || !ReadHex(idem.substr(0, 16), 16, &half) ||
         !ReadHex(idem.substr(16), 16, &half)) {
--- a/platform/meaning.hpp
+++ b/src/platform/message_mapping.hpp
@@ -2,16 +2,16 @@
 // form of the protocol is not taken.
 //
 // Bounds: an owner's wait of kLongestWait, sizes of a million cores or units of memory.
-#ifndef MOUNTFLOW_PLATFORM_MEANING_HPP_
-#define MOUNTFLOW_PLATFORM_MEANING_HPP_
+#ifndef MOUNTFLOW_PLATFORM_MESSAGE_MAPPING_HPP_
+#define MOUNTFLOW_PLATFORM_MESSAGE_MAPPING_HPP_
 
 #include <string>
 #include <string_view>
 #include <vector>
 
 #include "mountflow/scheduler.hpp"
-#include "platform/machine_wire.hpp"
-#include "platform/owner_wire.hpp"
+#include "platform/client_codec.hpp"
+#include "platform/node_codec.hpp"
 #include "settings/settings.hpp"
 
 namespace mountflow::platform {
@@ -24,11 +24,11 @@
 LoadReport ReadReport(const MachineMessage& message);
 bool ReadReported(std::string_view text, double* value);
 int IndexOf(const std::vector<std::string>& names, const std::string& name);  // -1: not among them
-Cause CauseOf(const std::string& said);
-bool ReadNoteKind(const std::string& said, NoteKind* kind);
+RejectionReason CauseOf(const std::string& said);
+bool ReadNoteKind(const std::string& said, ProgressKind* kind);
 // Before an answer, what is neither a refusal, an error nor moot is as a reset.
-Ending EndingOf(int cause, bool placed);
+AttemptResult EndingOf(int cause, bool placed);
 
 }  // namespace mountflow::platform
 
-#endif  // MOUNTFLOW_PLATFORM_MEANING_HPP_
+#endif  // MOUNTFLOW_PLATFORM_MESSAGE_MAPPING_HPP_
--- a/platform/machine_wire.cpp
+++ b/src/platform/node_codec.cpp
@@ -1,4 +1,4 @@
-#include "platform/machine_wire.hpp"
+#include "platform/node_codec.hpp"
 
 #include <utility>
 
--- a/platform/machine_wire.hpp
+++ b/src/platform/node_codec.hpp
@@ -6,15 +6,15 @@
 //
 // Bounds: a message of kMostMessage bytes; each parameter once. What is kept between reads is less than one
 // message, plus what was fed and not yet taken by Next(). What cannot be read is a value, and final.
-#ifndef MOUNTFLOW_PLATFORM_MACHINE_WIRE_HPP_
-#define MOUNTFLOW_PLATFORM_MACHINE_WIRE_HPP_
+#ifndef MOUNTFLOW_PLATFORM_NODE_CODEC_HPP_
+#define MOUNTFLOW_PLATFORM_NODE_CODEC_HPP_
 
 #include <map>
 #include <optional>
 #include <string>
 #include <string_view>
 
-#include "platform/port.hpp"
+#include "platform/transport.hpp"
 
 namespace mountflow::platform {
 
@@ -75,4 +75,4 @@
 
 }  // namespace mountflow::platform
 
-#endif  // MOUNTFLOW_PLATFORM_MACHINE_WIRE_HPP_
+#endif  // MOUNTFLOW_PLATFORM_NODE_CODEC_HPP_
--- a/platform/machine_links.cpp
+++ b/src/platform/node_connections.cpp
@@ -1,9 +1,9 @@
-#include "platform/machine_links.hpp"
+#include "platform/node_connections.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "platform/owner_wire.hpp"
+#include "platform/client_codec.hpp"
 
 namespace mountflow::platform {
 
@@ -11,16 +11,16 @@
 constexpr std::uint8_t kGivenUp = 16;
 }
 
-MachineLinks::Link& MachineLinks::Of(MachineId machine) {
+MachineLinks::Link& MachineLinks::Of(NodeId machine) {
   Link& link = links_[machine];
-  link.machine = machine;
+  link.node = machine;
   return link;
 }
 
 void MachineLinks::Emit(LinkEvent::Kind kind, const Link& link, Uid uid) {
   LinkEvent event;
   event.kind = kind;
-  event.machine = link.machine;
+  event.node = link.node;
   event.uid = uid;
   events_.push_back(std::move(event));
 }
@@ -31,16 +31,16 @@
   return !link.flights.empty() || link.standing > 0 || !link.owed.empty();
 }
 
-void MachineLinks::Know(Micros now, MachineId machine, const std::string& address) {
+void MachineLinks::Know(Micros now, NodeId machine, const std::string& address) {
   // A new machine at the address of an old one: a connection made there reaches the new one, and what stood
   // at the old one is cut, as two processes cannot share an address. The new one would pass every test and
   // never say so.
-  std::vector<MachineId> replaced;
+  std::vector<NodeId> replaced;
   for (const auto& [id, other] : links_) {
     if (id != machine && (other.address == address || (other.conn != 0 && other.connected_to == address)))
       replaced.push_back(id);
   }
-  for (const MachineId id : replaced) {
+  for (const NodeId id : replaced) {
     Link& other = links_.at(id);
     other.address.clear();
     if (other.conn != 0 && (!other.up || other.reopened))
@@ -55,7 +55,7 @@
   if (link.conn != 0) Cut(now, link, "its address changed", link.up);
 }
 
-void MachineLinks::Gone(Micros now, MachineId machine) {
+void MachineLinks::Gone(Micros now, NodeId machine) {
   const auto it = links_.find(machine);
   if (it == links_.end()) return;
   Link& link = it->second;
@@ -68,7 +68,7 @@
   Forget(machine);
 }
 
-void MachineLinks::Forget(MachineId machine) {
+void MachineLinks::Forget(NodeId machine) {
   const auto it = links_.find(machine);
   if (it == links_.end() || it->second.listed || it->second.conn != 0 || Needed(it->second)) return;
   links_.erase(it);
@@ -109,7 +109,7 @@
   }
   link.conn = port_->Connect(link.address);
   link.connected_to = link.address;
-  by_conn_[link.conn] = link.machine;
+  by_conn_[link.conn] = link.node;
   link.up = link.spoke = false;
   link.connect_by = now + options_.connect_timeout;
   link.reader = {};
@@ -117,7 +117,7 @@
   if (link.heard == 0) link.heard = now;
 }
 
-void MachineLinks::SetUp(Micros now, MachineId machine, Uid uid, std::string message) {
+void MachineLinks::SetUp(Micros now, NodeId machine, Uid uid, std::string message) {
   Link& link = Of(machine);
   link.used = now;
   if (link.address.empty() && link.conn == 0) {
@@ -174,7 +174,7 @@
   Send(link, WriteMachineMessage(test));
 }
 
-void MachineLinks::GiveUp(Micros now, MachineId machine, Uid uid) {
+void MachineLinks::GiveUp(Micros now, NodeId machine, Uid uid) {
   const auto it = links_.find(machine);
   if (it == links_.end()) return;
   Link& link = it->second;
@@ -195,7 +195,7 @@
   }
 }
 
-void MachineLinks::Release(Micros now, MachineId machine, Uid uid) {
+void MachineLinks::Release(Micros now, NodeId machine, Uid uid) {
   const auto it = links_.find(machine);
   if (it == links_.end()) return;
   Link& link = it->second;
@@ -206,14 +206,14 @@
   if (now >= link.retry_at) Connect(now, link);
 }
 
-void MachineLinks::Stand(Micros now, MachineId machine, bool before) {
+void MachineLinks::Stand(Micros now, NodeId machine, bool before) {
   Link& link = Of(machine);
   link.reopened |= before;
   if (link.standing++ == 0 && link.conn == 0) link.heard = now;
   if (link.conn == 0 && now >= link.retry_at) Connect(now, link);
 }
 
-void MachineLinks::Unstand(MachineId machine) {
+void MachineLinks::Unstand(NodeId machine) {
   const auto it = links_.find(machine);
   if (it == links_.end()) return;
   if (it->second.standing > 0 && --it->second.standing == 0) it->second.reopened = false;
@@ -259,7 +259,7 @@
 
 void MachineLinks::Read(Micros now, Link& link, const MachineMessage& message) {
   LinkEvent event;
-  event.machine = link.machine;
+  event.node = link.node;
   event.uid = message.uid;
   // Word under the id of a set-up that still waits in line is of an earlier one, and leaves it there.
   const auto flight = link.flights.find(message.uid);
@@ -314,7 +314,7 @@
   const auto it = by_conn_.find(conn);
   if (it == by_conn_.end()) return;
   Link& link = links_.at(it->second);
-  const MachineId machine = link.machine;
+  const NodeId machine = link.node;
   const bool was_up = link.up;
   Drop(now, link, was_up);
   if (refused && !was_up) Lose(link);
@@ -341,7 +341,7 @@
 }
 
 void MachineLinks::Tick(Micros now) {
-  std::vector<std::pair<Micros, MachineId>> due;  // those not heard for longest first
+  std::vector<std::pair<Micros, NodeId>> due;  // those not heard for longest first
   for (const auto& [machine, link] : links_) {
     if (DueOf(link) <= now) due.emplace_back(link.heard, machine);
   }
--- a/platform/machine_links.hpp
+++ b/src/platform/node_connections.hpp
@@ -17,8 +17,8 @@
 // Bounds: connections as the options say, one a machine; kMostInFlight set-ups a machine; kMostOwed releases
 // owed to a machine that is not connected, for kSilentLost; reconnects at most every kReconnectMost; a
 // machine that is gone is forgotten with its last task.
-#ifndef MOUNTFLOW_PLATFORM_MACHINE_LINKS_HPP_
-#define MOUNTFLOW_PLATFORM_MACHINE_LINKS_HPP_
+#ifndef MOUNTFLOW_PLATFORM_NODE_CONNECTIONS_HPP_
+#define MOUNTFLOW_PLATFORM_NODE_CONNECTIONS_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -30,8 +30,8 @@
 #include <vector>
 
 #include "mountflow/scheduler.hpp"
-#include "platform/machine_wire.hpp"
-#include "platform/port.hpp"
+#include "platform/node_codec.hpp"
+#include "platform/transport.hpp"
 
 namespace mountflow::platform {
 
@@ -63,7 +63,7 @@
     kMachineLost,  // what stood there is cut
   };
   Kind kind = Kind::kAnswered;
-  MachineId machine = 0;
+  NodeId node = 0;
   Uid uid = 0;
   bool standing = false;  // kEnded: of no set-up in flight here
   MachineMessage message;
@@ -80,16 +80,16 @@
   MachineLinks(const LinkOptions& options, Port* port) : options_(options), port_(port) {}
 
   // As the change log has it. An address that another machine takes over is lost to the one before.
-  void Know(Micros now, MachineId machine, const std::string& address);
-  void Gone(Micros now, MachineId machine);
+  void Know(Micros now, NodeId machine, const std::string& address);
+  void Gone(Micros now, NodeId machine);
 
-  void SetUp(Micros now, MachineId machine, Uid uid, std::string message);
-  void GiveUp(Micros now, MachineId machine, Uid uid);   // no event comes for it any more
-  void Release(Micros now, MachineId machine, Uid uid);  // cuts a task that stands
+  void SetUp(Micros now, NodeId machine, Uid uid, std::string message);
+  void GiveUp(Micros now, NodeId machine, Uid uid);   // no event comes for it any more
+  void Release(Micros now, NodeId machine, Uid uid);  // cuts a task that stands
   // Tasks that stand at a machine: word of them must be able to come.
   // `before`: they were placed before any connection of ours.
-  void Stand(Micros now, MachineId machine, bool before = false);
-  void Unstand(MachineId machine);
+  void Stand(Micros now, NodeId machine, bool before = false);
+  void Unstand(NodeId machine);
 
   bool Owns(ConnId conn) const { return by_conn_.count(conn) > 0; }
   void OnConnected(Micros now, ConnId conn);
@@ -111,7 +111,7 @@
     bool written = false;  // the kernel has all of it: what it holds is on its way
   };
   struct Link {
-    MachineId machine = 0;
+    NodeId node = 0;
     std::string address;       // empty: no new connection
     std::string connected_to;  // the address of its last connection
     bool reopened = false;     // tasks stand there that are older than its connection
@@ -132,7 +132,7 @@
     std::deque<Uid> owed;
   };
 
-  Link& Of(MachineId machine);
+  Link& Of(NodeId machine);
   bool Needed(const Link& link) const;
   void Connect(Micros now, Link& link, bool for_set_up = false);
   bool MakeRoom(Micros now, bool for_set_up);
@@ -145,18 +145,18 @@
   void Drop(Micros now, Link& link, bool was_up);
   void Cut(Micros now, Link& link, const char* why, bool was_up);
   void Lose(Link& link);
-  void Forget(MachineId machine);
+  void Forget(NodeId machine);
   Micros DueOf(const Link& link) const;
   void Emit(LinkEvent::Kind kind, const Link& link, Uid uid);
 
   LinkOptions options_;
   Port* port_;
-  std::map<MachineId, Link> links_;
-  std::unordered_map<ConnId, MachineId> by_conn_;
+  std::map<NodeId, Link> links_;
+  std::unordered_map<ConnId, NodeId> by_conn_;
   std::vector<LinkEvent> events_;
   std::uint64_t tests_ = 0;
 };
 
 }  // namespace mountflow::platform
 
-#endif  // MOUNTFLOW_PLATFORM_MACHINE_LINKS_HPP_
+#endif  // MOUNTFLOW_PLATFORM_NODE_CONNECTIONS_HPP_
--- a/platform/change_log.cpp
+++ b/src/platform/node_watch.cpp
@@ -1,4 +1,4 @@
-#include "platform/change_log.hpp"
+#include "platform/node_watch.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -32,7 +32,7 @@
   Text(entry, "zone", &machine->zone);
   Text(entry, "type", &machine->kind);
   std::uint64_t number = 0;
-  if (Whole(entry, "group", &number)) machine->cell = static_cast<unsigned>(number);
+  if (Whole(entry, "group", &number)) machine->rack = static_cast<unsigned>(number);
   if (const auto since = entry.find("since_ms"); since != entry.end() && since->is_number()) {
     const double ms = since->get<double>();
     if (std::isfinite(ms) && ms > 0 && ms < 9e12) machine->started_at = static_cast<Micros>(ms * 1000.0);
@@ -67,7 +67,7 @@
       if (entries == fleet->end() || !entries->is_array() || entries->size() > kMostMachines) return false;
       for (const json& entry : *entries) {
         ListedMachine machine;
-        if (ReadEntry(entry, &machine)) change.machines.push_back(std::move(machine));
+        if (ReadEntry(entry, &machine)) change.nodes.push_back(std::move(machine));
       }
     }
     if (!change.whole && change.number != *last + 1) {
--- a/platform/change_log.hpp
+++ b/src/platform/node_watch.hpp
@@ -7,8 +7,8 @@
 // again, and after kGapTries in a row the whole list is asked for.
 //
 // Bounds: one connection; a reply of kMostReply bytes; kMostMachines entries an event.
-#ifndef MOUNTFLOW_PLATFORM_CHANGE_LOG_HPP_
-#define MOUNTFLOW_PLATFORM_CHANGE_LOG_HPP_
+#ifndef MOUNTFLOW_PLATFORM_NODE_WATCH_HPP_
+#define MOUNTFLOW_PLATFORM_NODE_WATCH_HPP_
 
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "http/message.hpp"
-#include "platform/port.hpp"
+#include "platform/transport.hpp"
 
 namespace mountflow::platform {
 
@@ -34,7 +34,7 @@
 // One entry, as the change log words it.
 struct ListedMachine {
   std::string name, address, zone, kind, status;
-  unsigned cell = 0;
+  unsigned rack = 0;
   Micros started_at = 0;
   double free_cores = 0.0, free_memory = 0.0;
 };
@@ -42,7 +42,7 @@
 struct FleetChange {
   std::uint64_t number = 0;
   bool whole = false;  // the whole list, not what has changed
-  std::vector<ListedMachine> machines;
+  std::vector<ListedMachine> nodes;
 };
 
 // Reads what a reply and `known` hold. False: it has not this form. Events after `since` are appended, in
@@ -88,4 +88,4 @@
 
 }  // namespace mountflow::platform
 
-#endif  // MOUNTFLOW_PLATFORM_CHANGE_LOG_HPP_
+#endif  // MOUNTFLOW_PLATFORM_NODE_WATCH_HPP_
--- a/platform/platform_config.cpp
+++ b/src/platform/platform_config.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "platform/owner_wire.hpp"
+#include "platform/client_codec.hpp"
 
 namespace mountflow::platform {
 namespace {
@@ -134,7 +134,7 @@
   }
   if (config.wire.kind_names.empty()) bad("settings.kinds: expected the names of the kinds of machines");
   if (config.wire.zone_names.empty()) bad("settings.failure_domains: expected the names of the zones");
-  if (config.wire.settings.must_ask) bad("settings.discovery: expected push, the change log's way");
+  if (config.wire.settings.list_on_request) bad("settings.discovery: expected push, the change log's way");
   return config;
 }
 
--- a/platform/platform_config.hpp
+++ b/src/platform/platform_config.hpp
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-#include "platform/change_log.hpp"
+#include "platform/node_watch.hpp"
 #include "settings/settings.hpp"
 
 namespace mountflow::platform {
--- a/daemon/platform_shell.cpp
+++ b/src/platform/platform_server.cpp
@@ -1,4 +1,4 @@
-#include "daemon/platform_shell.hpp"
+#include "platform/platform_server.hpp"
 
 #include <errno.h>
 #include <poll.h>
@@ -62,7 +62,8 @@
   }
 }
 
-PlatformShell::PlatformShell(net::Loop* loop, const platform::PlatformConfig& config, std::string config_file)
+PlatformShell::PlatformShell(event_loop::Loop* loop, const platform::PlatformConfig& config,
+                             std::string config_file)
     : loop_(loop),
       config_(config),
       config_file_(std::move(config_file)),
@@ -94,17 +95,18 @@
   owners_.Trace(write);
 }
 
-void PlatformShell::OnAccepted(net::ListenerId, net::ConnId conn, const net::PeerInfo& peer) {
+void PlatformShell::OnAccepted(event_loop::ListenerId, event_loop::ConnId conn,
+                               const event_loop::PeerInfo& peer) {
   last_new_ = loop_->Now();
   owners_.Accept(loop_->Now(), conn, peer.address);
 }
 
-void PlatformShell::OnConnected(net::ConnId conn) {
+void PlatformShell::OnConnected(event_loop::ConnId conn) {
   if (changes_.Owns(conn)) return changes_.OnConnected(loop_->Now(), conn);
   links_.OnConnected(loop_->Now(), conn);
 }
 
-void PlatformShell::OnReceived(net::ConnId conn, std::string_view bytes) {
+void PlatformShell::OnReceived(event_loop::ConnId conn, std::string_view bytes) {
   const Micros now = loop_->Now();
   if (owners_.Owns(conn)) {
     owners_.OnBytes(now, conn, bytes);
@@ -119,9 +121,9 @@
   owners_.Deliver(now);
 }
 
-void PlatformShell::OnSent(net::ConnId conn) { links_.OnWritten(loop_->Now(), conn); }
+void PlatformShell::OnSent(event_loop::ConnId conn) { links_.OnWritten(loop_->Now(), conn); }
 
-void PlatformShell::OnClosed(net::ConnId conn, const std::string& reason) {
+void PlatformShell::OnClosed(event_loop::ConnId conn, const std::string& reason) {
   const Micros now = loop_->Now();
   if (owners_.Owns(conn)) {
     owners_.OnClosed(now, conn);
@@ -129,7 +131,7 @@
     changes_.OnClosed(now, conn);
     for (const platform::FleetChange& change : changes_.Take()) tasks_.Fleet(now, change);
   } else {
-    links_.OnClosed(now, conn, net::Loop::Refused(reason));
+    links_.OnClosed(now, conn, event_loop::Loop::Refused(reason));
     tasks_.FromLinks(now);
   }
   owners_.Deliver(now);
@@ -211,7 +213,7 @@
 
 int RunPlatform(const std::string& trace) {
   // Before anything else: until then SIGHUP and SIGTERM end the program where it stands.
-  net::Loop loop;
+  event_loop::Loop loop;
   PlatformShell* told = nullptr;
   loop.OnSignal(SIGTERM, [&told] { told->Leave(); });
   loop.OnSignal(SIGINT, [&told] { told->Leave(); });
--- a/daemon/platform_shell.hpp
+++ b/src/platform/platform_server.hpp
@@ -1,20 +1,20 @@
 // mountflowd in the platform's service: joins the parts of platform/ to the loop. Listens on one address, and
 // keeps nothing on disk. Log lines go to standard error, folded, and are dropped when nobody reads them.
-#ifndef MOUNTFLOW_DAEMON_PLATFORM_SHELL_HPP_
-#define MOUNTFLOW_DAEMON_PLATFORM_SHELL_HPP_
+#ifndef MOUNTFLOW_PLATFORM_PLATFORM_SERVER_HPP_
+#define MOUNTFLOW_PLATFORM_PLATFORM_SERVER_HPP_
 
 #include <cstdio>
 #include <memory>
 #include <set>
 #include <string>
 
-#include "net/loop.hpp"
-#include "platform/change_log.hpp"
-#include "platform/machine_links.hpp"
-#include "platform/owners.hpp"
+#include "event_loop/event_loop.hpp"
+#include "platform/client_connections.hpp"
+#include "platform/node_connections.hpp"
+#include "platform/node_watch.hpp"
 #include "platform/platform_config.hpp"
-#include "platform/port.hpp"
-#include "platform/tasks.hpp"
+#include "platform/request_table.hpp"
+#include "platform/transport.hpp"
 
 namespace mountflow::daemon {
 
@@ -39,19 +39,19 @@
   std::set<std::string> said_;  // in this second
 };
 
-class PlatformShell : public net::Handler, public platform::Port {
+class PlatformShell : public event_loop::Handler, public platform::Port {
  public:
-  PlatformShell(net::Loop* loop, const platform::PlatformConfig& config, std::string config_file);
+  PlatformShell(event_loop::Loop* loop, const platform::PlatformConfig& config, std::string config_file);
   bool Start(std::string* error);
   void Trace(std::FILE* to);  // what the module is told and does
   void Reload();
   void Leave();
 
-  void OnAccepted(net::ListenerId, net::ConnId, const net::PeerInfo&) override;
-  void OnConnected(net::ConnId) override;
-  void OnReceived(net::ConnId, std::string_view) override;
-  void OnSent(net::ConnId) override;
-  void OnClosed(net::ConnId, const std::string& reason) override;
+  void OnAccepted(event_loop::ListenerId, event_loop::ConnId, const event_loop::PeerInfo&) override;
+  void OnConnected(event_loop::ConnId) override;
+  void OnReceived(event_loop::ConnId, std::string_view) override;
+  void OnSent(event_loop::ConnId) override;
+  void OnClosed(event_loop::ConnId, const std::string& reason) override;
 
   platform::ConnId Connect(const std::string& address) override;
   void Send(platform::ConnId conn, std::string_view bytes) override;
@@ -65,7 +65,7 @@
   void OnTimer();
   void MaybeLeave(Micros now);
 
-  net::Loop* loop_;
+  event_loop::Loop* loop_;
   platform::PlatformConfig config_;
   std::string config_file_;
   FoldedLog log_;
@@ -73,7 +73,7 @@
   platform::Tasks tasks_;
   platform::Owners owners_;
   platform::ChangeLog changes_;
-  net::ListenerId listener_ = 0;
+  event_loop::ListenerId listener_ = 0;
   Micros leaving_ = 0, last_new_ = 0;
   bool looked_ = false;  // nothing was owed at the end of the turn before
 };
@@ -84,4 +84,4 @@
 
 }  // namespace mountflow::daemon
 
-#endif  // MOUNTFLOW_DAEMON_PLATFORM_SHELL_HPP_
+#endif  // MOUNTFLOW_PLATFORM_PLATFORM_SERVER_HPP_
--- a/platform/tasks.cpp
+++ b/src/platform/request_table.cpp
@@ -1,10 +1,10 @@
-#include "platform/tasks.hpp"
+#include "platform/request_table.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "platform/meaning.hpp"
-#include "platform/trace.hpp"
+#include "platform/event_trace.hpp"
+#include "platform/message_mapping.hpp"
 
 namespace mountflow::platform {
 namespace {
@@ -22,7 +22,7 @@
 // ---- The fleet ----
 
 // Equal at all schedulers and after a restart: the module agrees on homes of services by this number.
-MachineId Tasks::IdOf(const std::string& name) {
+NodeId Tasks::IdOf(const std::string& name) {
   if (const auto it = ids_.find(name); it != ids_.end()) return it->second;
   std::uint32_t hash = 2166136261u;
   for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 16777619u;
@@ -32,16 +32,16 @@
   return hash;
 }
 
-MachineEntry Tasks::EntryOf(const ListedMachine& machine) {
-  MachineEntry entry;
-  entry.machine = IdOf(machine.name);
-  entry.cell = machine.cell;
+NodeEntry Tasks::EntryOf(const ListedMachine& machine) {
+  NodeEntry entry;
+  entry.node = IdOf(machine.name);
+  entry.rack = machine.rack;
   entry.zone = static_cast<unsigned>(std::max(0, IndexOf(wire_.zone_names, machine.zone)));
   entry.kind = static_cast<unsigned>(std::max(0, IndexOf(wire_.kind_names, machine.kind)));
   entry.started_at = machine.started_at;
-  entry.state = machine.status == "ready"      ? MachineState::kReady
-                : machine.status == "draining" ? MachineState::kDraining
-                                               : MachineState::kGone;
+  entry.state = machine.status == "ready"      ? NodeState::kReady
+                : machine.status == "draining" ? NodeState::kDraining
+                                               : NodeState::kGone;
   entry.free_cores = machine.free_cores;
   entry.free_memory = machine.free_memory;
   return entry;
@@ -52,29 +52,31 @@
   std::map<std::string, ListedMachine> list;
   for (const FleetChange& change : known) {
     if (change.whole) list.clear();
-    for (const ListedMachine& machine : change.machines) list[machine.name] = machine;
+    for (const ListedMachine& machine : change.nodes) list[machine.name] = machine;
   }
   FleetChange all;
   all.whole = true;
-  for (auto& [name, machine] : list) all.machines.push_back(std::move(machine));
+  for (auto& [name, machine] : list) all.nodes.push_back(std::move(machine));
   Fleet(now, all, true);
 }
 
 void Tasks::Fleet(Micros now, const FleetChange& change, bool remembered) {
   now_ = now;
-  FleetView view;
-  view.mode = remembered ? ViewMode::kRemembered : change.whole ? ViewMode::kFull : ViewMode::kChanges;
+  NodeListUpdate view;
+  view.kind = remembered     ? NodeListKind::kCached
+              : change.whole ? NodeListKind::kSnapshot
+                             : NodeListKind::kDelta;
   std::set<std::string> named;
-  for (const ListedMachine& machine : change.machines) {
+  for (const ListedMachine& machine : change.nodes) {
     named.insert(machine.name);
-    view.machines.push_back(EntryOf(machine));
-    const MachineEntry& entry = view.machines.back();
-    if (entry.state == MachineState::kGone) {
-      listed_.erase(entry.machine);
-      links_->Gone(now, entry.machine);
+    view.nodes.push_back(EntryOf(machine));
+    const NodeEntry& entry = view.nodes.back();
+    if (entry.state == NodeState::kGone) {
+      listed_.erase(entry.node);
+      links_->Gone(now, entry.node);
     } else {
-      listed_.insert(entry.machine);
-      links_->Know(now, entry.machine, machine.address);
+      listed_.insert(entry.node);
+      links_->Know(now, entry.node, machine.address);
     }
   }
   if (change.whole) {
@@ -87,15 +89,15 @@
   events_.push_back(std::move(view));
   Run();
   FromLinks(now);
-  std::vector<MachineId> unlisted;
+  std::vector<NodeId> unlisted;
   for (const auto& [id, name] : names_) {
     if (listed_.count(id) == 0) unlisted.push_back(id);
   }
-  for (const MachineId id : unlisted) ForgetName(id);
+  for (const NodeId id : unlisted) ForgetName(id);
 }
 
 // Names that come once must not add up for ever. What still holds tasks keeps its number.
-void Tasks::ForgetName(MachineId id) {
+void Tasks::ForgetName(NodeId id) {
   const auto it = names_.find(id);
   if (it == names_.end() || listed_.count(id) > 0 || standing_.count(id) > 0) return;
   ids_.erase(it->second);
@@ -151,12 +153,12 @@
   by_uid_[message.uid] = task.request;
   if (!at.empty()) {
     one.answered = one.out = one.placed = true;
-    one.machine = IdOf(at);
-    standing_[one.machine].insert(task.request);
+    one.node = IdOf(at);
+    standing_[one.node].insert(task.request);
     CountStanding(conn, 1);
-    events_.push_back(RunningTask{task, one.machine});
+    events_.push_back(TaskRecovered{task, one.node});
     Run();
-    links_->Stand(now, one.machine, true);
+    links_->Stand(now, one.node, true);
     FromLinks(now);
     return Took::kRunning;
   }
@@ -171,28 +173,28 @@
   one.idem = field("idem");
   one.description = message.description;
   held_ += one.description.size();
-  events_.push_back(TaskArrival{task});
+  events_.push_back(TaskSubmitted{task});
   Run();
   FromLinks(now);
   return Took::kAsked;
 }
 
-void Tasks::Offered(const Offer& offer) {
+void Tasks::Offered(const StartAttempt& offer) {
   const auto it = tasks_.find(offer.request);
   if (it == tasks_.end()) return;
   One& one = it->second;
   one.out = true;
   one.attempt = offer.attempt;
-  one.machine = offer.machine;
+  one.node = offer.node;
   one.sent = now_;
   // Its owner may have gone while the set-up waited to be read, or between two attempts, and nothing was read
   // of that yet: an attempt that begins now would be for nobody.
   if (has_left_ && has_left_(one.conn)) {
-    events_.push_back(Withdrawal{offer.request});
+    events_.push_back(TaskCancelled{offer.request});
     Answered(one);
-    return End(one, offer.request, Ending::kMoot, Cause::kUntold, {}, true);
+    return End(one, offer.request, AttemptResult::kNotSent, RejectionReason::kUnspecified, {}, true);
   }
-  const Micros until = offer.until == 0 ? one.deadline : std::min(offer.until, one.deadline);
+  const Micros until = offer.deadline == 0 ? one.deadline : std::min(offer.deadline, one.deadline);
   Due(offer.request, one, until);
   MachineMessage message;
   message.kind = MachineKind::kSetUp;
@@ -204,8 +206,9 @@
   if (!one.description.empty()) message.params[kDescription] = one.description;
   std::string bytes = WriteMachineMessage(message);
   // Too long for this wire: no machine can get it, so it never ran.
-  if (bytes.empty()) return End(one, offer.request, Ending::kMoot, Cause::kUntold, {}, false);
-  links_->SetUp(now_, offer.machine, one.uid, std::move(bytes));
+  if (bytes.empty())
+    return End(one, offer.request, AttemptResult::kNotSent, RejectionReason::kUnspecified, {}, false);
+  links_->SetUp(now_, offer.node, one.uid, std::move(bytes));
 }
 
 void Tasks::Due(RequestId id, One& one, Micros at) {
@@ -217,29 +220,30 @@
 // ---- Outcomes ----
 
 // The one place that tells the module how an attempt or a task ended.
-void Tasks::End(One& one, RequestId id, Ending ending, Cause cause, LoadReport report, bool closed) {
+void Tasks::End(One& one, RequestId id, AttemptResult ending, RejectionReason cause, LoadReport report,
+                bool closed) {
   if (!one.out) return;
   one.out = false;
   Due(id, one, kNever);
   if (one.placed) {
-    const auto there = standing_.find(one.machine);
+    const auto there = standing_.find(one.node);
     if (there != standing_.end() && there->second.erase(id) > 0) {
-      links_->Unstand(one.machine);
+      links_->Unstand(one.node);
       CountStanding(one.conn, -1);
     }
     if (there != standing_.end() && there->second.empty()) {
       standing_.erase(there);
-      ForgetName(one.machine);
+      ForgetName(one.node);
     }
   }
-  Outcome outcome;
+  AttemptEnded outcome;
   outcome.request = id;
   outcome.attempt = one.attempt;
-  outcome.machine = one.machine;
+  outcome.node = one.node;
   outcome.elapsed = now_ > one.sent ? now_ - one.sent : 0;
-  outcome.closed = closed;
-  outcome.ending = ending;
-  outcome.cause = cause;
+  outcome.request_closed = closed;
+  outcome.result = ending;
+  outcome.reason = cause;
   outcome.report = report;
   events_.push_back(std::move(outcome));
   if (one.answered) Drop(id);
@@ -298,13 +302,14 @@
   for (std::vector<LinkEvent> events = links_->Take(); !events.empty(); events = links_->Take()) {
     for (LinkEvent& event : events) {
       if (event.kind == LinkEvent::Kind::kMachineLost) {
-        const auto there = standing_.find(event.machine);
+        const auto there = standing_.find(event.node);
         if (there == standing_.end()) continue;
         const std::set<RequestId> lost = there->second;
         for (const RequestId id : lost) {
           One& one = tasks_.at(id);
           if (!one.ended) Tell(one, OwnerKind::kStop, kCauseFailed);
-          End(one, id, one.ended ? Ending::kCancelled : Ending::kLost, Cause::kUntold, {}, true);
+          End(one, id, one.ended ? AttemptResult::kCancelled : AttemptResult::kLost,
+              RejectionReason::kUnspecified, {}, true);
         }
         continue;
       }
@@ -316,17 +321,17 @@
       const RequestId id = by_uid->second;
       One& one = tasks_.at(id);
       // One id goes to several machines: word of another attempt than the one that is out is not taken.
-      if (!one.out || one.machine != event.machine) continue;
+      if (!one.out || one.node != event.node) continue;
       const MachineMessage& message = event.message;
       switch (event.kind) {
         case LinkEvent::Kind::kAnswered: {
           if (one.placed) break;
           one.placed = true;
           Due(id, one, kNever);
-          standing_[one.machine].insert(id);
+          standing_[one.node].insert(id);
           CountStanding(one.conn, 1);
-          links_->Stand(now, one.machine);
-          events_.push_back(Placement{id, one.attempt, one.machine, now > one.sent ? now - one.sent : 0});
+          links_->Stand(now, one.node);
+          events_.push_back(TaskStarted{id, one.attempt, one.node, now > one.sent ? now - one.sent : 0});
           OwnerMessage answer;
           answer.kind = OwnerKind::kAnswer;
           answer.description = message.Text(kDescription);
@@ -341,20 +346,21 @@
         case LinkEvent::Kind::kEnded: {
           if (event.standing != one.placed) break;
           const int cause = message.cause.value_or(kCauseFailed);
-          const Ending ending = EndingOf(cause, one.placed);
+          const AttemptResult ending = EndingOf(cause, one.placed);
           // Moved, or ended by its owner: no release is owed.
-          if (one.placed && !one.ended && ending != Ending::kCancelled) Tell(one, OwnerKind::kStop, cause);
+          if (one.placed && !one.ended && ending != AttemptResult::kCancelled)
+            Tell(one, OwnerKind::kStop, cause);
           End(one, id, ending, CauseOf(message.Text(kSaid)), ReadReport(message), one.placed);
           break;
         }
         case LinkEvent::Kind::kNeverRan:
-          End(one, id, Ending::kUnreachable, Cause::kUntold, {}, false);
+          End(one, id, AttemptResult::kUnreachable, RejectionReason::kUnspecified, {}, false);
           break;
         case LinkEvent::Kind::kMayHaveRun:
-          End(one, id, Ending::kLost, Cause::kUntold, {}, false);
+          End(one, id, AttemptResult::kLost, RejectionReason::kUnspecified, {}, false);
           break;
         case LinkEvent::Kind::kNoted: {
-          TaskNote note{id, one.attempt, one.machine, NoteKind::kRuns, 0.0};
+          TaskProgress note{id, one.attempt, one.node, ProgressKind::kRunning, 0.0};
           if (!ReadNoteKind(message.Text(kSaid), &note.kind)) break;
           ReadReported(message.Text(kFigure), &note.value);
           events_.push_back(note);
@@ -377,17 +383,17 @@
   const RequestId id = by_uid->second;
   One& one = tasks_.at(id);
   if (one.ended) return;
-  events_.push_back(Withdrawal{id});
+  events_.push_back(TaskCancelled{id});
   if (one.placed) {
     one.ended = true;
-    links_->Release(now, one.machine, uid);
+    links_->Release(now, one.node, uid);
     Due(id, one, now + kReleaseWait);
     Run();
   } else {
     Answered(one);
-    links_->GiveUp(now, one.machine, uid);
+    links_->GiveUp(now, one.node, uid);
     if (one.out) {
-      End(one, id, Ending::kCancelled, Cause::kUntold, {}, true);
+      End(one, id, AttemptResult::kCancelled, RejectionReason::kUnspecified, {}, true);
     } else {
       Drop(id);
       Run();
@@ -440,7 +446,7 @@
 
 void Tasks::TraceTurn(const Event& event, const std::vector<Action>& actions) {
   std::string told = Describe(event);
-  if (const auto* running = std::get_if<RunningTask>(&event)) {
+  if (const auto* running = std::get_if<TaskRecovered>(&event)) {
     told += " uid " + WriteHex(tasks_.at(running->task.request).uid);
   }
   if (!told.empty()) trace_(now_, told);
@@ -451,8 +457,8 @@
 }
 
 void Tasks::Act(const Action& action) {
-  if (const auto* offer = std::get_if<Offer>(&action)) return Offered(*offer);
-  if (const auto* alarm = std::get_if<SetAlarm>(&action)) {
+  if (const auto* offer = std::get_if<StartAttempt>(&action)) return Offered(*offer);
+  if (const auto* alarm = std::get_if<SetTimer>(&action)) {
     alarms_.insert({alarm->at, alarm->token});
     return;
   }
@@ -470,28 +476,29 @@
   const auto it = tasks_.find(id);
   if (it == tasks_.end()) return;
   One& one = it->second;
-  if (const auto* refusal = std::get_if<Refusal>(&action)) {
+  if (const auto* refusal = std::get_if<RejectTask>(&action)) {
     OwnerMessage message;
     message.kind = OwnerKind::kStop;
     message.cause = kCauseRefused;
-    if (refusal->wait > 0) message.fields["wait"] = std::to_string((refusal->wait + 999) / 1000);
+    if (refusal->retry_after > 0)
+      message.fields["wait"] = std::to_string((refusal->retry_after + 999) / 1000);
     Answer(one, std::move(message));
     if (!one.out) Drop(id);
-  } else if (std::holds_alternative<Failure>(action)) {
+  } else if (std::holds_alternative<FailTask>(action)) {
     OwnerMessage message;
     message.kind = OwnerKind::kStop;
     message.cause = kCauseFailed;
     Answer(one, std::move(message));
     if (!one.out) Drop(id);
-  } else if (std::holds_alternative<CancelOffer>(action)) {
+  } else if (std::holds_alternative<CancelAttempt>(action)) {
     if (!one.out || one.placed) return;
-    links_->GiveUp(now_, one.machine, one.uid);
-    End(one, id, Ending::kCancelled, Cause::kUntold, {}, false);
-  } else if (std::holds_alternative<Move>(action)) {
+    links_->GiveUp(now_, one.node, one.uid);
+    End(one, id, AttemptResult::kCancelled, RejectionReason::kUnspecified, {}, false);
+  } else if (std::holds_alternative<MigrateTask>(action)) {
     if (!one.placed || one.ended) return;
     one.ended = true;
     Tell(one, OwnerKind::kMove, 0);
-    links_->Release(now_, one.machine, one.uid);
+    links_->Release(now_, one.node, one.uid);
     Due(id, one, now_ + kReleaseWait);
   }
 }
@@ -506,7 +513,7 @@
   while (!alarms_.empty() && alarms_.begin()->first <= now) {
     const std::uint64_t token = alarms_.begin()->second;
     alarms_.erase(alarms_.begin());
-    events_.push_back(Alarm{token});
+    events_.push_back(TimerFired{token});
     Run();
   }
   while (!due_.empty() && due_.begin()->first <= now) {
@@ -514,11 +521,12 @@
     One& one = tasks_.at(id);
     Due(id, one, kNever);
     if (one.placed) {
-      End(one, id, Ending::kCancelled, Cause::kUntold, {}, true);  // released, and no word of it
+      End(one, id, AttemptResult::kCancelled, RejectionReason::kUnspecified, {},
+          true);  // released, and no word of it
     } else {
       // Given up at the machine before another attempt may go out.
-      links_->GiveUp(now, one.machine, one.uid);
-      End(one, id, Ending::kTimedOut, Cause::kUntold, {}, false);
+      links_->GiveUp(now, one.node, one.uid);
+      End(one, id, AttemptResult::kTimedOut, RejectionReason::kUnspecified, {}, false);
     }
   }
   FromLinks(now);
--- a/platform/tasks.hpp
+++ b/src/platform/request_table.hpp
@@ -9,8 +9,8 @@
 // Bounds: kMostOpen set-ups without an answer, kMostOpenHere of one connection, kMostTasks in all; the bytes
 // of descriptions not yet placed, as the constructor says (a second copy waits while a machine is connected);
 // machines listed or holding one of these; alarms as many as the module sets.
-#ifndef MOUNTFLOW_PLATFORM_TASKS_HPP_
-#define MOUNTFLOW_PLATFORM_TASKS_HPP_
+#ifndef MOUNTFLOW_PLATFORM_REQUEST_TABLE_HPP_
+#define MOUNTFLOW_PLATFORM_REQUEST_TABLE_HPP_
 
 #include <deque>
 #include <functional>
@@ -22,9 +22,9 @@
 #include <vector>
 
 #include "mountflow/scheduler.hpp"
-#include "platform/change_log.hpp"
-#include "platform/machine_links.hpp"
-#include "platform/owner_wire.hpp"
+#include "platform/client_codec.hpp"
+#include "platform/node_connections.hpp"
+#include "platform/node_watch.hpp"
 #include "settings/settings.hpp"
 
 namespace mountflow::platform {
@@ -107,7 +107,7 @@
     bool placed = false;
     bool ended = false;    // by its owner or by a move: no release is owed
     unsigned attempt = 0;  // the number of the last
-    MachineId machine = 0;
+    NodeId node = 0;
     Micros sent = 0, deadline = 0;
     Micros until = kNever;  // of the attempt, or of the wait for word on a release
     // For the machines, until it stands.
@@ -118,8 +118,9 @@
   void Run();
   void TraceTurn(const Event& event, const std::vector<Action>& actions);
   void Act(const Action& action);
-  void Offered(const Offer& offer);
-  void End(One& one, RequestId id, Ending ending, Cause cause, LoadReport report, bool closed);
+  void Offered(const StartAttempt& offer);
+  void End(One& one, RequestId id, AttemptResult ending, RejectionReason cause, LoadReport report,
+           bool closed);
   void Answer(One& one, OwnerMessage message);
   void Answered(One& one);
   void Tell(const One& one, OwnerKind kind, int cause);
@@ -127,9 +128,9 @@
   void Due(RequestId id, One& one, Micros at);
   void Drop(RequestId id);
   void CountStanding(ConnId conn, int change);
-  MachineId IdOf(const std::string& name);
-  void ForgetName(MachineId id);
-  MachineEntry EntryOf(const ListedMachine& machine);
+  NodeId IdOf(const std::string& name);
+  void ForgetName(NodeId id);
+  NodeEntry EntryOf(const ListedMachine& machine);
 
   settings::WireSettings wire_;
   MachineLinks* links_;
@@ -140,13 +141,13 @@
   std::unordered_map<RequestId, One> tasks_;
   std::unordered_map<Uid, RequestId> by_uid_;
   std::unordered_map<ConnId, std::set<RequestId>> open_on_;
-  std::map<MachineId, std::set<RequestId>> standing_;
+  std::map<NodeId, std::set<RequestId>> standing_;
   std::unordered_map<ConnId, std::size_t> standing_on_;
   std::set<std::pair<Micros, RequestId>> due_;
   std::set<std::pair<Micros, std::uint64_t>> alarms_;
-  std::map<std::string, MachineId> ids_;  // of machines that are listed or hold tasks
-  std::map<MachineId, std::string> names_;
-  std::set<MachineId> listed_;
+  std::map<std::string, NodeId> ids_;  // of machines that are listed or hold tasks
+  std::map<NodeId, std::string> names_;
+  std::set<NodeId> listed_;
   std::deque<Event> events_;
   bool running_ = false;
   std::vector<OwnerOut> outs_;
@@ -157,4 +158,4 @@
 
 }  // namespace mountflow::platform
 
-#endif  // MOUNTFLOW_PLATFORM_TASKS_HPP_
+#endif  // MOUNTFLOW_PLATFORM_REQUEST_TABLE_HPP_
--- a/platform/port.hpp
+++ b/src/platform/transport.hpp
@@ -1,7 +1,7 @@
 // What the parts of the platform's program ask of whoever owns the sockets: the daemon's shell in service, a
 // script in tests. Connections are numbered; a number never comes again.
-#ifndef MOUNTFLOW_PLATFORM_PORT_HPP_
-#define MOUNTFLOW_PLATFORM_PORT_HPP_
+#ifndef MOUNTFLOW_PLATFORM_TRANSPORT_HPP_
+#define MOUNTFLOW_PLATFORM_TRANSPORT_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -33,4 +33,4 @@
 
 }  // namespace mountflow::platform
 
-#endif  // MOUNTFLOW_PLATFORM_PORT_HPP_
+#endif  // MOUNTFLOW_PLATFORM_TRANSPORT_HPP_
--- a/owners/repeats.cpp
+++ b/src/retry/retry.cpp
@@ -1,8 +1,8 @@
-#include "owners/repeats.hpp"
+#include "retry/retry.hpp"
 
 #include <algorithm>
 
-namespace mountflow::owners {
+namespace mountflow::retry {
 
 RepeatDecision Repeats::Decide(const RepeatPolicy& policy, const AskEnded& e) {
   RepeatDecision d;
@@ -12,7 +12,7 @@
   }
   // Danger: an unsafe task that may have run must never start again, whatever its owner allows; only the
   // certain knowledge that no attempt ran or runs could permit it, and a loss is proof of the contrary.
-  if (e.effect == Effect::kUnsafe && e.end != AskEnd::kRefused) {
+  if (e.idempotency == Idempotency::kNotIdempotent && e.end != AskEnd::kRefused) {
     d.why = "it may have run, and its class must not run twice";
     return d;
   }
@@ -27,7 +27,7 @@
     wait = std::min(wait, policy.most_wait);
   }
   wait = std::max(wait, e.advised);
-  const bool settle = e.effect != Effect::kSafe && (e.unsettled || e.end == AskEnd::kFailed);
+  const bool settle = e.idempotency != Idempotency::kIdempotent && (e.unsettled || e.end == AskEnd::kFailed);
   if (settle) wait = std::max(wait, policy.settle_wait);
   // Many owners refused together must not come back together.
   wait += static_cast<Micros>(static_cast<double>(wait) * policy.spread * e.draw);
@@ -41,4 +41,4 @@
   return d;
 }
 
-}  // namespace mountflow::owners
+}  // namespace mountflow::retry
--- a/owners/repeats.hpp
+++ b/src/retry/retry.hpp
@@ -4,14 +4,14 @@
 // Free of I/O, clock and threads; the draw comes from the caller. The scheduler
 // proper is not asked here: a repeat is a new ask to it, and each ask has its
 // own one answer.
-#ifndef MOUNTFLOW_OWNERS_REPEATS_HPP_
-#define MOUNTFLOW_OWNERS_REPEATS_HPP_
+#ifndef MOUNTFLOW_RETRY_RETRY_HPP_
+#define MOUNTFLOW_RETRY_RETRY_HPP_
 
 #include <cstdint>
 
 #include "mountflow/scheduler.hpp"
 
-namespace mountflow::owners {
+namespace mountflow::retry {
 
 struct RepeatPolicy {
   unsigned most = 8;               // repeats without a placement between; 0: never
@@ -30,7 +30,7 @@
 
 struct AskEnded {
   AskEnd end = AskEnd::kRefused;
-  Effect effect = Effect::kUnsafe;
+  Idempotency idempotency = Idempotency::kNotIdempotent;
   bool rerunnable = false;
   bool unsettled = false;  // an attempt may still run or be accepted
   Micros advised = 0;      // wait that the refusal advised
@@ -63,6 +63,6 @@
   std::uint16_t in_row_ = 0;
 };
 
-}  // namespace mountflow::owners
+}  // namespace mountflow::retry
 
-#endif  // MOUNTFLOW_OWNERS_REPEATS_HPP_
+#endif  // MOUNTFLOW_RETRY_RETRY_HPP_
--- a/module/brain.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -1,6 +1,8 @@
 // The decisions of mountflow, all of them. Interface: module/include/mountflow/scheduler.hpp.
 // Order: constants, the fleet's picture, the pick, attempts and answers, health, guards, event handlers.
 // The mechanism is the Normalized Service Capacity strategy of Shikata and Hanayama; see docs/design.md.
+#include "mountflow/scheduler.hpp"
+
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -16,8 +18,7 @@
 #include <utility>
 #include <vector>
 
-#include "mountflow/scheduler.hpp"
-#include "own_work.hpp"
+#include "scheduler/unobserved_load.hpp"
 
 namespace mountflow {
 namespace {
@@ -96,7 +97,7 @@
 // One that may be offered a task; warm: it holds, or lately held, own tasks of that service.
 struct Ranked {
   double value;
-  struct Machine* machine;
+  struct Machine* node;
   bool warm;
 };
 struct ClassHealth {
@@ -105,7 +106,7 @@
 };
 
 struct Machine {
-  MachineEntry entry;
+  NodeEntry entry;
   bool listed = false;
   Micros changed_at = 0;    // when its room last changed in the list
   Micros needed_at = 0;     // when it last was listed or held own tasks
@@ -128,7 +129,7 @@
 };
 
 // Own tasks of a service by machine: those there, and with them those that ended lately.
-using Together = std::map<MachineId, std::pair<int, int>>;
+using Together = std::map<NodeId, std::pair<int, int>>;
 using Places = std::map<unsigned, int>;
 struct Request {
   Task task;
@@ -138,18 +139,18 @@
   bool answered = false;  // its one final answer is given, or no longer owed
   bool may_have_run = false;
   Micros bound_since = 0;  // send of the first attempt that may have run
-  MachineId bound_to = 0;  // and its machine
-  MachineId machine = 0;   // of the last attempt
+  NodeId bound_to = 0;     // and its machine
+  NodeId node = 0;         // of the last attempt
   Micros sent = 0;
   Micros held_since = 0;  // as the machine's own work has it
-  std::vector<MachineId> tried;
+  std::vector<NodeId> tried;
 };
 
 }  // namespace
 
-class Scheduler::Brain {
+class Scheduler::Impl {
  public:
-  Brain(const Settings& settings, std::uint64_t seed) : set_(settings), random_(seed) {
+  Impl(const Settings& settings, std::uint64_t seed) : set_(settings), random_(seed) {
     std::vector<int> ranks;
     for (const TaskClass& c : set_.classes) ranks.push_back(c.priority);
     std::sort(ranks.begin(), ranks.end(), std::greater<>());
@@ -173,15 +174,15 @@
     out_ = actions;
     if (!born_) {
       born_ = now_;
-      out_->push_back(SetAlarm{now_ + kBeat, kBeatToken});
+      out_->push_back(SetTimer{now_ + kBeat, kBeatToken});
     }
     std::visit([this](const auto& e) { On(e); }, event);
   }
 
  private:
   const TaskClass& ClassOf(const Task& task) const { return set_.classes[task.task_class]; }
-  Kind KindOf(const Machine& m) const {
-    return m.entry.kind < set_.kinds.size() ? set_.kinds[m.entry.kind] : Kind{};
+  NodeKind KindOf(const Machine& m) const {
+    return m.entry.kind < set_.node_kinds.size() ? set_.node_kinds[m.entry.kind] : NodeKind{};
   }
   Micros ViewTrueAt() const {
     const Micros lag = lag_ * kLagStep;
@@ -198,7 +199,7 @@
   // sum(m_j * n_hj) without the arriving task.
   double Load(const Machine& m) const {
     // Without free room in the list, others are taken to have placed as many there as we did.
-    if (!set_.lists_free) return m.own.unseen_sizes().ratio * set_.group_size;
+    if (!set_.list_has_free_capacity) return m.own.unseen_sizes().ratio * set_.group_size;
     const double asked = std::max(0.0, KindOf(m).cores - m.entry.free_cores);
     return std::max(0.0, asked / set_.mean_cores * MeanRatio(m) + m.own.unseen_sizes().ratio);
   }
@@ -218,24 +219,24 @@
     for (const Machine* m : fleet_) ++count[m->entry.kind];
     int most = 0;
     for (const auto& [kind, n] : count) {
-      if (n <= most || kind >= set_.kinds.size()) continue;
+      if (n <= most || kind >= set_.node_kinds.size()) continue;
       most = n;
-      reference_cores_ = std::max(1e-6, set_.kinds[kind].cores);
+      reference_cores_ = std::max(1e-6, set_.node_kinds[kind].cores);
     }
   }
 
   bool Fits(const Machine& m, const Task& task) const {
-    const Kind kind = KindOf(m);
+    const NodeKind kind = KindOf(m);
     double cores = m.entry.free_cores, memory = m.entry.free_memory;
     double cores_since = m.own.unseen_sizes().cores, memory_since = m.own.unseen_sizes().memory;
-    if (!set_.lists_free) {  // fallback: the others hold as much there as we do
+    if (!set_.list_has_free_capacity) {  // fallback: the others hold as much there as we do
       cores = kind.cores - cores_since * set_.group_size;
       memory = kind.memory - memory_since * set_.group_size;
       cores_since = memory_since = 0.0;
     }
-    cores += (set_.accept_cores - 1.0) * kind.cores - cores_since;
-    memory += (set_.accept_memory - 1.0) * kind.memory - memory_since;
-    if (set_.preempts && ClassOf(task).priority < top_priority_) {
+    cores += (set_.overcommit_cores - 1.0) * kind.cores - cores_since;
+    memory += (set_.overcommit_memory - 1.0) * kind.memory - memory_since;
+    if (set_.nodes_preempt && ClassOf(task).priority < top_priority_) {
       cores -= unseen_by_capacity_ * set_.mean_cores * Capacity(m);
       memory -= unseen_by_capacity_ * set_.mean_memory * Capacity(m);
     }
@@ -280,8 +281,8 @@
   // The one place that says who may be offered this task.
   bool Eligible(const Machine& m, const Request& r, const Places& places) const {
     const TaskClass& c = ClassOf(r.task);
-    if (c.kind >= 0 && static_cast<unsigned>(c.kind) != m.entry.kind) return false;
-    if (std::count(r.tried.begin(), r.tried.end(), m.entry.machine) > 0) return false;
+    if (c.node_kind >= 0 && static_cast<unsigned>(c.node_kind) != m.entry.kind) return false;
+    if (std::count(r.tried.begin(), r.tried.end(), m.entry.node) > 0) return false;
     const bool smaller = r.task.cores < m.full_cores && r.task.memory < m.full_memory;
     if (now_ < m.leaving_until || (now_ < m.full_until && !smaller)) return false;
     if (FailsClass(m, r.task.task_class)) return false;
@@ -294,7 +295,7 @@
     double average = 0.0;
     const double level = Level(&average);
     doubt_ = MostLookBad();
-    const double cap = kTopRatio * reference_cores_ * set_.accept_cores / set_.mean_cores;
+    const double cap = kTopRatio * reference_cores_ * set_.overcommit_cores / set_.mean_cores;
     std::vector<Ranked> ranked;
     double best = 0.0;
     const std::uint64_t service = r.task.service;
@@ -310,14 +311,14 @@
       if ((load + mine) / capacity > cap) continue;
       const double sum =
           std::max({load, BusyLoad(m), level * capacity}) + kStartWeight * m.waiting * mine + mine;
-      while (next != warm.end() && next->first < m.entry.machine) ++next;
-      ranked.push_back({capacity * mine / sum, &m, next != warm.end() && next->first == m.entry.machine});
+      while (next != warm.end() && next->first < m.entry.node) ++next;
+      ranked.push_back({capacity * mine / sum, &m, next != warm.end() && next->first == m.entry.node});
     }
     const bool known = std::any_of(ranked.begin(), ranked.end(), [](const Ranked& one) { return one.warm; });
     const std::size_t homes = known ? 0 : std::min(kHomes, ranked.size());
     std::partial_sort(
         ranked.begin(), ranked.begin() + homes, ranked.end(), [&](const auto& a, const auto& b) {
-          return Mix(service ^ Mix(a.machine->entry.machine)) > Mix(service ^ Mix(b.machine->entry.machine));
+          return Mix(service ^ Mix(a.node->entry.node)) > Mix(service ^ Mix(b.node->entry.node));
         });
     for (std::size_t i = 0; i < ranked.size(); ++i) {
       if (i < homes || ranked[i].warm) ranked[i].value *= kWarmLead;
@@ -325,10 +326,10 @@
     }
     std::erase_if(ranked, [best](const auto& one) { return one.value < best * (1.0 - kNearTie); });
     // Among ties, where another zone has its price, our own.
-    const auto ours = [&](const Ranked& one) { return int(one.machine->entry.zone) == set_.own_zone; };
+    const auto ours = [&](const Ranked& one) { return int(one.node->entry.zone) == set_.own_zone; };
     if (set_.cross_zone_price > 0.0 && std::any_of(ranked.begin(), ranked.end(), ours))
       std::erase_if(ranked, std::not_fn(ours));
-    return ranked.empty() ? nullptr : ranked[Draw(ranked.size())].machine;
+    return ranked.empty() ? nullptr : ranked[Draw(ranked.size())].node;
   }
 
   // Hundreds see one equal late view and would all send to the machines that are emptiest in it. Until a send
@@ -382,12 +383,12 @@
   bool EffectAllows(const Machine& m, const Request& r) const {
     if (!r.may_have_run) return true;
     const TaskClass& c = ClassOf(r.task);
-    if (c.effect != Effect::kKeyed) return c.effect == Effect::kSafe;
-    if (now_ >= r.bound_since + c.window) return false;
+    if (c.idempotency != Idempotency::kWithKey) return c.idempotency == Idempotency::kIdempotent;
+    if (now_ >= r.bound_since + c.deduplication_window) return false;
     const auto first = machines_.find(r.bound_to);
     if (first == machines_.end()) return false;
-    if (c.scope == Scope::kCell) return first->second.entry.cell == m.entry.cell;
-    if (c.scope == Scope::kZone) return first->second.entry.zone == m.entry.zone;
+    if (c.deduplication_scope == DeduplicationScope::kRack) return first->second.entry.rack == m.entry.rack;
+    if (c.deduplication_scope == DeduplicationScope::kZone) return first->second.entry.zone == m.entry.zone;
     return true;
   }
 
@@ -402,29 +403,30 @@
     if (r.answered || r.out || r.placed || r.made >= set_.max_attempts || now_ >= r.task.deadline ||
         !RulesAllow(m, r, PlacesOf(r.task)))
       return false;
-    r.machine = m.entry.machine;
+    r.node = m.entry.node;
     r.sent = now_;
     r.out = true;
     r.cancelling = false;
     if (Cold(m)) {
-      while (!m.cold_sent.empty() && m.cold_sent.front() + set_.fall_window < now_) m.cold_sent.pop_front();
+      while (!m.cold_sent.empty() && m.cold_sent.front() + set_.slow_start_window < now_)
+        m.cold_sent.pop_front();
       m.cold_sent.push_back(now_);
     }
     Hold(r, m, now_);
     ++m.waiting;
     waiting_.insert(r.task.request);
-    out_->push_back(Offer{r.task.request, r.made++, r.machine, r.task.deadline});
+    out_->push_back(StartAttempt{r.task.request, r.made++, r.node, r.task.deadline});
     return true;
   }
 
   void Hold(Request& r, Machine& m, Micros since) {
     r.held_since = since;
     m.own.Start(OwnOf(r));
-    auto& [there, lately] = together_[r.task.service][m.entry.machine];
+    auto& [there, lately] = together_[r.task.service][m.entry.node];
     ++there, ++lately;
   }
 
-  void Leave(std::uint64_t service, MachineId machine) {
+  void Leave(std::uint64_t service, NodeId machine) {
     const auto its = together_.find(service);
     if (--its->second[machine].second == 0) its->second.erase(machine);
     if (its->second.empty()) together_.erase(its);
@@ -436,10 +438,11 @@
     if (r.answered) return;
     r.answered = true;
     const TaskClass& c = ClassOf(r.task);
-    const bool harmless = !r.may_have_run || c.effect == Effect::kSafe ||
-                          (c.effect == Effect::kKeyed && c.scope == Scope::kAll);
-    if (harmless) return out_->push_back(Refusal{r.task.request, 0});
-    out_->push_back(Failure{r.task.request});
+    const bool harmless =
+        !r.may_have_run || c.idempotency == Idempotency::kIdempotent ||
+        (c.idempotency == Idempotency::kWithKey && c.deduplication_scope == DeduplicationScope::kAll);
+    if (harmless) return out_->push_back(RejectTask{r.task.request, 0});
+    out_->push_back(FailTask{r.task.request});
   }
 
   void Forget(RequestId id) {
@@ -471,8 +474,8 @@
   }
 
   void Note(Machine& m, const LoadReport& report) {
-    if (!report.busy || !Sane(*report.busy)) return;
-    m.busy = std::min(1.0, *report.busy);
+    if (!report.utilisation || !Sane(*report.utilisation)) return;
+    m.busy = std::min(1.0, *report.utilisation);
     m.busy_at = now_;
   }
 
@@ -480,7 +483,7 @@
     if (now_ < m.shunned_until) return;
     m.shunned_until = now_ + std::min(kShunMost, kShunFirst << std::min(m.strikes, 8));
     ++m.strikes;
-    if (m.strikes == 1) Log("machine " + std::to_string(m.entry.machine) + " left out: " + why);
+    if (m.strikes == 1) Log("machine " + std::to_string(m.entry.node) + " left out: " + why);
   }
 
   // A machine with bad signs gets no offers for a while, then one at a time until it is heard. A grey machine
@@ -501,7 +504,7 @@
   // fleet's starts was due takes and ends nothing. It hangs, or is gone unlisted; a change of its entry
   // clears it.
   bool Still(const Machine& m) const {
-    if (!set_.lists_free || Cold(m) || m.entry.free_cores >= KindOf(m).cores || m.changed_at == 0)
+    if (!set_.list_has_free_capacity || Cold(m) || m.entry.free_cores >= KindOf(m).cores || m.changed_at == 0)
       return false;
     if (m.heard > m.changed_at) return false;  // our own word from it is worth more
     const double part = fleet_capacity_ > 0.0 ? Capacity(m) / fleet_capacity_ : 0.0;
@@ -512,26 +515,28 @@
   // An offer out for long at a machine not heard since: ask by probe where that is allowed, else strike; then
   // take the offer back where another try is harmless and possible. A time-out proves nothing.
   void Watch(Request& r) {
-    Machine& m = machines_[r.machine];
+    Machine& m = machines_[r.node];
     if (!r.out || r.placed || r.cancelling || m.heard >= r.sent) return;
     const Micros age = now_ - r.sent;
-    if (set_.may_probe && age >= kProbeAfter && !m.probing && now_ >= m.probed_at + kProbeAfter) {
+    if (set_.may_check_health && age >= kProbeAfter && !m.probing && now_ >= m.probed_at + kProbeAfter) {
       m.probing = true;
       m.probed_at = now_;
-      out_->push_back(Probe{r.machine});
+      out_->push_back(StartHealthCheck{r.node});
     }
-    const bool silent =
-        m.probes_failed >= kProbesFailed || age >= (set_.placed_at_running ? kSilentStart : kSilentAccept);
+    const bool silent = m.probes_failed >= kProbesFailed ||
+                        age >= (set_.started_means_running ? kSilentStart : kSilentAccept);
     if (!silent) return;
     Strike(m, "silent");
-    if (!set_.may_cancel || r.made >= set_.max_attempts || ClassOf(r.task).effect == Effect::kUnsafe) return;
+    if (!set_.may_cancel || r.made >= set_.max_attempts ||
+        ClassOf(r.task).idempotency == Idempotency::kNotIdempotent)
+      return;
     Request as_if = r;  // would there be another machine?
     as_if.out = false;
-    if (!as_if.may_have_run) as_if.bound_since = r.sent, as_if.bound_to = r.machine;
+    if (!as_if.may_have_run) as_if.bound_since = r.sent, as_if.bound_to = r.node;
     as_if.may_have_run = true;
     if (Pick(as_if) == nullptr) return;
     r.cancelling = true;
-    out_->push_back(CancelOffer{r.task.request, r.made - 1});
+    out_->push_back(CancelAttempt{r.task.request, r.made - 1});
   }
 
   void Log(const std::string& text) {
@@ -543,7 +548,7 @@
   // ---- Guards ----
 
   bool Cold(const Machine& m) const {
-    return m.entry.started_at != 0 && now_ < m.entry.started_at + set_.cold_time;
+    return m.entry.started_at != 0 && now_ < m.entry.started_at + set_.slow_start_duration;
   }
 
   // Rule 4: all schedulers together must stay within what a cold machine always bears, so each keeps to its
@@ -553,17 +558,17 @@
   // sound group size and own number nothing is sent.
   bool ColdAllows(const Machine& m) const {
     if (!Cold(m)) return true;
-    const Micros window = set_.fall_window, start = m.entry.started_at;
+    const Micros window = set_.slow_start_window, start = m.entry.started_at;
     if (!knows_group_ || now_ >= group_sure_until_) return false;
     if (window == 0 || now_ < start || now_ < group_until_) return false;
     const auto group = static_cast<std::uint64_t>(set_.group_size);
-    const auto borne = static_cast<std::uint64_t>(std::clamp(set_.cold_offers, 0.0, 1e9));
+    const auto borne = static_cast<std::uint64_t>(std::clamp(set_.slow_start_budget, 0.0, 1e9));
     std::uint64_t allowance = borne / group;
     Micros since = now_ > window ? now_ - window : 0;
     if (allowance == 0) {
       if (borne < 2) return false;
       const std::uint64_t teams = (group + borne / 2 - 1) / (borne / 2), turn = (now_ - start) / window;
-      if ((static_cast<std::uint64_t>(set_.self_index) + m.entry.machine + turn) % teams != 0) return false;
+      if ((static_cast<std::uint64_t>(set_.self_index) + m.entry.node + turn) % teams != 0) return false;
       allowance = 1;
       since = start + turn * window;
     }
@@ -574,45 +579,47 @@
   }
 
   // Rule 5: own tasks of the service by place, running ones too; one more must be within the stated most.
-  static unsigned PlaceOf(const MachineEntry& e, Spread spread) {
-    return spread == Spread::kMachine ? e.machine : spread == Spread::kCell ? e.cell : e.zone;
+  static unsigned PlaceOf(const NodeEntry& e, TopologySpread spread) {
+    return spread == TopologySpread::kNode ? e.node : spread == TopologySpread::kRack ? e.rack : e.zone;
   }
   Places PlacesOf(const Task& task) const {
     Places places;
     const TaskClass& c = ClassOf(task);
     const auto its = together_.find(task.service);
-    if (c.spread == Spread::kNone || c.together_max <= 0 || its == together_.end()) return places;
+    if (c.topology_spread == TopologySpread::kNone || c.max_per_domain <= 0 || its == together_.end())
+      return places;
     for (const auto& [id, count] : its->second) {
-      if (count.first > 0) places[PlaceOf(machines_.at(id).entry, c.spread)] += count.first;
+      if (count.first > 0) places[PlaceOf(machines_.at(id).entry, c.topology_spread)] += count.first;
     }
     return places;
   }
 
   // Rules 2 to 5 for one send. Rule 3: nothing goes to a machine from the moment it is told draining or gone.
   bool RulesAllow(const Machine& m, const Request& r, const Places& places) const {
-    if (!m.listed || m.entry.state != MachineState::kReady || !EffectAllows(m, r) || !ColdAllows(m))
+    if (!m.listed || m.entry.state != NodeState::kReady || !EffectAllows(m, r) || !ColdAllows(m))
       return false;
-    const auto there = places.empty() ? places.end() : places.find(PlaceOf(m.entry, ClassOf(r.task).spread));
-    return there == places.end() || there->second < ClassOf(r.task).together_max;
+    const auto there =
+        places.empty() ? places.end() : places.find(PlaceOf(m.entry, ClassOf(r.task).topology_spread));
+    return there == places.end() || there->second < ClassOf(r.task).max_per_domain;
   }
 
   // ---- Event handlers ----
 
-  void On(const FleetView& view) {
+  void On(const NodeListUpdate& view) {
     asking_ = false;
-    if (view.mode == ViewMode::kFailed) {
+    if (view.kind == NodeListKind::kUnavailable) {
       ask_at_ = now_ + (ask_wait_ = std::min(kAskMost, ask_wait_ * 2));
       return;
     }
-    const bool changes = view.mode == ViewMode::kChanges;
-    if (set_.must_ask && view.mode == ViewMode::kRemembered) Ask();
-    if (view.mode != ViewMode::kRemembered) ask_wait_ = kAskFirst;
+    const bool changes = view.kind == NodeListKind::kDelta;
+    if (set_.list_on_request && view.kind == NodeListKind::kCached) Ask();
+    if (view.kind != NodeListKind::kCached) ask_wait_ = kAskFirst;
     for (auto& [id, m] : machines_) {
       m.seen_cores = m.entry.free_cores;
       if (!changes) m.listed = false;
     }
-    for (const MachineEntry& e : view.machines) {
-      Machine& m = machines_[e.machine];
+    for (const NodeEntry& e : view.nodes) {
+      Machine& m = machines_[e.node];
       const bool restarted = m.listed && e.started_at != m.entry.started_at;
       const bool fresh = !m.listed;
       const bool moved = e.free_cores != m.entry.free_cores || e.free_memory != m.entry.free_memory;
@@ -620,7 +627,7 @@
       m.entry = e;
       if (!Sane(std::fabs(e.free_cores))) m.entry.free_cores = 0.0;
       if (!Sane(std::fabs(e.free_memory))) m.entry.free_memory = 0.0;
-      m.listed = e.state != MachineState::kGone;
+      m.listed = e.state != NodeState::kGone;
       if (restarted) {  // a new life: old signs say nothing of it
         Heard(m);
         m.full_until = m.leaving_until = 0;
@@ -628,7 +635,7 @@
       }
       if (restarted || fresh) m.seen_cores = m.entry.free_cores;
     }
-    if (changes && set_.lists_free && list_at_ != 0 && now_ > list_at_) {
+    if (changes && set_.list_has_free_capacity && list_at_ != 0 && now_ > list_at_) {
       LearnLag(list_at_, now_);
       double placed = 0.0;
       for (const auto& [id, m] : machines_) {
@@ -646,20 +653,20 @@
     fleet_.clear();
     for (auto it = machines_.begin(); it != machines_.end();) {
       Machine& m = (it++)->second;
-      if (m.listed && m.entry.state == MachineState::kReady) fleet_.push_back(&m);
+      if (m.listed && m.entry.state == NodeState::kReady) fleet_.push_back(&m);
       if (m.full_at < ViewTrueAt()) m.full_until = 0;  // the view is later than its answer
-      m.own.MoveTo(set_.lists_free ? ViewTrueAt() : 0, now_ > kLagMost ? now_ - kLagMost : 0);
+      m.own.MoveTo(set_.list_has_free_capacity ? ViewTrueAt() : 0, now_ > kLagMost ? now_ - kLagMost : 0);
       if (m.listed || m.own.count() > 0) m.needed_at = now_;
       if (now_ > m.needed_at + kGoneKept) machines_.erase(std::prev(it));
     }
     FindReference();
   }
 
-  void On(const TaskArrival& arrival) {
+  void On(const TaskSubmitted& arrival) {
     const Task& task = arrival.task;
     if (requests_.count(task.request) > 0) return;  // told before
     if (task.task_class >= set_.classes.size() || !Sane(task.cores) || !Sane(task.memory)) {
-      return out_->push_back(Refusal{task.request, 0});  // nobody can place it, and nothing has run
+      return out_->push_back(RejectTask{task.request, 0});  // nobody can place it, and nothing has run
     }
     Request& r = requests_[task.request];
     r.task = task;
@@ -667,7 +674,7 @@
     Forget(task.request);
   }
 
-  void On(const RunningTask& running) {
+  void On(const TaskRecovered& running) {
     const Task& task = running.task;
     if (requests_.count(task.request) > 0 || task.task_class >= set_.classes.size()) return;
     Request& r = requests_[task.request];
@@ -676,69 +683,70 @@
     if (!Sane(r.task.memory)) r.task.memory = 0.0;
     r.made = 1;
     r.placed = r.out = r.answered = true;
-    r.machine = running.machine;
-    Machine& m = machines_[running.machine];
-    m.entry.machine = running.machine;
+    r.node = running.node;
+    Machine& m = machines_[running.node];
+    m.entry.node = running.node;
     Hold(r, m, 1);  // long there: inside any view
   }
 
-  void On(const Placement& placed) {
+  void On(const TaskStarted& placed) {
     const auto it = requests_.find(placed.request);
     if (it == requests_.end() || !it->second.out || placed.attempt + 1 != it->second.made) return;
     Request& r = it->second;
-    Machine& m = machines_[r.machine];
+    Machine& m = machines_[r.node];
     if (!starts_told_) Unwait(r, m);  // else it still waits there for its start
     r.placed = r.answered = true;
     Heard(m);
-    if (set_.placed_at_running) m.failing.erase(r.task.task_class);
+    if (set_.started_means_running) m.failing.erase(r.task.task_class);
   }
 
-  void On(const TaskNote& note) {
+  void On(const TaskProgress& note) {
     const auto it = requests_.find(note.request);
     if (it == requests_.end() || !it->second.out) return;
-    if (note.kind == NoteKind::kRuns) starts_told_ = true, Unwait(it->second, machines_[it->second.machine]);
-    Heard(machines_[it->second.machine]);
+    if (note.kind == ProgressKind::kRunning)
+      starts_told_ = true, Unwait(it->second, machines_[it->second.node]);
+    Heard(machines_[it->second.node]);
   }
 
-  void On(const Outcome& o) {
+  void On(const AttemptEnded& o) {
     const auto it = requests_.find(o.request);
     if (it == requests_.end() || !it->second.out || o.attempt + 1 != it->second.made) return;
     Request& r = it->second;
-    Machine& m = machines_[r.machine];
+    Machine& m = machines_[r.node];
     Unwait(r, m);
     r.out = false;
-    r.tried.push_back(r.machine);  // whatever the reason, a further try asks another machine
-    const bool never_ran =
-        o.ending == Ending::kRefused || o.ending == Ending::kUnreachable || o.ending == Ending::kMoot;
+    r.tried.push_back(r.node);  // whatever the reason, a further try asks another machine
+    const bool never_ran = o.result == AttemptResult::kRejected || o.result == AttemptResult::kUnreachable ||
+                           o.result == AttemptResult::kNotSent;
     // What was turned away held no room, and left no program: kept as ended, it would show room to come in
     // any view younger than the offer, and the machine that just refused would lead.
-    --together_[r.task.service][r.machine].first;
+    --together_[r.task.service][r.node].first;
     if (!never_ran || r.placed) {
       m.own.End(OwnOf(r), now_);
-      ended_.emplace_back(now_, r.machine, r.task.service, OwnOf(r));
+      ended_.emplace_back(now_, r.node, r.task.service, OwnOf(r));
     } else {
       m.own.Drop(OwnOf(r));
-      Leave(r.task.service, r.machine);
+      Leave(r.task.service, r.node);
     }
     Note(m, o.report);
-    switch (o.ending) {
-      case Ending::kError:
+    switch (o.result) {
+      case AttemptResult::kError:
         FailClass(m, r.task.task_class);
         Heard(m);
         break;
-      case Ending::kDone:
+      case AttemptResult::kCompleted:
         m.failing.erase(r.task.task_class);
         Heard(m);
         break;
-      case Ending::kRefused:
+      case AttemptResult::kRejected:
         // Too many offers wait: a hung machine says so for as long as it hangs, while its list entry looks
         // ever roomier. So it is a bad sign, not a sign of life; a merely busy machine is heard again soon.
-        if (o.cause == Cause::kQueueFull) {
+        if (o.reason == RejectionReason::kQueueFull) {
           Strike(m, "its line of offers is full");
           break;
         }
         Heard(m);
-        if (o.cause == Cause::kNotHere) {
+        if (o.reason == RejectionReason::kNotAccepting) {
           if (!r.may_have_run) m.leaving_until = now_ + kLeavingSkip;  // else a copy may stand there
           break;
         }
@@ -747,41 +755,42 @@
         m.full_memory = r.task.memory;
         m.full_until = now_ + kFullSkip;
         break;
-      case Ending::kTimedOut:
+      case AttemptResult::kTimedOut:
         m.heard < r.sent ? Strike(m, "no answer in time") : FailClass(m, r.task.task_class);
         break;
-      case Ending::kUnreachable:
+      case AttemptResult::kUnreachable:
         Strike(m, "unreachable");
         break;
-      case Ending::kLost:  // told why, the machine lives; else it is likely gone, before any list says so
-        if (o.cause == Cause::kUntold) {
+      case AttemptResult::kLost:  // told why, the machine lives; else it is likely gone, before any list says
+                                  // so
+        if (o.reason == RejectionReason::kUnspecified) {
           Strike(m, "lost a task");
           break;
         }
         Heard(m);
-        if (o.cause == Cause::kSentAway) m.leaving_until = now_ + kLeavingSkip;
+        if (o.reason == RejectionReason::kDrained) m.leaving_until = now_ + kLeavingSkip;
         break;
-      case Ending::kCancelled:
-      case Ending::kMoot:
+      case AttemptResult::kCancelled:
+      case AttemptResult::kNotSent:
         break;
     }
     if (!r.placed && !never_ran && !r.may_have_run) {
       r.may_have_run = true;
       r.bound_since = r.sent;
-      r.bound_to = r.machine;
+      r.bound_to = r.node;
     }
-    if (o.closed) r.answered = true;
-    if (!r.answered) o.ending == Ending::kMoot ? Conclude(r) : Proceed(r);
+    if (o.request_closed) r.answered = true;
+    if (!r.answered) o.result == AttemptResult::kNotSent ? Conclude(r) : Proceed(r);
     Forget(o.request);
   }
 
-  void On(const Withdrawal& gone) {
+  void On(const TaskCancelled& gone) {
     if (const auto it = requests_.find(gone.request); it != requests_.end()) it->second.answered = true;
     Forget(gone.request);
   }
 
-  void On(const ProbeResult& probe) {
-    const auto it = machines_.find(probe.machine);
+  void On(const HealthCheckResult& probe) {
+    const auto it = machines_.find(probe.node);
     if (it == machines_.end()) return;
     it->second.probing = false;
     Note(it->second, probe.report);
@@ -793,21 +802,21 @@
   // may be behind; until all count alike, shares of the old and the new number could add up to more than a
   // cold machine bears. So nothing is sent to cold machines until the change is old news to all. Who is not
   // sure sends none; who was unsure for a while in which nobody came or went goes on as before.
-  void On(const GroupChange& group) {
+  void On(const MembershipChange& group) {
     const bool sure = group.index >= 0 && group.index < group.size;
     const bool same = sure && group.size == set_.group_size && group.index == set_.self_index;
-    group_sure_until_ = group.until;
+    group_sure_until_ = group.valid_until;
     const bool as_before = same && (knows_group_ || group.undisturbed);
     knows_group_ = sure;
     if (group.size > 0) set_.group_size = group.size;
     if (!sure || as_before) return;
     set_.self_index = group.index;
-    group_until_ = now_ + kLagSteps * kLagStep + set_.fall_window;
+    group_until_ = now_ + kLagSteps * kLagStep + set_.slow_start_window;
   }
 
-  void On(const Alarm& alarm) {
+  void On(const TimerFired& alarm) {
     if (alarm.token != kBeatToken) return;
-    out_->push_back(SetAlarm{now_ + kBeat, kBeatToken});
+    out_->push_back(SetTimer{now_ + kBeat, kBeatToken});
     const std::vector<RequestId> waiting(waiting_.begin(), waiting_.end());
     for (RequestId id : waiting) Watch(requests_.at(id));
     const Micros old = now_ > kLagSteps * kLagStep + kSecond ? now_ - kLagSteps * kLagStep - kSecond : 0;
@@ -816,14 +825,14 @@
       machines_[machine].own.Forget(task, at);
       Leave(service, machine);
     }
-    if (!set_.must_ask || asking_) return;
+    if (!set_.list_on_request || asking_) return;
     if (ask_at_ != 0 ? now_ >= ask_at_ : now_ >= list_at_ + kListQuiet) Ask();
   }
 
   void Ask() {
     asking_ = true;
     ask_at_ = 0;
-    out_->push_back(FollowList{});
+    out_->push_back(WatchNodes{});
   }
 
   Settings set_;
@@ -832,10 +841,10 @@
   double even_ = 0.0;          // their mean, of the classes evenly
   std::vector<Action>* out_ = nullptr;
   Micros now_ = 0, born_ = 0, logged_at_ = 0;
-  std::map<MachineId, Machine> machines_;
+  std::map<NodeId, Machine> machines_;
   std::vector<Machine*> fleet_;  // those listed and ready, in their order; changes with views alone
   // Own tasks that ended, with when, where and their service, for as long as a view may not yet show it.
-  std::deque<std::tuple<Micros, MachineId, std::uint64_t, OwnTask>> ended_;
+  std::deque<std::tuple<Micros, NodeId, std::uint64_t, OwnTask>> ended_;
   std::map<RequestId, Request> requests_;
   std::set<RequestId> waiting_;                           // offers out and not placed
   std::unordered_map<std::uint64_t, Together> together_;  // by service
@@ -856,13 +865,13 @@
 };
 
 Scheduler::Scheduler(const Settings& settings, std::uint64_t seed)
-    : brain_(std::make_unique<Brain>(settings, seed)) {}
+    : impl_(std::make_unique<Impl>(settings, seed)) {}
 Scheduler::~Scheduler() = default;
 Scheduler::Scheduler(Scheduler&&) noexcept = default;
 Scheduler& Scheduler::operator=(Scheduler&&) noexcept = default;
 
 void Scheduler::Handle(Micros now, const Event& event, std::vector<Action>* actions) {
-  brain_->Handle(now, event, actions);
+  impl_->Handle(now, event, actions);
 }
 
 }  // namespace mountflow
--- a/module/own_work.hpp
+++ b/src/scheduler/unobserved_load.hpp
@@ -2,8 +2,8 @@
 // what is there now. No cost grows with the tasks that went out before: sums move forward with each start and
 // end, and with the view. They are whole numbers of 2^-40, so that they neither drift nor depend on the
 // order.
-#ifndef MOUNTFLOW_MODULE_OWN_WORK_HPP_
-#define MOUNTFLOW_MODULE_OWN_WORK_HPP_
+#ifndef MOUNTFLOW_SCHEDULER_UNOBSERVED_LOAD_HPP_
+#define MOUNTFLOW_SCHEDULER_UNOBSERVED_LOAD_HPP_
 
 #include <algorithm>
 #include <cstddef>
@@ -129,4 +129,4 @@
 
 }  // namespace mountflow
 
-#endif  // MOUNTFLOW_MODULE_OWN_WORK_HPP_
+#endif  // MOUNTFLOW_SCHEDULER_UNOBSERVED_LOAD_HPP_
