--- a/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -75,15 +75,20 @@
 
 void ReadClass(const Map& pairs, const std::string& at, TaskClass* one) {
   Take(pairs, at + "effect", [&](auto& k, auto& v) {
-    one->effect = OneOf<Effect>(
-        k, v, {{"safe", Effect::kSafe}, {"keyed", Effect::kKeyed}, {"unsafe", Effect::kUnsafe}});
+    one->idempotency = OneOf<Idempotency>(k, v,
+                                          {{"safe", Idempotency::kIdempotent},
+                                           {"keyed", Idempotency::kWithKey},
+                                           {"unsafe", Idempotency::kNotIdempotent}});
   });
   Take(pairs, at + "key_scope", [&](auto& k, auto& v) {
-    one->scope = OneOf<Scope>(k, v, {{"all", Scope::kAll}, {"zone", Scope::kZone}, {"cell", Scope::kCell}});
+    one->deduplication_scope = OneOf<DeduplicationScope>(k, v,
+                                                         {{"all", DeduplicationScope::kAll},
+                                                          {"zone", DeduplicationScope::kZone},
+                                                          {"cell", DeduplicationScope::kRack}});
   });
-  Take(pairs, at + "window_us", [&](auto& k, auto& v) { one->window = Time(k, v); });
-  Take(pairs, at + "aim_us", [&](auto& k, auto& v) { one->aim = Time(k, v); });
-  Take(pairs, at + "worth", [&](auto& k, auto& v) { one->worth = Number(k, v); });
+  Take(pairs, at + "window_us", [&](auto& k, auto& v) { one->deduplication_window = Time(k, v); });
+  Take(pairs, at + "aim_us", [&](auto& k, auto& v) { one->start_target = Time(k, v); });
+  Take(pairs, at + "worth", [&](auto& k, auto& v) { one->value_per_second = Number(k, v); });
   Take(pairs, at + "late_value", [&](auto& k, auto& v) { one->late_value = Number(k, v); });
 }
 
@@ -139,50 +144,52 @@
   }
   const std::string domain = "domain.";
   PerClass(pairs, domain + "spread_by", &s.classes, [&](TaskClass& c, const std::string& v) {
-    c.spread = OneOf<Spread>("domain.spread_by", v,
-                             {{"silent", Spread::kNone},
-                              {"none", Spread::kNone},
-                              {"machine", Spread::kMachine},
-                              {"cell", Spread::kCell},
-                              {"zone", Spread::kZone}});
+    c.topology_spread = OneOf<TopologySpread>("domain.spread_by", v,
+                                              {{"silent", TopologySpread::kNone},
+                                               {"none", TopologySpread::kNone},
+                                               {"machine", TopologySpread::kNode},
+                                               {"cell", TopologySpread::kRack},
+                                               {"zone", TopologySpread::kZone}});
   });
   PerClass(pairs, domain + "together_max", &s.classes,
-           [](TaskClass& c, const std::string& v) { c.together_max = Whole("domain.together_max", v); });
+           [](TaskClass& c, const std::string& v) { c.max_per_domain = Whole("domain.together_max", v); });
   PerClass(pairs, domain + "kind_by_class", &s.classes,
-           [](TaskClass& c, const std::string& v) { c.kind = Whole("domain.kind_by_class", v); });
+           [](TaskClass& c, const std::string& v) { c.node_kind = Whole("domain.kind_by_class", v); });
   PerClass(pairs, domain + "priority_by_class", &s.classes,
            [](TaskClass& c, const std::string& v) { c.priority = Whole("domain.priority_by_class", v); });
-  PerClass(pairs, domain + "start_seconds", &s.classes,
-           [](TaskClass& c, const std::string& v) { c.start_seconds = Number("domain.start_seconds", v); });
-  PerClass(pairs, domain + "calm_level", &s.classes,
-           [](TaskClass& c, const std::string& v) { c.calm = Number("domain.calm_level", v); });
+  PerClass(pairs, domain + "start_seconds", &s.classes, [](TaskClass& c, const std::string& v) {
+    c.start_value_seconds = Number("domain.start_seconds", v);
+  });
+  PerClass(pairs, domain + "calm_level", &s.classes, [](TaskClass& c, const std::string& v) {
+    c.full_service_utilisation = Number("domain.calm_level", v);
+  });
 
   Take(pairs, domain + "kind_cores", [&](auto& k, auto& v) {
-    for (const auto& item : Items(v)) s.kinds.push_back({Number(k, item), 1.0});
+    for (const auto& item : Items(v)) s.node_kinds.push_back({Number(k, item), 1.0});
   });
   Take(pairs, domain + "mem_of_kind", [&](auto& k, auto& v) {
     const auto items = Items(v);
-    if (s.kinds.size() < items.size()) s.kinds.resize(items.size());
-    for (std::size_t i = 0; i < items.size(); ++i) s.kinds[i].memory = Number(k, items[i]);
+    if (s.node_kinds.size() < items.size()) s.node_kinds.resize(items.size());
+    for (std::size_t i = 0; i < items.size(); ++i) s.node_kinds[i].memory = Number(k, items[i]);
   });
 
   whole("group_size", &s.group_size);
   whole("self_index", &s.self_index);
   whole("zone", &s.own_zone);
   Take(pairs, "discovery", [&](auto& k, auto& v) {
-    s.must_ask = OneOf<bool>(k, v, {{"push", false}, {"ask", true}});
+    s.list_on_request = OneOf<bool>(k, v, {{"push", false}, {"ask", true}});
   });
-  flag("domain.lists_free", &s.lists_free);
+  flag("domain.lists_free", &s.list_has_free_capacity);
   Take(pairs, "domain.ack", [&](auto& k, auto& v) {
-    s.placed_at_running = OneOf<bool>(k, v, {{"running", true}, {"accepted", false}});
+    s.started_means_running = OneOf<bool>(k, v, {{"running", true}, {"accepted", false}});
   });
   Take(pairs, "domain.counts", [&](auto& k, auto& v) {
-    s.reports_asked = OneOf<bool>(k, v, {{"asked", true}, {"used", false}});
+    s.reports_requested_capacity = OneOf<bool>(k, v, {{"asked", true}, {"used", false}});
   });
-  flag("bounds.probes", &s.may_probe);
+  flag("bounds.probes", &s.may_check_health);
   flag("bounds.cancel", &s.may_cancel);
-  flag("bounds.second_copies", &s.second_copies);
-  flag("domain.displaces", &s.preempts);
+  flag("bounds.second_copies", &s.may_duplicate_attempts);
+  flag("domain.displaces", &s.nodes_preempt);
   Take(pairs, "bounds.max_attempts", [&](auto& k, auto& v) {
     const int most = Whole(k, v);
     if (most < 0) Bad(k, v, "a count");
@@ -190,22 +197,22 @@
   });
   number("domain.mean_cores", &s.mean_cores);
   number("domain.usual_memory", &s.mean_memory);
-  number("domain.admit_cores", &s.accept_cores);
-  number("domain.admit_memory", &s.accept_memory);
-  time("domain.owner_wait_us", &s.owner_wait);
+  number("domain.admit_cores", &s.overcommit_cores);
+  number("domain.admit_memory", &s.overcommit_memory);
+  time("domain.owner_wait_us", &s.client_wait);
   time("safety.answer_slack_us", &s.answer_slack);
   time("safety.ask_within_us", &s.ask_within);
-  time("safety.drain_grace_us", &s.drain_grace);
-  number("safety.cold_from", &s.cold_from);
-  time("safety.cold_us", &s.cold_time);
-  number("safety.fall_multiple", &s.fall_multiple);
-  time("safety.tip_after_us", &s.fall_window);
-  number("domain.cold_bears", &s.cold_offers);
-  number("domain.refusal_fee", &s.refusal_price);
+  time("safety.drain_grace_us", &s.drain_grace_period);
+  number("safety.cold_from", &s.slow_start_initial_pace);
+  time("safety.cold_us", &s.slow_start_duration);
+  number("safety.fall_multiple", &s.overload_multiple);
+  time("safety.tip_after_us", &s.slow_start_window);
+  number("domain.cold_bears", &s.slow_start_budget);
+  number("domain.refusal_fee", &s.rejection_price);
   number("prices.cross_zone", &s.cross_zone_price);
-  number("prices.moves", &s.moves_price);
+  number("prices.moves", &s.migration_price);
   number("domain.evict_weight", &s.eviction_weight);
-  number("prices.probe", &s.probe_price);
+  number("prices.probe", &s.health_check_price);
   Take(pairs, "stats.names", [&](auto&, auto& v) { result.report_names = Items(v); });
 
   // Names and limits of the wires: they decide nothing, and the module never sees them.
@@ -236,7 +243,7 @@
   if (name == "x0") report->free_cores = value;
   if (name == "x1") report->free_memory = value;
   if (name == "pending" || name == "queue") report->queued = value;
-  if (name == "cpu_share" || name == "util") report->busy = value;
+  if (name == "cpu_share" || name == "util") report->utilisation = value;
 }
 
 }  // namespace mountflow::settings
--- a/adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -1,4 +1,4 @@
-#include "adapter/codec.hpp"
+#include "simulator_adapter/codec.hpp"
 
 #include <algorithm>
 #include <bit>
@@ -6,7 +6,7 @@
 #include <type_traits>
 #include <utility>
 
-namespace mountflow::adapter {
+namespace mountflow::simulator_adapter {
 namespace {
 
 static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
@@ -82,24 +82,24 @@
     event->report.resize(count);
     if (count > 0) std::memcpy(event->report.data(), bytes.data(), bytes.size());
   };
-  const auto ending = [&]() -> Ending {
+  const auto ending = [&]() -> AttemptResult {
     switch (const std::uint16_t status = u16("an outcome")) {
       case 200:
-        return Ending::kDone;
+        return AttemptResult::kCompleted;
       case 502:
-        return Ending::kError;
+        return AttemptResult::kError;
       case 429:
-        return Ending::kRefused;
+        return AttemptResult::kRejected;
       case 408:
-        return Ending::kTimedOut;
+        return AttemptResult::kTimedOut;
       case 521:
-        return Ending::kUnreachable;
+        return AttemptResult::kUnreachable;
       case 520:
-        return Ending::kLost;
+        return AttemptResult::kLost;
       case 444:
-        return Ending::kCancelled;
+        return AttemptResult::kCancelled;
       case 409:
-        return Ending::kMoot;
+        return AttemptResult::kNotSent;
       default:
         reader->Fail("a known outcome before this offset, got " + std::to_string(status));
     }
@@ -116,19 +116,17 @@
     if (page >= kPages) reader->Fail("a list number of 0 to 15 before this offset");
     const std::size_t count = u32("the length of a list");
     if (count > reader->Left() / kEntryBytes) reader->Fail(std::to_string(count) + " list entries");
-    std::vector<MachineEntry> entries(count);
-    for (MachineEntry& entry : entries) {
-      entry.cell = u16("a cell");
-      entry.machine = u32("a machine");
+    std::vector<NodeEntry> entries(count);
+    for (NodeEntry& entry : entries) {
+      entry.rack = u16("a cell");
+      entry.node = u32("a machine");
       entry.kind = u8("a kind");
       entry.started_at = u64("a start time");
       f32("a capacity");
       entry.zone = u16("a zone");
       const std::uint8_t state = u8("a state");
       if (state > 2) reader->Fail("a state of 0 to 2 before this offset");
-      entry.state = state == 1   ? MachineState::kReady
-                    : state == 2 ? MachineState::kDraining
-                                 : MachineState::kGone;
+      entry.state = state == 1 ? NodeState::kReady : state == 2 ? NodeState::kDraining : NodeState::kGone;
       entry.free_cores = f32("free cores");
       entry.free_memory = f32("free memory");
     }
@@ -150,15 +148,15 @@
       event->body = StopInstance{};
       return true;
     case kFleet: {
-      FleetView view;
+      NodeListUpdate view;
       const std::uint8_t mode = u8("a list mode");
       if (mode > 3) reader->Fail("a list mode of 0 to 3 before this offset");
-      view.mode = static_cast<ViewMode>(mode);
+      view.kind = static_cast<NodeListKind>(mode);
       u32("a list version");
       const std::uint16_t page = u16("a list number");
-      if (view.mode != ViewMode::kFailed) {
+      if (view.kind != NodeListKind::kUnavailable) {
         if (page >= kPages) reader->Fail("a list number of 0 to 15 before this offset");
-        view.machines = pages_[page];
+        view.nodes = pages_[page];
       }
       event->body = Event(std::move(view));
       return true;
@@ -175,11 +173,11 @@
       task.memory = f32("memory");
       task.service = u64("a service");
       u8("state bits");
-      event->body = Event(TaskArrival{task});
+      event->body = Event(TaskSubmitted{task});
       return true;
     }
     case kExisting: {
-      RunningTask running;
+      TaskRecovered running;
       Task& task = running.task;
       task.request = u32("a request");
       task.deadline = u64("a deadline");
@@ -189,57 +187,57 @@
       task.task_class = u16("a class");
       task.service = u64("a service");
       u8("state bits");
-      running.machine = u32("a machine");
+      running.node = u32("a machine");
       u32("a run time");
       task.memory = f32("memory");
       event->body = Event(running);
       return true;
     }
     case kTaken: {
-      Placement placed;
+      TaskStarted placed;
       placed.request = u32("a request");
       placed.attempt = u16("an attempt");
       placed.elapsed = u32("a time");
-      placed.machine = u32("a machine");
+      placed.node = u32("a machine");
       event->body = Event(placed);
       return true;
     }
     case kNote: {
-      TaskNote note;
+      TaskProgress note;
       note.request = u32("a request");
       note.attempt = u16("an attempt");
-      note.machine = u32("a machine");
+      note.node = u32("a machine");
       const std::uint8_t kind = u8("a kind of note");
       note.value = f32("a value");
       if (kind < 1 || kind > 5) return false;  // a later kind of news: skipped
-      note.kind = static_cast<NoteKind>(kind);
+      note.kind = static_cast<ProgressKind>(kind);
       event->body = Event(note);
       return true;
     }
     case kAnswer: {
-      Outcome outcome;
+      AttemptEnded outcome;
       outcome.request = u32("a request");
       outcome.elapsed = u32("a time");
       outcome.attempt = u16("an attempt");
-      outcome.closed = u8("a flag") != 0;
-      outcome.ending = ending();
+      outcome.request_closed = u8("a flag") != 0;
+      outcome.result = ending();
       const std::uint32_t cause = u32("a cause");
-      outcome.cause = cause <= 7 ? static_cast<Cause>(cause) : Cause::kUntold;
-      outcome.machine = u32("a machine");
+      outcome.reason = cause <= 7 ? static_cast<RejectionReason>(cause) : RejectionReason::kUnspecified;
+      outcome.node = u32("a machine");
       report();
       event->body = Event(std::move(outcome));
       return true;
     }
     case kLapsed:
-      event->body = Event(Withdrawal{u32("a request")});
+      event->body = Event(TaskCancelled{u32("a request")});
       return true;
     case kDue:
-      event->body = Event(Alarm{u64("a token")});
+      event->body = Event(TimerFired{u64("a token")});
       return true;
     case kCheckResult: {
-      ProbeResult result;
-      result.machine = u32("a machine");
-      result.answered = ending() == Ending::kDone;
+      HealthCheckResult result;
+      result.node = u32("a machine");
+      result.answered = ending() == AttemptResult::kCompleted;
       result.elapsed = u32("a time");
       report();
       event->body = Event(std::move(result));
@@ -288,36 +286,36 @@
 void Encoder::Act(Instance instance, const Action& action) {
   const auto write = [&](const auto& a) {
     using A = std::decay_t<decltype(a)>;
-    if constexpr (std::is_same_v<A, Offer>) {
+    if constexpr (std::is_same_v<A, StartAttempt>) {
       Open(instance, kClaimRoom);
       Put(a.request);
-      Put(static_cast<std::uint64_t>(a.until));
-      Put(a.machine);
-    } else if constexpr (std::is_same_v<A, CancelOffer>) {
+      Put(static_cast<std::uint64_t>(a.deadline));
+      Put(a.node);
+    } else if constexpr (std::is_same_v<A, CancelAttempt>) {
       Open(instance, kStopAttempt);
       Put(a.request);
       Put(static_cast<std::uint16_t>(a.attempt));
-    } else if constexpr (std::is_same_v<A, Refusal>) {
+    } else if constexpr (std::is_same_v<A, RejectTask>) {
       Open(instance, kTurnAway);
       Put(a.request);
-      Put(static_cast<std::uint32_t>(std::min<Micros>(a.wait, UINT32_MAX)));
-    } else if constexpr (std::is_same_v<A, Failure>) {
+      Put(static_cast<std::uint32_t>(std::min<Micros>(a.retry_after, UINT32_MAX)));
+    } else if constexpr (std::is_same_v<A, FailTask>) {
       Open(instance, kGiveUp);
       Put(a.request);
-    } else if constexpr (std::is_same_v<A, Move>) {
+    } else if constexpr (std::is_same_v<A, MigrateTask>) {
       Open(instance, kPlaceAgain);
       Put(a.request);
-    } else if constexpr (std::is_same_v<A, SetAlarm>) {
+    } else if constexpr (std::is_same_v<A, SetTimer>) {
       Open(instance, kSleep);
       Put(static_cast<std::uint64_t>(a.at));
       Put(a.token);
-    } else if constexpr (std::is_same_v<A, Probe>) {
+    } else if constexpr (std::is_same_v<A, StartHealthCheck>) {
       Open(instance, kInspect);
-      Put(a.machine);
-    } else if constexpr (std::is_same_v<A, FollowList>) {
+      Put(a.node);
+    } else if constexpr (std::is_same_v<A, WatchNodes>) {
       Open(instance, kKeepInformed);
       Put(static_cast<std::uint8_t>(1));
-    } else if constexpr (std::is_same_v<A, FetchList>) {
+    } else if constexpr (std::is_same_v<A, ListNodes>) {
       Open(instance, kListAll);
     } else {
       static_assert(std::is_same_v<A, LogLine>);
@@ -336,4 +334,4 @@
   return frame + records_;
 }
 
-}  // namespace mountflow::adapter
+}  // namespace mountflow::simulator_adapter
--- a/adapter/codec.hpp
+++ b/src/simulator_adapter/codec.hpp
@@ -1,6 +1,6 @@
 // The wire's frames and records: bytes to events, actions to bytes.
-#ifndef MOUNTFLOW_ADAPTER_CODEC_HPP_
-#define MOUNTFLOW_ADAPTER_CODEC_HPP_
+#ifndef MOUNTFLOW_SIMULATOR_ADAPTER_CODEC_HPP_
+#define MOUNTFLOW_SIMULATOR_ADAPTER_CODEC_HPP_
 
 #include <array>
 #include <cstddef>
@@ -14,7 +14,7 @@
 
 #include "mountflow/scheduler.hpp"
 
-namespace mountflow::adapter {
+namespace mountflow::simulator_adapter {
 
 // A frame that cannot be read; the text names the offset and what was expected.
 struct WireError : std::runtime_error {
@@ -49,7 +49,7 @@
   bool Next(Reader* reader, WireEvent* event);
 
   static constexpr std::size_t kPages = 16;
-  std::array<std::vector<MachineEntry>, kPages> pages_;
+  std::array<std::vector<NodeEntry>, kPages> pages_;
   Instance instance_ = 0;
   bool named_ = false;
 };
@@ -100,6 +100,6 @@
   }
 }
 
-}  // namespace mountflow::adapter
+}  // namespace mountflow::simulator_adapter
 
-#endif  // MOUNTFLOW_ADAPTER_CODEC_HPP_
+#endif  // MOUNTFLOW_SIMULATOR_ADAPTER_CODEC_HPP_
--- a/adapter/drill.cpp
+++ b/src/simulator_adapter/server.cpp
@@ -1,4 +1,4 @@
-#include "adapter/drill.hpp"
+#include "simulator_adapter/server.hpp"
 
 #include <algorithm>
 #include <cstring>
@@ -7,7 +7,7 @@
 
 #include "settings/settings.hpp"
 
-namespace mountflow::adapter {
+namespace mountflow::simulator_adapter {
 namespace {
 
 constexpr std::uint32_t kClockBytes = 8;
@@ -38,9 +38,9 @@
     const auto host = hosted_.find(instance);
     if (host == hosted_.end()) return;  // nothing is running under this number
     Event& body = std::get<Event>(event->body);
-    if (auto* outcome = std::get_if<Outcome>(&body)) {
+    if (auto* outcome = std::get_if<AttemptEnded>(&body)) {
       outcome->report = Named(event->report, host->second.report_names);
-    } else if (auto* result = std::get_if<ProbeResult>(&body)) {
+    } else if (auto* result = std::get_if<HealthCheckResult>(&body)) {
       result->report = Named(event->report, host->second.report_names);
     }
     actions_.clear();
@@ -100,4 +100,4 @@
   }
 }
 
-}  // namespace mountflow::adapter
+}  // namespace mountflow::simulator_adapter
--- a/adapter/drill.hpp
+++ b/src/simulator_adapter/server.hpp
@@ -1,6 +1,6 @@
 // Hosts one Scheduler per instance and answers batches of the wire.
-#ifndef MOUNTFLOW_ADAPTER_DRILL_HPP_
-#define MOUNTFLOW_ADAPTER_DRILL_HPP_
+#ifndef MOUNTFLOW_SIMULATOR_ADAPTER_SERVER_HPP_
+#define MOUNTFLOW_SIMULATOR_ADAPTER_SERVER_HPP_
 
 #include <cstdint>
 #include <istream>
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "adapter/codec.hpp"
+#include "simulator_adapter/codec.hpp"
 
-namespace mountflow::adapter {
+namespace mountflow::simulator_adapter {
 
 class Drill {
  public:
@@ -36,6 +36,6 @@
 // wrong is told on `errors`.
 int Serve(std::istream& in, std::ostream& out, std::ostream& errors);
 
-}  // namespace mountflow::adapter
+}  // namespace mountflow::simulator_adapter
 
-#endif  // MOUNTFLOW_ADAPTER_DRILL_HPP_
+#endif  // MOUNTFLOW_SIMULATOR_ADAPTER_SERVER_HPP_
--- a/tests/door_test.cpp
+++ b/tests/admission/admission_test.cpp
@@ -1,9 +1,9 @@
 // The door: who is refused, when, and what it is told. No sockets, time by hand.
-#include "door/door.hpp"
+#include "admission/admission.hpp"
 
 #include <gtest/gtest.h>
 
-namespace mountflow::door {
+namespace mountflow::admission {
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
@@ -154,4 +154,4 @@
 }
 
 }  // namespace
-}  // namespace mountflow::door
+}  // namespace mountflow::admission
--- a/tests/rehearsal_test.cpp
+++ b/tests/chaos/chaos_test.cpp
@@ -3,7 +3,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "tests/whole_rig.hpp"
+#include "tests/support/process_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
--- a/tests/judge_test.cpp
+++ b/tests/chaos/invariant_checker_test.cpp
@@ -1,9 +1,9 @@
 // The judge must be able to fail: a small clean record, and for each rule one that breaks it.
-#include "rehearsal/judge.hpp"
+#include "tools/chaos/invariant_checker.hpp"
 
 #include <gtest/gtest.h>
 
-namespace mountflow::rehearsal {
+namespace mountflow::chaos {
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
@@ -362,4 +362,4 @@
 }
 
 }  // namespace
-}  // namespace mountflow::rehearsal
+}  // namespace mountflow::chaos
--- a/tests/edges_test.cpp
+++ b/tests/config/configuration_and_entries_test.cpp
@@ -2,13 +2,13 @@
 // directives, days.
 #include <gtest/gtest.h>
 
-#include "commands/common.hpp"
-#include "commands/directives.hpp"
+#include "cli/common.hpp"
+#include "cli/directives.hpp"
 #include "config/config.hpp"
+#include "discovery/entry.hpp"
 #include "http/message.hpp"
-#include "registry/entry.hpp"
-#include "registry/store.hpp"
-#include "rehearsal/day.hpp"
+#include "tools/chaos/scenario.hpp"
+#include "tools/registry_standin/store.hpp"
 
 namespace mountflow {
 namespace {
@@ -21,12 +21,12 @@
   const config::Loaded loaded = config::LoadDaemon("");
   ASSERT_TRUE(loaded.ok()) << loaded.errors[0];
   EXPECT_EQ(loaded.config.core.classes, (std::vector<std::string>{"service", "batch", "once"}));
-  EXPECT_EQ(loaded.config.core.settings.classes[0].effect, Effect::kKeyed);
-  EXPECT_EQ(loaded.config.core.settings.classes[1].spread, Spread::kCell);
-  EXPECT_EQ(loaded.config.core.settings.classes[1].together_max, 4);
-  EXPECT_EQ(loaded.config.core.settings.kinds[1].memory, 128.0);
+  EXPECT_EQ(loaded.config.core.settings.classes[0].idempotency, Idempotency::kWithKey);
+  EXPECT_EQ(loaded.config.core.settings.classes[1].topology_spread, TopologySpread::kRack);
+  EXPECT_EQ(loaded.config.core.settings.classes[1].max_per_domain, 4);
+  EXPECT_EQ(loaded.config.core.settings.node_kinds[1].memory, 128.0);
   EXPECT_EQ(loaded.config.core.hard_limits[0], 8 * kSecond);
-  EXPECT_TRUE(loaded.config.core.settings.lists_free);
+  EXPECT_TRUE(loaded.config.core.settings.list_has_free_capacity);
 }
 
 TEST(Config, ErrorsNameFilePathAndExpectation) {
@@ -64,32 +64,32 @@
                                                     "x");
   ASSERT_TRUE(loaded.ok()) << loaded.errors[0];
   const Settings& s = loaded.config.core.settings;
-  EXPECT_EQ(s.classes[0].scope, Scope::kZone);
-  EXPECT_EQ(s.classes[0].window, 5u);
-  EXPECT_EQ(s.classes[0].spread, Spread::kMachine);
+  EXPECT_EQ(s.classes[0].deduplication_scope, DeduplicationScope::kZone);
+  EXPECT_EQ(s.classes[0].deduplication_window, 5u);
+  EXPECT_EQ(s.classes[0].topology_spread, TopologySpread::kNode);
   EXPECT_EQ(s.self_index, 1);
-  EXPECT_DOUBLE_EQ(s.kinds[0].memory, 52.5);
-  EXPECT_DOUBLE_EQ(s.cold_from, 0.25);
+  EXPECT_DOUBLE_EQ(s.node_kinds[0].memory, 52.5);
+  EXPECT_DOUBLE_EQ(s.slow_start_initial_pace, 0.25);
 }
 
 // ---- Node entries ----
 
 TEST(Entry, ComesBackWithTimesOfToday) {
-  core::ListedNode n;
+  job_manager::ListedNode n;
   n.name = "n1", n.address = "127.0.0.1:7", n.rack = "r", n.room = "x", n.kind = "small";
   n.started = 1'796'129'091'196'621;  // microseconds of 2026; a bound of 1e15 once kept such nodes out
-  n.state = MachineState::kDraining;
+  n.state = NodeState::kDraining;
   n.free_cores = -0.5;
-  core::ListedNode read;
+  job_manager::ListedNode read;
   std::string expected;
-  ASSERT_TRUE(registry::ReadEntry(registry::WriteEntry(n), &read, &expected)) << expected;
+  ASSERT_TRUE(discovery::ReadEntry(discovery::WriteEntry(n), &read, &expected)) << expected;
   EXPECT_EQ(read.started, n.started);
   EXPECT_EQ(read.state, n.state);
   EXPECT_EQ(read.free_cores, -0.5);
 }
 
 TEST(Entry, WhatIsNoEntryIsNamed) {
-  core::ListedNode n;
+  job_manager::ListedNode n;
   std::string expected;
   for (const char* bad :
        {"", "[]", "{}", R"({"name":1,"address":"a"})", R"({"name":"n","address":""})",
@@ -97,22 +97,22 @@
         R"({"name":"n","address":"a","free_cores":"many"})",
         R"({"name":"n","address":"a","free_cores":1e400})"}) {
     expected.clear();
-    EXPECT_FALSE(registry::ReadEntry(bad, &n, &expected)) << bad;
+    EXPECT_FALSE(discovery::ReadEntry(bad, &n, &expected)) << bad;
     EXPECT_FALSE(expected.empty());
   }
-  EXPECT_FALSE(registry::ReadEntry(std::string(registry::kMostEntry + 1, ' '), &n, &expected));
+  EXPECT_FALSE(discovery::ReadEntry(std::string(discovery::kMostEntry + 1, ' '), &n, &expected));
 }
 
 TEST(Base64, ComesBackAndRefusesNonsense) {
   std::string bytes;
   for (const std::string& text : {std::string(), std::string("a"), std::string("ab"), std::string("abc"),
                                   std::string("\0\xff\x7f", 3)}) {
-    ASSERT_TRUE(registry::FromBase64(registry::Base64(text), &bytes));
+    ASSERT_TRUE(discovery::FromBase64(discovery::Base64(text), &bytes));
     EXPECT_EQ(bytes, text);
   }
-  EXPECT_EQ(registry::Base64("hello"), "aGVsbG8=");
+  EXPECT_EQ(discovery::Base64("hello"), "aGVsbG8=");
   for (const char* bad : {"a", "ab=c", "====", "a\nbc"})
-    EXPECT_FALSE(registry::FromBase64(bad, &bytes)) << bad;
+    EXPECT_FALSE(discovery::FromBase64(bad, &bytes)) << bad;
 }
 
 // ---- The list ----
@@ -131,7 +131,7 @@
 }
 
 TEST(Store, ABlockedReaderWakesWithTheChangeAfterTheDelay) {
-  registry::Store store;
+  discovery::Store store;
   http::Message put = Get("/v1/kv/nodes/a");
   put.method = "PUT", put.body = "one";
   store.Handle(0, 1, put);
@@ -150,15 +150,15 @@
   store.Tick(4 * kSecond);
   const auto woken = store.Take();
   ASSERT_EQ(woken.size(), 1u);
-  std::vector<registry::KeyValue> pairs;
+  std::vector<discovery::KeyValue> pairs;
   std::string expected;
-  ASSERT_TRUE(registry::ReadKv(Parse(woken[0].reply).body, &pairs, &expected));
+  ASSERT_TRUE(discovery::ReadKv(Parse(woken[0].reply).body, &pairs, &expected));
   EXPECT_EQ(pairs[0].value, "two");
   EXPECT_EQ(store.NextTimer(), ~Micros{0});
 }
 
 TEST(Store, ABlockedReadEndsAtItsWaitAndARemovalWakesIt) {
-  registry::Store store;
+  discovery::Store store;
   http::Message put = Get("/v1/kv/a");
   put.method = "PUT", put.body = "x";
   store.Handle(0, 1, put);
@@ -213,41 +213,39 @@
 // ---- Commands ----
 
 TEST(Directives, EndWithTheFirstLineOfTheScriptProper) {
-  const auto d = commands::ReadDirectives(
+  const auto d = cli::ReadDirectives(
       "#!/bin/sh\n# a comment\n\n  #PBS -N recount -l ncpus=2\n#PBS -v \"A=x y\",B='z'\necho\n#PBS -q late\n",
       "#PBS");
   EXPECT_TRUE(d.error.empty());
   EXPECT_EQ(d.arguments, (std::vector<std::string>{"-N", "recount", "-l", "ncpus=2", "-v", "A=x y,B=z"}));
-  EXPECT_EQ(commands::ReadDirectives("#JOB -h\n#PBS -N x\n", "#JOB").arguments,
-            std::vector<std::string>{"-h"});
-  EXPECT_TRUE(commands::ReadDirectives("#PBS -h\n", "").arguments.empty());
-  EXPECT_NE(commands::ReadDirectives("\n#PBS -N 'open\n", "#PBS").error.find("script line 2"),
-            std::string::npos);
-  EXPECT_FALSE(commands::ReadDirectives("#PBS " + std::string(10'000, 'x'), "#PBS").error.empty());
+  EXPECT_EQ(cli::ReadDirectives("#JOB -h\n#PBS -N x\n", "#JOB").arguments, std::vector<std::string>{"-h"});
+  EXPECT_TRUE(cli::ReadDirectives("#PBS -h\n", "").arguments.empty());
+  EXPECT_NE(cli::ReadDirectives("\n#PBS -N 'open\n", "#PBS").error.find("script line 2"), std::string::npos);
+  EXPECT_FALSE(cli::ReadDirectives("#PBS " + std::string(10'000, 'x'), "#PBS").error.empty());
 }
 
 TEST(Commands, ArgumentsAreReadAsPosixStates) {
   std::uint64_t seconds = 0;
   std::string error;
-  EXPECT_TRUE(commands::ReadDateTime("203012312359.30", &seconds, &error));
+  EXPECT_TRUE(cli::ReadDateTime("203012312359.30", &seconds, &error));
   EXPECT_GT(seconds, 1'924'900'000u);
   for (const char* bad :
        {"", "12", "1234567890123", "13320000", "0101240", "01012500", "0101000.5", "0101x000"}) {
-    EXPECT_FALSE(commands::ReadDateTime(bad, &seconds, &error)) << bad;
+    EXPECT_FALSE(cli::ReadDateTime(bad, &seconds, &error)) << bad;
     EXPECT_NE(error.find("[[CC]YY]MMDDhhmm"), std::string::npos);
   }
-  pbs::Attributes list;
-  EXPECT_TRUE(commands::ReadResources("ncpus=2,mem=1gb", &list, &error));
-  EXPECT_EQ(pbs::ValueOf(list, "Resource_List", "mem"), "1gb");
-  EXPECT_FALSE(commands::ReadResources("ncpus", &list, &error));
-  EXPECT_TRUE(commands::ReadAdditional("service=s,key=\"a,b\"", &list, &error));
-  EXPECT_EQ(pbs::ValueOf(list, "key"), "a,b");
-  EXPECT_FALSE(commands::ReadAdditional("service", &list, &error));
-  commands::JobRef ref;
-  EXPECT_TRUE(commands::ReadJobRef("12.d0@127.0.0.1:99", &ref, &error));
+  pbs_protocol::Attributes list;
+  EXPECT_TRUE(cli::ReadResources("ncpus=2,mem=1gb", &list, &error));
+  EXPECT_EQ(pbs_protocol::ValueOf(list, "Resource_List", "mem"), "1gb");
+  EXPECT_FALSE(cli::ReadResources("ncpus", &list, &error));
+  EXPECT_TRUE(cli::ReadAdditional("service=s,key=\"a,b\"", &list, &error));
+  EXPECT_EQ(pbs_protocol::ValueOf(list, "key"), "a,b");
+  EXPECT_FALSE(cli::ReadAdditional("service", &list, &error));
+  cli::JobRef ref;
+  EXPECT_TRUE(cli::ReadJobRef("12.d0@127.0.0.1:99", &ref, &error));
   EXPECT_EQ(ref.id, "12.d0");
   EXPECT_EQ(ref.address, "127.0.0.1:99");
-  EXPECT_FALSE(commands::ReadJobRef("d0.12", &ref, &error));
+  EXPECT_FALSE(cli::ReadJobRef("d0.12", &ref, &error));
 }
 
 // ---- Days ----
@@ -257,22 +255,22 @@
        {"crash", "hang", "pauses", "mass_restart", "discovery_stale", "zone_loss", "grow", "shrink", "ageing",
         "neighbour", "class_fail", "reconnect", "burst", "heavy_tail", "daemon_kill"}) {
     std::string error;
-    const std::string text = rehearsal::MakeDay({trouble, "crash"}, 3, &error);
+    const std::string text = chaos::MakeDay({trouble, "crash"}, 3, &error);
     ASSERT_TRUE(error.empty()) << error;
-    EXPECT_EQ(text, rehearsal::MakeDay({trouble, "crash"}, 3, &error));
-    rehearsal::Day day;
+    EXPECT_EQ(text, chaos::MakeDay({trouble, "crash"}, 3, &error));
+    chaos::Day day;
     std::vector<std::string> errors;
-    EXPECT_TRUE(rehearsal::ReadDay(text, trouble, &day, &errors)) << errors[0];
+    EXPECT_TRUE(chaos::ReadDay(text, trouble, &day, &errors)) << errors[0];
     EXPECT_EQ(day.seed, 3u);
   }
   std::string error;
-  rehearsal::MakeDay({"earthquake"}, 1, &error);
+  chaos::MakeDay({"earthquake"}, 1, &error);
   EXPECT_NE(error.find("earthquake"), std::string::npos);
-  rehearsal::Day day;
+  chaos::Day day;
   std::vector<std::string> errors;
-  EXPECT_TRUE(rehearsal::ReadDay(rehearsal::kDefaultDay, "embedded", &day, &errors));
-  EXPECT_FALSE(rehearsal::ReadDay(R"({"load":[{"queue":"a","rate":1}],"faults":[{"at_s":1,"kind":"flood"}]})",
-                                  "x", &day, &errors));
+  EXPECT_TRUE(chaos::ReadDay(chaos::kDefaultDay, "embedded", &day, &errors));
+  EXPECT_FALSE(chaos::ReadDay(R"({"load":[{"queue":"a","rate":1}],"faults":[{"at_s":1,"kind":"flood"}]})",
+                              "x", &day, &errors));
   EXPECT_NE(errors[0].find("/faults/0/kind"), std::string::npos);
 }
 
--- a/tests/whole_test.cpp
+++ b/tests/daemon/daemon_process_test.cpp
@@ -3,15 +3,15 @@
 #include <sstream>
 #include <thread>
 
-#include "registry/etcd.hpp"
-#include "tests/tls_rig.hpp"
-#include "tests/whole_rig.hpp"
+#include "discovery/etcd.hpp"
+#include "tests/support/process_fixture.hpp"
+#include "tests/support/tls_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
 
-using pbs::Code;
-using pbs::RequestType;
+using pbs_protocol::Code;
+using pbs_protocol::RequestType;
 
 class Whole : public ::testing::Test {
  protected:
@@ -38,7 +38,7 @@
   BatchClient client(d), other(d);
   const std::string id = client.Submit("service");
   const auto ready = node.WaitFor(RequestType::kReadyToCommit);
-  pbs::Request del;
+  pbs_protocol::Request del;
   del.type = RequestType::kDeleteJob;
   del.command = 1;
   del.id = id;
@@ -62,7 +62,7 @@
   const std::string id = client.Submit("service");
   node.Reply(node.WaitFor(RequestType::kReadyToCommit));
   const auto commit = node.WaitFor(RequestType::kCommit);
-  pbs::Request del;
+  pbs_protocol::Request del;
   del.type = RequestType::kDeleteJob;
   del.command = 1;
   del.id = id;
@@ -132,9 +132,9 @@
   node.Reply(node.WaitFor(RequestType::kReadyToCommit));
   node.Cut(node.WaitFor(RequestType::kCommit));
   const auto query = node.WaitFor(RequestType::kStatusJob);
-  pbs::Reply found;
-  found.choice = pbs::Choice::kStatus;
-  found.objects.push_back({pbs::ObjectType::kJob, query.request.id, {}});
+  pbs_protocol::Reply found;
+  found.choice = pbs_protocol::Choice::kStatus;
+  found.objects.push_back({pbs_protocol::ObjectType::kJob, query.request.id, {}});
   node.Send(query.conn, found);
   EXPECT_EQ(Wait(client, id, "answer", "answer"), "placed");
   EXPECT_EQ(node.Count(RequestType::kReadyToCommit), 1u);
@@ -147,7 +147,7 @@
   const auto d = With({&node});
   {
     BatchClient gone(d);
-    pbs::Request r;
+    pbs_protocol::Request r;
     r.type = RequestType::kQueueJob;
     r.destination = "service";
     gone.Call(r);
@@ -158,16 +158,16 @@
   std::string id;
   {
     BatchClient gone(d);
-    id = gone.Submit("service", {{"key", "", "k", pbs::Op::kSet}});
+    id = gone.Submit("service", {{"key", "", "k", pbs_protocol::Op::kSet}});
   }
   node.SayYes();
   EXPECT_EQ(Wait(client, id, "answer", "answer"), "placed");
   // The client comes back with its key: no second job.
-  pbs::Request again;
+  pbs_protocol::Request again;
   again.type = RequestType::kQueueJob;
   again.destination = "service";
-  again.attributes = {{"key", "", "k", pbs::Op::kSet}};
-  const pbs::Reply told = client.Call(again);
+  again.attributes = {{"key", "", "k", pbs_protocol::Op::kSet}};
+  const pbs_protocol::Reply told = client.Call(again);
   EXPECT_EQ(told.code, Code::kExists);
   EXPECT_EQ(told.text, id);
 }
@@ -193,9 +193,9 @@
     std::string all;
     for (ssize_t n = 0; (n = recv(fd, buffer, sizeof buffer, 0)) > 0;)
       all.append(buffer, static_cast<std::size_t>(n));
-    pbs::Reply reply;
+    pbs_protocol::Reply reply;
     if (!all.empty()) {  // a reset may overtake the reply where input was left unread
-      ASSERT_EQ(pbs::Decode(all, &reply).state, pbs::DisState::kOk);
+      ASSERT_EQ(pbs_protocol::Decode(all, &reply).state, pbs_protocol::DisState::kOk);
       EXPECT_TRUE(reply.code == Code::kProtocol || reply.code == Code::kUnknownRequest);
     }
   }
@@ -212,22 +212,22 @@
   const auto d = With({&node});
   // The daemon stands still while the client commits, so that no reply comes in its time; the client goes
   // away with its commit in the daemon's buffer, and asks again.
-  client::Submission s;
+  pbs_client::Submission s;
   s.user = "root";
   s.destination = "service";
   s.key = "k";
   s.owner_time = 20'000'000;
   s.tries = 3;
   {
-    client::Client first;
+    pbs_client::Client first;
     std::string error;
-    pbs::Reply reply;
+    pbs_protocol::Reply reply;
     ASSERT_TRUE(first.Connect(d.address(), kLimit, &error)) << error;
-    pbs::Request r;
+    pbs_protocol::Request r;
     r.type = RequestType::kQueueJob;
     r.user = "root";
     r.destination = "service";
-    r.attributes = {{"key", "", "k", pbs::Op::kSet}};
+    r.attributes = {{"key", "", "k", pbs_protocol::Op::kSet}};
     ASSERT_TRUE(first.Call(r, &reply, kLimit, &error)) << error;
     d.process->Signal(SIGSTOP);
     r.type = RequestType::kCommit;
@@ -235,7 +235,7 @@
     EXPECT_FALSE(first.Call(r, &reply, 200'000, &error));
   }
   d.process->Signal(SIGCONT);
-  const client::SubmitResult result = client::Submit({d.address()}, s);
+  const pbs_client::SubmitResult result = pbs_client::Submit({d.address()}, s);
   ASSERT_TRUE(result.ok) << result.error;
   node.SayYes();
   BatchClient client(d);
@@ -252,18 +252,18 @@
   Site::Knows(d1, 1);
   // The first daemon took the job and placed it; its reply to the client was lost.
   BatchClient first(d0), second(d1);
-  const std::string id = first.Submit("service", {{"key", "", "k", pbs::Op::kSet}});
+  const std::string id = first.Submit("service", {{"key", "", "k", pbs_protocol::Op::kSet}});
   const auto commit = node.SayYes();
   EXPECT_EQ(Wait(first, id, "answer", "answer"), "placed");
-  const Micros until = client::WallTime() + 4'000'000;
+  const Micros until = pbs_client::WallTime() + 4'000'000;
   const std::string again =
-      second.Submit("service", {{"key", "", "k", pbs::Op::kSet},
-                                {"repeat", "", "true", pbs::Op::kSet},
-                                {"earlier_until", "", std::to_string(until), pbs::Op::kSet}});
+      second.Submit("service", {{"key", "", "k", pbs_protocol::Op::kSet},
+                                {"repeat", "", "true", pbs_protocol::Op::kSet},
+                                {"earlier_until", "", std::to_string(until), pbs_protocol::Op::kSet}});
   const auto select = node.WaitFor(RequestType::kSelectJobs);
-  EXPECT_EQ(pbs::ValueOf(select.request.attributes, "key"), "k");
-  pbs::Reply found;
-  found.choice = pbs::Choice::kSelected;
+  EXPECT_EQ(pbs_protocol::ValueOf(select.request.attributes, "key"), "k");
+  pbs_protocol::Reply found;
+  found.choice = pbs_protocol::Choice::kSelected;
   found.ids = {commit.request.id};
   node.Send(select.conn, found);
   EXPECT_EQ(Wait(second, again, "answer", "answer"), "placed");
@@ -282,10 +282,11 @@
   std::string id, other;
   {
     BatchClient client(d);
-    const pbs::Attributes attributes = {{"key", "", "k", pbs::Op::kSet}, {"life", "", "60", pbs::Op::kSet}};
+    const pbs_protocol::Attributes attributes = {{"key", "", "k", pbs_protocol::Op::kSet},
+                                                 {"life", "", "60", pbs_protocol::Op::kSet}};
     id = client.Submit("service", attributes);
     EXPECT_EQ(Wait(client, id, "answer", "answer"), "placed");
-    other = client.Submit("service", {{"life", "", "60", pbs::Op::kSet}});  // in the making
+    other = client.Submit("service", {{"life", "", "60", pbs_protocol::Op::kSet}});  // in the making
   }
   d.process->Kill();
   d = site.Start("d0", port);
@@ -295,13 +296,13 @@
   while (client.Attribute(id, "job_state") != "R" && Mono() < until) usleep(5000);
   EXPECT_EQ(client.Attribute(id, "job_state"), "R");
   EXPECT_EQ(client.Attribute(id, "exec_host"), "n/0");
-  pbs::Request again;
+  pbs_protocol::Request again;
   again.type = RequestType::kQueueJob;
   again.destination = "service";
-  again.attributes = {{"key", "", "k", pbs::Op::kSet}};
+  again.attributes = {{"key", "", "k", pbs_protocol::Op::kSet}};
   EXPECT_EQ(client.Call(again).text, id);
   // Its end reaches the new life.
-  pbs::Request del;
+  pbs_protocol::Request del;
   del.type = RequestType::kDeleteJob;
   del.command = 1;
   del.id = id;
@@ -330,14 +331,14 @@
   std::string held, placed, ended;
   {
     BatchClient client(d);
-    held = client.Submit("service", {{"Hold_Types", "", "u", pbs::Op::kSet}});
-    placed = client.Submit("service", {{"key", "", "k-1", pbs::Op::kSet}});
+    held = client.Submit("service", {{"Hold_Types", "", "u", pbs_protocol::Op::kSet}});
+    placed = client.Submit("service", {{"key", "", "k-1", pbs_protocol::Op::kSet}});
     node.SayYes();
     EXPECT_EQ(Wait(client, placed, "answer", "answer"), "placed");
     ended = client.Submit("batch");
     const auto commit = node.SayYes();
     EXPECT_EQ(Wait(client, ended, "answer", "answer"), "placed");
-    EXPECT_EQ(NodeDouble::Report(d.batch, commit.request.id, "exited", 5), pbs::Code::kNone);
+    EXPECT_EQ(NodeDouble::Report(d.batch, commit.request.id, "exited", 5), pbs_protocol::Code::kNone);
     EXPECT_EQ(Wait(client, ended, "exit_status", "end"), "5");
   }
   const int port = d.batch;
@@ -347,7 +348,7 @@
   EXPECT_EQ(client.Attribute(held, "job_state"), "H");
   EXPECT_EQ(client.Attribute(placed, "answer"), "placed");
   EXPECT_EQ(client.Attribute(ended, "exit_status", "x"), "5");
-  EXPECT_EQ(client.Call(RequestType::kDeleteJob, held).code, pbs::Code::kNone);
+  EXPECT_EQ(client.Call(RequestType::kDeleteJob, held).code, pbs_protocol::Code::kNone);
 }
 
 // Killed after its commit went to the node and before the reply: the node is asked, the one answer is given
@@ -375,19 +376,19 @@
     EXPECT_EQ(client.Attribute(id, "answer"), "");
     EXPECT_EQ(node.Count(RequestType::kCommit), commits);
     if (has_it) {
-      pbs::Reply there;
-      there.choice = pbs::Choice::kStatus;
-      there.objects.push_back({pbs::ObjectType::kJob, asked.request.id, {}});
+      pbs_protocol::Reply there;
+      there.choice = pbs_protocol::Choice::kStatus;
+      there.objects.push_back({pbs_protocol::ObjectType::kJob, asked.request.id, {}});
       node.Send(asked.conn, there);
     } else {
-      node.Reply(asked, pbs::Code::kUnknownJob);
+      node.Reply(asked, pbs_protocol::Code::kUnknownJob);
       node.SayYes();
     }
     EXPECT_EQ(Wait(client, id, "answer", "answer"), "placed");
     EXPECT_EQ(node.Count(RequestType::kCommit), commits + (has_it ? 0 : 1));
     site.Publish([&] {
-      core::ListedNode gone = node.Entry();
-      gone.state = MachineState::kGone;
+      job_manager::ListedNode gone = node.Entry();
+      gone.state = NodeState::kGone;
       return gone;
     }());
   }
@@ -403,38 +404,38 @@
   std::string small;
   {
     BatchClient client(d);
-    small = client.Submit("service", {{"Hold_Types", "", "u", pbs::Op::kSet}});
-    client::Client large;
+    small = client.Submit("service", {{"Hold_Types", "", "u", pbs_protocol::Op::kSet}});
+    pbs_client::Client large;
     std::string error;
     ASSERT_TRUE(large.Connect(d.address(), kLimit, &error));
-    pbs::Request r;
-    pbs::Reply reply;
+    pbs_protocol::Request r;
+    pbs_protocol::Reply reply;
     r.type = RequestType::kQueueJob;
     r.user = "root";
     r.destination = "service";
-    r.attributes = {{"Hold_Types", "", "u", pbs::Op::kSet}};
+    r.attributes = {{"Hold_Types", "", "u", pbs_protocol::Op::kSet}};
     ASSERT_TRUE(large.Call(r, &reply, kLimit, &error)) << error;
-    pbs::Request script;
+    pbs_protocol::Request script;
     script.type = RequestType::kJobScript;
     script.user = "root";
     script.id = reply.text;
     script.script = std::string(10'000, '#');
     ASSERT_TRUE(large.Call(script, &reply, kLimit, &error)) << error;
-    pbs::Request commit;
+    pbs_protocol::Request commit;
     commit.type = RequestType::kCommit;
     commit.user = "root";
     commit.id = script.id;
     // The commit cannot be kept, so it is not answered until the daemon is gone; the door closes.
     bool answered = true;
     std::thread commits([&] { answered = large.Call(commit, &reply, kLimit, &error); });
-    pbs::Reply refused;
+    pbs_protocol::Reply refused;
     const Micros until = Mono() + kLimit;
     do {
       BatchClient other(d);
-      pbs::Request queue = r;
+      pbs_protocol::Request queue = r;
       refused = other.Call(queue);
       if (Mono() > until) break;
-    } while (refused.code == pbs::Code::kNone);
+    } while (refused.code == pbs_protocol::Code::kNone);
     EXPECT_NE(refused.text.find("jobs cannot be kept now"), std::string::npos) << refused.text;
     EXPECT_NE(refused.text.find("File too large"), std::string::npos) << refused.text;
     EXPECT_EQ(Http(d.http, "POST", "/v1/jobs", R"({"script": "x"})").status, 503);
@@ -445,7 +446,7 @@
   d = site.Start("d0", d.batch, "mountflowd", dir + "/jobs");
   BatchClient client(d);
   EXPECT_EQ(client.Attribute(small, "job_state"), "H");
-  EXPECT_FALSE(client.Submit("service", {{"Hold_Types", "", "u", pbs::Op::kSet}}).empty());
+  EXPECT_FALSE(client.Submit("service", {{"Hold_Types", "", "u", pbs_protocol::Op::kSet}}).empty());
 }
 
 // Use is counted once though its report comes twice and the daemon dies between; a spent budget closes the
@@ -471,7 +472,7 @@
     EXPECT_EQ(Wait(client, id, "answer", "answer"), "placed");
     attempt = commit.request.id;
     EXPECT_EQ(NodeDouble::Report(d.batch, attempt, "exited", 0, kNoon, kNoon + 3'600'000'000),
-              pbs::Code::kNone);
+              pbs_protocol::Code::kNone);
   }
   const std::string expected = "\"money\":\"3600000\"";
   std::string use = Http(d.http, "GET", "/v1/use/2026-11-30").body;
@@ -493,7 +494,7 @@
   EXPECT_EQ(Wait(client, id, "answer", "answer"), "placed");
   EXPECT_EQ(
       NodeDouble::Report(d.batch, commit.request.id, "exited", 0, now - 60'000'000, now + 2 * 3'600'000'000),
-      pbs::Code::kNone);
+      pbs_protocol::Code::kNone);
   const http::Message refused = Http(d.http, "POST", "/v1/jobs", R"({"script": "x"})");
   EXPECT_EQ(refused.status, 503);
   EXPECT_NE(refused.body.find("the budget of tenant"), std::string::npos) << refused.body;
@@ -514,7 +515,7 @@
   auto d = site.Start("d0", 0, "mountflowd", dir + "/jobs");
   {
     BatchClient client(d);
-    for (int i = 0; i < 3; ++i) client.Submit("service", {{"Hold_Types", "", "u", pbs::Op::kSet}});
+    for (int i = 0; i < 3; ++i) client.Submit("service", {{"Hold_Types", "", "u", pbs_protocol::Op::kSet}});
   }
   const std::vector<std::string> second = {"mountflowd", "--batch",   "127.0.0.1:0", "--http",
                                            "",           "--storage", dir + "/jobs"};
@@ -539,9 +540,9 @@
       std::vector<std::string>{"mountflow-list", "--etcd", "--listen", "127.0.0.1:0"});
   const int port = PortIn(list->Line(), "ready: ");
   NodeDouble node("n"), other("o");
-  const auto put = [&](const core::ListedNode& n) {
+  const auto put = [&](const job_manager::ListedNode& n) {
     EXPECT_EQ(Http(port, "POST", "/v3/kv/put",
-                   registry::WritePut("mountflow/nodes/" + n.name, registry::WriteEntry(n), 0))
+                   discovery::WritePut("mountflow/nodes/" + n.name, discovery::WriteEntry(n), 0))
                   .status,
               200);
   };
@@ -556,7 +557,7 @@
     Site::Knows(d, 1);
     put(other.Entry());
     Site::Knows(d, 2);
-    EXPECT_EQ(Http(port, "POST", "/v3/kv/deleterange", registry::WriteDelete("mountflow/nodes/o")).status,
+    EXPECT_EQ(Http(port, "POST", "/v3/kv/deleterange", discovery::WriteDelete("mountflow/nodes/o")).status,
               200);
     Site::Knows(d, 1);
     list->Kill();  // the registry is away: what is known stands
--- a/tests/wire_golden_test.cpp
+++ b/tests/daemon/wire_golden_test.cpp
@@ -4,14 +4,14 @@
 #include <gtest/gtest.h>
 
 #include "daemon/http_front.hpp"
+#include "discovery/entry.hpp"
+#include "discovery/etcd.hpp"
 #include "http/message.hpp"
-#include "pbs/protocol.hpp"
-#include "platform/machine_wire.hpp"
-#include "platform/owner_wire.hpp"
-#include "registry/entry.hpp"
-#include "registry/etcd.hpp"
-#include "tests/core_rig.hpp"
+#include "pbs_protocol/protocol.hpp"
+#include "platform/client_codec.hpp"
+#include "platform/node_codec.hpp"
 #include "tests/support/golden.hpp"
+#include "tests/support/job_manager_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
@@ -26,13 +26,13 @@
 
 void AddPbsRequests(GoldenFile* golden) {
   for (const unsigned type : {0, 1, 3, 4, 5, 6, 7, 11, 12, 13, 14, 16, 18, 19, 20, 21, 22, 59}) {
-    pbs::Request request;
-    request.type = static_cast<pbs::RequestType>(type);
+    pbs_protocol::Request request;
+    request.type = static_cast<pbs_protocol::RequestType>(type);
     request.user = "thandi@host";
     request.id = "1.d0";
     request.destination = "batch";
-    request.attributes = {{"Resource_List", "ncpus", "2", pbs::Op::kGe},
-                          {"Job_Name", "", "recount", pbs::Op::kSet}};
+    request.attributes = {{"Resource_List", "ncpus", "2", pbs_protocol::Op::kGe},
+                          {"Job_Name", "", "recount", pbs_protocol::Op::kSet}};
     request.command = 2;
     request.sequence = 3;
     request.script = std::string("echo\0x\n", 7);
@@ -40,38 +40,40 @@
     request.status = -3;
     request.extension = "wait=answer";
     std::string bytes;
-    pbs::Encode(request, &bytes);
+    pbs_protocol::Encode(request, &bytes);
     golden->AddBytes("pbs.request." + std::to_string(type), bytes);
-    pbs::Request read;
-    EXPECT_EQ(pbs::Decode(bytes, &read).state, pbs::DisState::kOk) << type;
+    pbs_protocol::Request read;
+    EXPECT_EQ(pbs_protocol::Decode(bytes, &read).state, pbs_protocol::DisState::kOk) << type;
     std::string again;
-    pbs::Encode(read, &again);
+    pbs_protocol::Encode(read, &again);
     EXPECT_EQ(again, bytes) << type;
   }
 }
 
 void AddPbsReplies(GoldenFile* golden) {
   for (const unsigned choice : {1, 2, 3, 4, 5, 6, 7, 8}) {
-    pbs::Reply reply;
-    reply.choice = static_cast<pbs::Choice>(choice);
-    reply.code = choice == 1 ? pbs::Code::kUnknownJob : pbs::Code::kNone;
+    pbs_protocol::Reply reply;
+    reply.choice = static_cast<pbs_protocol::Choice>(choice);
+    reply.code = choice == 1 ? pbs_protocol::Code::kUnknownJob : pbs_protocol::Code::kNone;
     reply.auxiliary = -2;
     reply.text = "1.d0";
     reply.ids = {"1.d0", "2.d0"};
-    reply.objects = {{pbs::ObjectType::kJob, "1.d0", {{"job_state", "", "R", pbs::Op::kSet}}},
-                     {pbs::ObjectType::kServer, "d0", {}}};
+    reply.objects = {
+        {pbs_protocol::ObjectType::kJob, "1.d0", {{"job_state", "", "R", pbs_protocol::Op::kSet}}},
+        {pbs_protocol::ObjectType::kServer, "d0", {}}};
     std::string bytes;
-    pbs::Encode(reply, &bytes);
+    pbs_protocol::Encode(reply, &bytes);
     golden->AddBytes("pbs.reply." + std::to_string(choice), bytes);
-    pbs::Reply read;
-    EXPECT_EQ(pbs::Decode(bytes, &read).state, pbs::DisState::kOk) << choice;
+    pbs_protocol::Reply read;
+    EXPECT_EQ(pbs_protocol::Decode(bytes, &read).state, pbs_protocol::DisState::kOk) << choice;
     std::string again;
-    pbs::Encode(read, &again);
+    pbs_protocol::Encode(read, &again);
     EXPECT_EQ(again, bytes) << choice;
   }
   for (const int code : {0, 15001, 15002, 15003, 15004, 15005, 15006, 15007, 15009, 15010, 15014, 15015,
                          15016, 15018, 15031, 15046}) {
-    golden->AddBytes("pbs.code." + std::to_string(code), pbs::Describe(static_cast<pbs::Code>(code)));
+    golden->AddBytes("pbs.code." + std::to_string(code),
+                     pbs_protocol::Describe(static_cast<pbs_protocol::Code>(code)));
   }
 }
 
@@ -118,24 +120,24 @@
 }
 
 void AddRegistryMessages(GoldenFile* golden) {
-  core::ListedNode node = CoreRig::Node("a", "rack-1", 7 * kSecond);
-  for (const MachineState state : {MachineState::kGone, MachineState::kReady, MachineState::kDraining}) {
+  job_manager::ListedNode node = CoreRig::Node("a", "rack-1", 7 * kSecond);
+  for (const NodeState state : {NodeState::kGone, NodeState::kReady, NodeState::kDraining}) {
     node.state = state;
-    const std::string entry = registry::WriteEntry(node);
+    const std::string entry = discovery::WriteEntry(node);
     golden->AddBytes("registry.entry." + std::to_string(static_cast<int>(state)), entry);
-    core::ListedNode read;
+    job_manager::ListedNode read;
     std::string expected;
-    EXPECT_TRUE(registry::ReadEntry(entry, &read, &expected)) << expected;
-    EXPECT_EQ(registry::WriteEntry(read), entry);
+    EXPECT_TRUE(discovery::ReadEntry(entry, &read, &expected)) << expected;
+    EXPECT_EQ(discovery::WriteEntry(read), entry);
   }
-  golden->AddBytes("consul.kv", registry::WriteKv({{"k/a", "value", 3, 4}, {"k/b", "", 5, 6}}));
-  golden->AddBytes("etcd.range", registry::WriteRange("k/a", "k/", 9, 100));
-  golden->AddBytes("etcd.watch", registry::WriteWatch("k/", 10));
-  golden->AddBytes("etcd.authenticate", registry::WriteAuthenticate("user", "word"));
-  golden->AddBytes("etcd.lease_grant", registry::WriteLeaseGrant(7, 10));
-  golden->AddBytes("etcd.keep_alive", registry::WriteKeepAlive(7));
-  golden->AddBytes("etcd.put", registry::WritePut("k/a", "value", 7));
-  golden->AddBytes("etcd.delete", registry::WriteDelete("k/a"));
+  golden->AddBytes("consul.kv", discovery::WriteKv({{"k/a", "value", 3, 4}, {"k/b", "", 5, 6}}));
+  golden->AddBytes("etcd.range", discovery::WriteRange("k/a", "k/", 9, 100));
+  golden->AddBytes("etcd.watch", discovery::WriteWatch("k/", 10));
+  golden->AddBytes("etcd.authenticate", discovery::WriteAuthenticate("user", "word"));
+  golden->AddBytes("etcd.lease_grant", discovery::WriteLeaseGrant(7, 10));
+  golden->AddBytes("etcd.keep_alive", discovery::WriteKeepAlive(7));
+  golden->AddBytes("etcd.put", discovery::WritePut("k/a", "value", 7));
+  golden->AddBytes("etcd.delete", discovery::WriteDelete("k/a"));
 }
 
 // The HTTP interface over jobs in each state.
@@ -143,12 +145,12 @@
   golden->AddBytes("http.request", http::WriteRequest("PUT", "/a?b=c", {{"X-One", "1"}}, "body"));
   golden->AddBytes("http.reply", http::WriteReply(503, {{"Retry-After", "2"}}, "body", false));
   CoreRig rig;
-  batch::FrontOptions options;
+  pbs_server::FrontOptions options;
   daemon::HttpFront front(&rig.core, &options, nullptr);
   rig.List({CoreRig::Node("a")});
   rig.SyncAll();
   const std::string placed = rig.core.IdOf(rig.PlaceNew(1, "key-1").attempt.job);
-  core::JobSpec held;
+  job_manager::JobSpec held;
   held.user = "thandi", held.task_class = 1, held.queue = "safe", held.hold = "u";
   const std::string waiting = rig.core.IdOf(rig.Submit(held));
   int asked = 0;
@@ -157,7 +159,7 @@
     request.method = method;
     request.path = path;
     request.body = body;
-    batch::Peer peer;
+    pbs_server::Peer peer;
     peer.user = "thandi";
     golden->AddBytes("http." + std::to_string(++asked) + "." + method,
                      front.Handle(rig.now, request, peer, rig.now));
@@ -193,12 +195,12 @@
   for (const auto& [name, hex] : golden.recorded()) {
     const std::string bytes = FromHex(hex);
     if (name.rfind("pbs.request.", 0) == 0) {
-      pbs::Request request;
-      EXPECT_EQ(pbs::Decode(bytes, &request).state, pbs::DisState::kOk) << name;
+      pbs_protocol::Request request;
+      EXPECT_EQ(pbs_protocol::Decode(bytes, &request).state, pbs_protocol::DisState::kOk) << name;
       EXPECT_EQ("pbs.request." + std::to_string(static_cast<unsigned>(request.type)), name);
     } else if (name.rfind("pbs.reply.", 0) == 0) {
-      pbs::Reply reply;
-      EXPECT_EQ(pbs::Decode(bytes, &reply).state, pbs::DisState::kOk) << name;
+      pbs_protocol::Reply reply;
+      EXPECT_EQ(pbs_protocol::Decode(bytes, &reply).state, pbs_protocol::DisState::kOk) << name;
       EXPECT_EQ("pbs.reply." + std::to_string(static_cast<unsigned>(reply.choice)), name);
     } else if (name.rfind("client.", 0) == 0) {
       platform::OwnerReader reader;
--- a/tests/registrar_test.cpp
+++ b/tests/discovery/registrar_test.cpp
@@ -1,16 +1,16 @@
 // One's own entry under a lease or session, and the last view on disk.
-#include "registry/registrar.hpp"
+#include "discovery/registrar.hpp"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
 
-#include "registry/catalog.hpp"
-#include "registry/etcd_store.hpp"
-#include "registry/health.hpp"
-#include "registry/snapshot.hpp"
-#include "registry/store.hpp"
+#include "discovery/health.hpp"
+#include "discovery/snapshot.hpp"
+#include "tools/registry_standin/catalog.hpp"
+#include "tools/registry_standin/etcd_store.hpp"
+#include "tools/registry_standin/store.hpp"
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
@@ -88,7 +88,7 @@
 
 // ---- Instances of a service ----
 
-std::map<std::string, core::ListedNode> Instances(Catalog* catalog, Micros now) {
+std::map<std::string, job_manager::ListedNode> Instances(Catalog* catalog, Micros now) {
   http::Message get;
   get.method = "GET", get.path = "/v1/health/service/nodes";
   catalog->Handle(now, 9, get);
@@ -97,9 +97,9 @@
   std::vector<KeyValue> pairs;
   std::string expected;
   EXPECT_TRUE(ReadHealth(out.messages().front().body, &pairs, &expected)) << expected;
-  std::map<std::string, core::ListedNode> all;
+  std::map<std::string, job_manager::ListedNode> all;
   for (const KeyValue& kv : pairs) {
-    core::ListedNode node;
+    job_manager::ListedNode node;
     EXPECT_TRUE(ReadEntry(kv.value, &node, &expected)) << expected << " " << kv.value;
     all[kv.key] = node;
   }
@@ -118,7 +118,7 @@
 TEST(Service, ChecksAndMaintenanceSayWhoIsThere) {
   Catalog catalog;
   Micros now = 1000 * kSecond;
-  core::ListedNode n;
+  job_manager::ListedNode n;
   n.name = "a", n.address = "10.0.0.1:15002", n.rack = "r1", n.room = "x", n.kind = "small";
   n.started = 5, n.free_cores = 2.5;
   Put(&catalog, now, "/v1/agent/service/register", WriteService(WriteEntry(n), "nodes", 10 * kSecond));
@@ -131,7 +131,7 @@
   EXPECT_EQ(all["tagged"].rack, "r2");
   EXPECT_EQ(all["tagged"].free_cores, 3.0);
   Put(&catalog, now, "/v1/agent/service/maintenance/a", "", "enable");
-  EXPECT_EQ(Instances(&catalog, now)["a"].state, MachineState::kDraining);
+  EXPECT_EQ(Instances(&catalog, now)["a"].state, NodeState::kDraining);
   now += 11 * kSecond;  // nobody made its check pass
   all = Instances(&catalog, now);
   EXPECT_EQ(all.count("a"), 0u);
@@ -147,7 +147,7 @@
   o.service = "nodes";
   Registrar registrar(o, 3);
   Micros now = 1000 * kSecond;
-  core::ListedNode n;
+  job_manager::ListedNode n;
   n.name = "a", n.address = "10.0.0.1:15002";
   std::size_t requests = 0;
   const auto run = [&](Micros length, bool up, bool whole = true) {
@@ -182,10 +182,10 @@
   catalog = Catalog();  // the agent was set up anew; a renewal tells
   run(10 * kSecond, true, false);
   EXPECT_EQ(Instances(&catalog, now).count("a"), 1u);
-  n.state = MachineState::kDraining;
+  n.state = NodeState::kDraining;
   registrar.Want(now, WriteEntry(n), true);
   run(kSecond, true);
-  EXPECT_EQ(Instances(&catalog, now)["a"].state, MachineState::kDraining);
+  EXPECT_EQ(Instances(&catalog, now)["a"].state, NodeState::kDraining);
   registrar.Want(now, "", true);
   run(kSecond, true);
   EXPECT_TRUE(Instances(&catalog, now).empty());
@@ -202,7 +202,7 @@
   ASSERT_TRUE(
       ReadHealth(R"([{"Service": {"ID": "a", "Address": "h", "Port": 1, "Meta": {"free_cores": "many"}}}])",
                  &pairs, &expected));
-  core::ListedNode node;
+  job_manager::ListedNode node;
   EXPECT_FALSE(ReadEntry(pairs.back().value, &node, &expected));
   EXPECT_EQ(expected, "free_cores: a number");
 }
@@ -287,7 +287,7 @@
   Snapshot s;
   s.taken_at = 42;
   for (int i = 0; i < 3; ++i) {
-    core::ListedNode n;
+    job_manager::ListedNode n;
     n.name = "n" + std::to_string(i), n.address = "127.0.0.1:1", n.started = 1'796'129'091'196'621;
     s.nodes.push_back(n);
   }
@@ -328,4 +328,4 @@
 }
 
 }  // namespace
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
--- a/tests/registry_test.cpp
+++ b/tests/discovery/registry_client_test.cpp
@@ -2,15 +2,15 @@
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
-#include "registry/client.hpp"
-#include "tests/registry_rig.hpp"
+#include "discovery/client.hpp"
+#include "tests/support/registry_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
 
-using registry::KeyValue;
-using registry::RegistryKind;
-using registry::RegistryState;
+using discovery::KeyValue;
+using discovery::RegistryKind;
+using discovery::RegistryState;
 
 constexpr Micros kMs = 1000, kSecond = 1'000'000;
 
@@ -103,7 +103,7 @@
   for (int i = 0; i < 10'000; ++i) {
     rig.Put("n" + std::to_string(i % 50), i);
     if (i == 4321) {
-      rig.Put("n7", 1, MachineState::kDraining);
+      rig.Put("n7", 1, NodeState::kDraining);
       rig.Settle();
       drained_at = rig.now;
     }
@@ -228,7 +228,7 @@
   RegistryRig rig(RegistryKind::kEtcd);
   rig.Etcd().breaks.user = "mountflow", rig.Etcd().breaks.password = "secret";
   rig.options.user = "mountflow", rig.options.password = "secret";
-  rig.client = std::make_unique<registry::RegistryClient>(rig.options, 5);
+  rig.client = std::make_unique<discovery::RegistryClient>(rig.options, 5);
   rig.Put("a", 1);
   rig.Run(kSecond);
   EXPECT_EQ(rig.Seen(), rig.Truth());
@@ -338,7 +338,7 @@
     const std::string name = "n" + std::to_string(v);
     if (w < 6) rig.Put(name, value % 100);
     if (w == 6 || w == 7) rig.Delete(name);
-    if (w == 8) rig.Put(name, 1, MachineState::kDraining);
+    if (w == 8) rig.Put(name, 1, NodeState::kDraining);
     if (w == 9) rig.Cut();
     if (w == 10) rig.deliver = static_cast<std::size_t>(std::abs(value) % 3000);
     if (w == 11) rig.up[0] = !rig.up[0];
--- a/tests/corpus_test.cpp
+++ b/tests/fuzz/corpus_test.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "fuzz/targets.hpp"
+#include "tools/fuzz/targets.hpp"
 
 namespace mountflow::fuzz {
 namespace {
--- a/tests/core_test.cpp
+++ b/tests/job_manager/job_manager_test.cpp
@@ -1,18 +1,18 @@
 // The core's promises, event by event: one answer, attempts settled before a repeat, restarts, bounds.
-#include "core/core.hpp"
+#include "job_manager/job_manager.hpp"
 
 #include <gtest/gtest.h>
 
 #include <set>
 
-#include "tests/core_rig.hpp"
+#include "tests/support/job_manager_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
 
-using core::Answer;
-using core::JobState;
-using core::Verdict;
+using job_manager::Answer;
+using job_manager::JobState;
+using job_manager::Verdict;
 
 constexpr unsigned kKeyed = 0, kSafe = 1, kUnsafe = 2;
 
@@ -26,40 +26,42 @@
   }
   std::size_t Answers(std::uint64_t job) const {
     std::size_t count = 0;
-    for (const auto& a : rig.All<core::Answered>()) count += a.job == job;
+    for (const auto& a : rig.All<job_manager::Answered>()) count += a.job == job;
     return count;
   }
 };
 
 TEST_F(CoreTest, AJobIsAskedForCommittedAndAnsweredOnce) {
   const std::uint64_t job = rig.Submit(kSafe);
-  const auto ask = rig.Last<core::AskNode>();
+  const auto ask = rig.Last<job_manager::AskNode>();
   ASSERT_TRUE(ask);
   EXPECT_EQ(rig.Job(job).state, JobState::kQueued);
-  EXPECT_TRUE(rig.All<core::CommitNode>().empty());
-  rig.Take(core::Ready{ask->attempt});
-  ASSERT_EQ(rig.All<core::CommitNode>().size(), 1u);
+  EXPECT_TRUE(rig.All<job_manager::CommitNode>().empty());
+  rig.Take(job_manager::Ready{ask->attempt});
+  ASSERT_EQ(rig.All<job_manager::CommitNode>().size(), 1u);
   EXPECT_EQ(rig.Job(job).answer, Answer::kNone);
-  rig.Take(core::Committed{ask->attempt});
+  rig.Take(job_manager::Committed{ask->attempt});
   EXPECT_EQ(rig.Job(job).state, JobState::kRunning);
   EXPECT_EQ(rig.Job(job).answer, Answer::kPlaced);
-  rig.Take(core::Committed{ask->attempt});  // two answers from one node
-  rig.Take(core::Ready{ask->attempt});
+  rig.Take(job_manager::Committed{ask->attempt});  // two answers from one node
+  rig.Take(job_manager::Ready{ask->attempt});
   EXPECT_EQ(Answers(job), 1u);
-  EXPECT_EQ(rig.All<core::CommitNode>().size(), 1u);
-  rig.Take(core::AttemptEnded{ask->attempt, core::EndReason::kExited, 3, "", {}});
+  EXPECT_EQ(rig.All<job_manager::CommitNode>().size(), 1u);
+  rig.Take(job_manager::AttemptFinished{ask->attempt, job_manager::EndReason::kExited, 3, "", {}});
   EXPECT_EQ(rig.Job(job).state, JobState::kComplete);
   EXPECT_EQ(rig.Job(job).exit_status, 3);
-  rig.Take(core::AttemptEnded{ask->attempt, core::EndReason::kExited, 4, "", {}});  // reported twice
+  rig.Take(job_manager::AttemptFinished{
+      ask->attempt, job_manager::EndReason::kExited, 4, "", {}});  // reported twice
   EXPECT_EQ(rig.Job(job).exit_status, 3);
-  EXPECT_EQ(rig.All<core::Ended>().size(), 1u);
+  EXPECT_EQ(rig.All<job_manager::Ended>().size(), 1u);
 }
 
 TEST_F(CoreTest, ARefusalGoesOnToAnotherNodeAndItsReasonIsKept) {
   const std::uint64_t job = rig.Submit(kUnsafe);
   for (int i = 0; i < 3; ++i) {
-    const auto ask = *rig.Last<core::AskNode>();
-    rig.Take(core::Refused{ask.attempt, Cause::kNoMemory, "no memory: 1 of 32 free, asked for 4", {}, false});
+    const auto ask = *rig.Last<job_manager::AskNode>();
+    rig.Take(job_manager::Refused{
+        ask.attempt, RejectionReason::kNoMemory, "no memory: 1 of 32 free, asked for 4", {}, false});
   }
   EXPECT_EQ(rig.Job(job).answer, Answer::kRefused);
   EXPECT_NE(rig.Job(job).comment.find("no memory: 1 of 32 free"), std::string::npos);
@@ -70,12 +72,12 @@
 // Between "ready to commit" and the commit nothing can run: the daemon's own word ends the attempt.
 TEST_F(CoreTest, ACancelBeforeTheCommitLeavesNothingToStop) {
   const std::uint64_t job = rig.Submit(kKeyed, "k");
-  const auto ask = *rig.Last<core::AskNode>();
+  const auto ask = *rig.Last<job_manager::AskNode>();
   EXPECT_EQ(rig.core.Delete(rig.now, job, "thandi"), Verdict::kOk);
   rig.Collect();
-  EXPECT_EQ(rig.All<core::AbandonAsk>().size(), 1u);
-  rig.Take(core::Ready{ask.attempt});  // the yes crosses the cancel
-  EXPECT_TRUE(rig.All<core::CommitNode>().empty());
+  EXPECT_EQ(rig.All<job_manager::AbandonAsk>().size(), 1u);
+  rig.Take(job_manager::Ready{ask.attempt});  // the yes crosses the cancel
+  EXPECT_TRUE(rig.All<job_manager::CommitNode>().empty());
   EXPECT_EQ(rig.Job(job).answer, Answer::kDeleted);
   EXPECT_EQ(rig.Job(job).state, JobState::kComplete);
   EXPECT_EQ(Answers(job), 1u);
@@ -86,176 +88,178 @@
 // end.
 TEST_F(CoreTest, ACancelAfterTheCommitStopsTheTaskUntilTheNodeTells) {
   const std::uint64_t job = rig.Submit(kKeyed, "k");
-  const auto ask = *rig.Last<core::AskNode>();
-  rig.Take(core::Ready{ask.attempt});
+  const auto ask = *rig.Last<job_manager::AskNode>();
+  rig.Take(job_manager::Ready{ask.attempt});
   rig.core.Delete(rig.now, job, "thandi");
   rig.Collect();
-  ASSERT_EQ(rig.All<core::StopOnNode>().size(), 1u);
+  ASSERT_EQ(rig.All<job_manager::StopOnNode>().size(), 1u);
   EXPECT_EQ(rig.Job(job).state, JobState::kExiting);
-  rig.Take(core::Committed{ask.attempt});
+  rig.Take(job_manager::Committed{ask.attempt});
   EXPECT_EQ(rig.Job(job).answer, Answer::kDeleted);
   EXPECT_EQ(Answers(job), 1u);
-  rig.Take(core::Stopped{ask.attempt, true});
+  rig.Take(job_manager::Stopped{ask.attempt, true});
   EXPECT_EQ(rig.Job(job).state, JobState::kExiting);
-  rig.Take(core::AttemptEnded{ask.attempt, core::EndReason::kKilled, 271, "", {}});
+  rig.Take(job_manager::AttemptFinished{ask.attempt, job_manager::EndReason::kKilled, 271, "", {}});
   EXPECT_EQ(rig.Job(job).state, JobState::kComplete);
   EXPECT_EQ(rig.core.unsettled(), 0u);
 }
 
 TEST_F(CoreTest, AStopThatCannotBeDeliveredIsRepeatedWithGrowingPauses) {
   const std::uint64_t job = rig.Submit(kKeyed, "k");
-  const auto ask = *rig.Last<core::AskNode>();
-  rig.Take(core::Ready{ask.attempt});
+  const auto ask = *rig.Last<job_manager::AskNode>();
+  rig.Take(job_manager::Ready{ask.attempt});
   rig.core.Delete(rig.now, job, "thandi");
   rig.Collect();
   std::vector<Micros> times;
   for (int i = 0; i < 6; ++i) {
-    rig.Take(core::StopFailed{ask.attempt});
-    const std::size_t before = rig.All<core::StopOnNode>().size();
+    rig.Take(job_manager::StopFailed{ask.attempt});
+    const std::size_t before = rig.All<job_manager::StopOnNode>().size();
     const Micros from = rig.now;
-    while (rig.All<core::StopOnNode>().size() == before) rig.Run(rig.now + 10 * kMs);
+    while (rig.All<job_manager::StopOnNode>().size() == before) rig.Run(rig.now + 10 * kMs);
     times.push_back(rig.now - from);
   }
   EXPECT_LT(times[0], 600 * kMs);
   EXPECT_GT(times[5], 7 * kSecond);
   EXPECT_LT(times[5], 9 * kSecond);
-  rig.Take(core::Stopped{ask.attempt, false});
+  rig.Take(job_manager::Stopped{ask.attempt, false});
   EXPECT_EQ(rig.Job(job).state, JobState::kComplete);
 }
 
 TEST_F(CoreTest, ACommitWithoutReplyIsAskedAfterAndWhatTheNodeDoesNotHaveNeverRan) {
   const std::uint64_t job = rig.Submit(kUnsafe);
-  const auto first = *rig.Last<core::AskNode>();
-  rig.Take(core::Ready{first.attempt});
-  rig.Take(core::Broken{first.attempt, true});
-  ASSERT_EQ(rig.All<core::QueryNode>().size(), 1u);
-  EXPECT_EQ(rig.All<core::AskNode>().size(), 1u);  // unsafe: nothing goes out while it may run
-  rig.Take(core::Found{first.attempt, false});
-  ASSERT_EQ(rig.All<core::AskNode>().size(), 2u);  // known not to have run: another node may
-  const auto second = *rig.Last<core::AskNode>();
+  const auto first = *rig.Last<job_manager::AskNode>();
+  rig.Take(job_manager::Ready{first.attempt});
+  rig.Take(job_manager::Broken{first.attempt, true});
+  ASSERT_EQ(rig.All<job_manager::QueryNode>().size(), 1u);
+  EXPECT_EQ(rig.All<job_manager::AskNode>().size(), 1u);  // unsafe: nothing goes out while it may run
+  rig.Take(job_manager::Found{first.attempt, false});
+  ASSERT_EQ(rig.All<job_manager::AskNode>().size(), 2u);  // known not to have run: another node may
+  const auto second = *rig.Last<job_manager::AskNode>();
   EXPECT_NE(second.node, first.node);
-  rig.Take(core::Ready{second.attempt});
-  rig.Take(core::Broken{second.attempt, true});
-  rig.Take(core::Found{second.attempt, true});
+  rig.Take(job_manager::Ready{second.attempt});
+  rig.Take(job_manager::Broken{second.attempt, true});
+  rig.Take(job_manager::Found{second.attempt, true});
   EXPECT_EQ(rig.Job(job).answer, Answer::kPlaced);
 }
 
 TEST_F(CoreTest, AnUnsafeJobInDoubtToItsDeadlineFailsAndNeverGoesOutAgain) {
-  core::JobSpec spec;
+  job_manager::JobSpec spec;
   spec.user = "thandi", spec.task_class = kUnsafe, spec.queue = "unsafe", spec.service = "s",
   spec.rerunnable = true;
   const std::uint64_t job = rig.Submit(spec);
-  const auto ask = *rig.Last<core::AskNode>();
-  rig.Take(core::Ready{ask.attempt});
-  rig.Take(core::Broken{ask.attempt, true});
+  const auto ask = *rig.Last<job_manager::AskNode>();
+  rig.Take(job_manager::Ready{ask.attempt});
+  rig.Take(job_manager::Broken{ask.attempt, true});
   const Micros start = rig.now;
   rig.Run(start + 8 * kSecond);
   EXPECT_EQ(rig.Job(job).answer, Answer::kFailed);
   EXPECT_EQ(rig.Job(job).state, JobState::kExiting);  // it may still run: stopped until the node answers
-  EXPECT_FALSE(rig.All<core::StopOnNode>().empty());
-  rig.Take(core::AttemptEnded{ask.attempt, core::EndReason::kKilled, 271, "", {}});
+  EXPECT_FALSE(rig.All<job_manager::StopOnNode>().empty());
+  rig.Take(job_manager::AttemptFinished{ask.attempt, job_manager::EndReason::kKilled, 271, "", {}});
   EXPECT_EQ(rig.Job(job).state, JobState::kComplete);
   rig.Run(start + 60 * kSecond);
-  EXPECT_EQ(rig.All<core::AskNode>().size(), 1u);
+  EXPECT_EQ(rig.All<job_manager::AskNode>().size(), 1u);
   EXPECT_EQ(Answers(job), 1u);
 }
 
 // A keyed repeat must wait until the attempt that may run is settled.
 TEST_F(CoreTest, AKeyedRepeatWaitsUntilTheEarlierAttemptIsSettled) {
-  core::JobSpec spec;
+  job_manager::JobSpec spec;
   spec.user = "thandi", spec.task_class = kKeyed, spec.queue = "keyed", spec.service = "s", spec.key = "k";
   spec.rerunnable = true, spec.owner_time = 60 * kSecond;
   const std::uint64_t job = rig.Submit(spec);
-  const auto first = *rig.Last<core::AskNode>();
-  rig.Take(core::Ready{first.attempt});
-  rig.Take(core::Broken{first.attempt, true});
+  const auto first = *rig.Last<job_manager::AskNode>();
+  rig.Take(job_manager::Ready{first.attempt});
+  rig.Take(job_manager::Broken{first.attempt, true});
   // Its other tries within the window stay in the group; let them all be refused.
   const Micros start = rig.now;
   for (int i = 0; i < 200; ++i) {
     rig.Run(rig.now + 100 * kMs);
-    for (const auto& ask : CoreRig::Of<core::AskNode>(rig.last)) {
+    for (const auto& ask : CoreRig::Of<job_manager::AskNode>(rig.last)) {
       if (!(ask.attempt == first.attempt))
-        rig.Take(core::Refused{ask.attempt, Cause::kNoCores, "full", {}, false});
+        rig.Take(job_manager::Refused{ask.attempt, RejectionReason::kNoCores, "full", {}, false});
     }
   }
   EXPECT_EQ(rig.now, start + 20 * kSecond);
   EXPECT_EQ(rig.Job(job).state, JobState::kWaiting);
   EXPECT_TRUE(rig.Job(job).settling);
-  const std::size_t before = rig.All<core::AskNode>().size();
-  rig.Take(core::Stopped{first.attempt, false});  // at last the node says that it has nothing
+  const std::size_t before = rig.All<job_manager::AskNode>().size();
+  rig.Take(job_manager::Stopped{first.attempt, false});  // at last the node says that it has nothing
   rig.Run(rig.now + kSecond);
-  EXPECT_EQ(rig.All<core::AskNode>().size(), before + 1);
+  EXPECT_EQ(rig.All<job_manager::AskNode>().size(), before + 1);
   EXPECT_EQ(Answers(job), 0u);
 }
 
 // The module takes an offer back from a silent node: before the commit it never ran, so that even an unsafe
 // job may go elsewhere at its end; after it, the node is told to stop.
 TEST_F(CoreTest, AnOfferTakenBackIsAbandonedOrStopped) {
-  core::CoreOptions o = Options();
+  job_manager::JobManagerOptions o = Options();
   o.settings.may_cancel = true;
   CoreRig r(o);
   r.List({CoreRig::Node("a"), CoreRig::Node("b")});
   r.SyncAll();
   r.Submit(kSafe);
-  const auto first = *r.Last<core::AskNode>();
+  const auto first = *r.Last<job_manager::AskNode>();
   r.Run(r.now + 1500 * kMs);
-  ASSERT_EQ(r.All<core::AbandonAsk>().size(), 1u);
-  const auto second = *r.Last<core::AskNode>();
+  ASSERT_EQ(r.All<job_manager::AbandonAsk>().size(), 1u);
+  const auto second = *r.Last<job_manager::AskNode>();
   EXPECT_NE(second.node, first.node);
   r.Clear();
   r.Submit(kKeyed, "k");
-  const auto keyed = *r.Last<core::AskNode>();
-  r.Take(core::Ready{keyed.attempt});
+  const auto keyed = *r.Last<job_manager::AskNode>();
+  r.Take(job_manager::Ready{keyed.attempt});
   r.Run(r.now + 1500 * kMs);
-  const auto stops = r.All<core::StopOnNode>();
+  const auto stops = r.All<job_manager::StopOnNode>();
   ASSERT_FALSE(stops.empty());
   EXPECT_EQ(stops[0].attempt, keyed.attempt);
   EXPECT_EQ(r.core.unsettled(), 1u);
-  r.Take(core::Committed{keyed.attempt});  // it had said yes after all: it is being stopped, and not told
+  r.Take(
+      job_manager::Committed{keyed.attempt});  // it had said yes after all: it is being stopped, and not told
   EXPECT_NE(r.Job(keyed.attempt.job).answer, Answer::kPlaced);
 }
 
 // Found by a daemon with a wrong module: the report of an attempt that had been given up closed the request
 // while the next attempt was out, and the job never got its answer.
 TEST_F(CoreTest, TheEndOfAGivenUpAttemptLeavesTheRequestToTheNextOne) {
-  core::CoreOptions o = Options();
+  job_manager::JobManagerOptions o = Options();
   o.settings.may_cancel = true;
-  for (const core::EndReason reason : {core::EndReason::kKilled, core::EndReason::kEvicted}) {
+  for (const job_manager::EndReason reason :
+       {job_manager::EndReason::kKilled, job_manager::EndReason::kEvicted}) {
     CoreRig r(o);
     r.List({CoreRig::Node("a"), CoreRig::Node("b"), CoreRig::Node("c")});
     r.SyncAll();
     const std::uint64_t job = r.Submit(kSafe);
-    const auto first = *r.Last<core::AskNode>();
-    r.Take(core::Ready{first.attempt});
+    const auto first = *r.Last<job_manager::AskNode>();
+    r.Take(job_manager::Ready{first.attempt});
     r.Run(r.now + 1500 * kMs);  // silent: taken back, and offered to another
-    const auto second = *r.Last<core::AskNode>();
+    const auto second = *r.Last<job_manager::AskNode>();
     ASSERT_FALSE(second.attempt == first.attempt);
-    r.Take(core::AttemptEnded{first.attempt, reason, 271, "", {}});
+    r.Take(job_manager::AttemptFinished{first.attempt, reason, 271, "", {}});
     EXPECT_EQ(r.Job(job).answer, Answer::kNone);
-    r.Take(core::Refused{second.attempt, Cause::kNoCores, "full", {}, false});
-    const auto third = *r.Last<core::AskNode>();
+    r.Take(job_manager::Refused{second.attempt, RejectionReason::kNoCores, "full", {}, false});
+    const auto third = *r.Last<job_manager::AskNode>();
     ASSERT_FALSE(third.attempt == second.attempt);
-    r.Take(core::Ready{third.attempt});
-    r.Take(core::Committed{third.attempt});
+    r.Take(job_manager::Ready{third.attempt});
+    r.Take(job_manager::Committed{third.attempt});
     EXPECT_EQ(r.Job(job).answer, Answer::kPlaced);
   }
 }
 
 TEST_F(CoreTest, AReadyAfterTheDeadlineIsNotCommitted) {
   const std::uint64_t job = rig.Submit(kSafe);
-  const auto ask = *rig.Last<core::AskNode>();
+  const auto ask = *rig.Last<job_manager::AskNode>();
   rig.now += 9 * kSecond;  // the daemon stood still, and this is the first it reads
-  rig.Take(core::Ready{ask.attempt});
-  EXPECT_TRUE(rig.All<core::CommitNode>().empty());
+  rig.Take(job_manager::Ready{ask.attempt});
+  EXPECT_TRUE(rig.All<job_manager::CommitNode>().empty());
   EXPECT_NE(rig.Job(job).answer, Answer::kPlaced);
 }
 
 TEST_F(CoreTest, ACommitThatWaitedInABufferBeyondItsOwnersTimeIsRefused) {
-  core::JobSpec spec;
+  job_manager::JobSpec spec;
   spec.user = "thandi", spec.task_class = kSafe, spec.queue = "safe", spec.owner_deadline = rig.now - 1;
   rig.Submit(spec);
   EXPECT_EQ(rig.verdict, Verdict::kBadState);
-  EXPECT_TRUE(rig.All<core::AskNode>().empty());
+  EXPECT_TRUE(rig.All<job_manager::AskNode>().empty());
 }
 
 TEST_F(CoreTest, OneKeyIsOneJobWhileItLivesAndAfterItRan) {
@@ -263,10 +267,10 @@
   const std::uint64_t again = rig.Submit(kKeyed, "k");
   EXPECT_EQ(rig.verdict, Verdict::kExists);
   EXPECT_EQ(again, ask.attempt.job);
-  rig.Take(core::AttemptEnded{ask.attempt, core::EndReason::kExited, 0, "", {}});
+  rig.Take(job_manager::AttemptFinished{ask.attempt, job_manager::EndReason::kExited, 0, "", {}});
   rig.Submit(kKeyed, "k");
   EXPECT_EQ(rig.verdict, Verdict::kExists);
-  core::JobSpec other;
+  job_manager::JobSpec other;
   other.user = "sipho", other.task_class = kKeyed, other.queue = "keyed", other.key = "k";
   rig.Submit(other);
   EXPECT_EQ(rig.verdict, Verdict::kOk);  // keys belong to their users
@@ -275,40 +279,40 @@
 // ---- Repeats at another daemon ----
 
 TEST_F(CoreTest, ARepeatLooksForTheFirstStartAndTakesItAsTheAnswer) {
-  core::JobSpec spec;
+  job_manager::JobSpec spec;
   spec.user = "thandi", spec.task_class = kKeyed, spec.queue = "keyed", spec.key = "k", spec.repeat = true;
   spec.earlier_until = rig.now + 5 * kSecond;
   const std::uint64_t job = rig.Submit(spec);
   EXPECT_EQ(rig.Job(job).state, JobState::kWaiting);
-  EXPECT_TRUE(rig.All<core::AskNode>().empty());
-  const auto finds = rig.All<core::FindKey>();
+  EXPECT_TRUE(rig.All<job_manager::AskNode>().empty());
+  const auto finds = rig.All<job_manager::FindKey>();
   ASSERT_EQ(finds.size(), 3u);
-  core::KeyFound found;
+  job_manager::KeyFound found;
   found.node = finds[0].node, found.job = job, found.key = "k", found.reached = true, found.found = true;
   found.attempt = {77, 1}, found.server = "d9";
   rig.Take(found);
   EXPECT_EQ(rig.Job(job).answer, Answer::kPlaced);
   EXPECT_NE(rig.Job(job).comment.find("77.d9"), std::string::npos);
-  EXPECT_TRUE(rig.All<core::AskNode>().empty());
+  EXPECT_TRUE(rig.All<job_manager::AskNode>().empty());
 }
 
 TEST_F(CoreTest, ARepeatIsPlacedOnlyWhenNobodyElseCanStartItAnyMore) {
-  core::JobSpec spec;
+  job_manager::JobSpec spec;
   spec.user = "thandi", spec.task_class = kKeyed, spec.queue = "keyed", spec.key = "k", spec.repeat = true;
   spec.earlier_until = rig.now + 3 * kSecond;
   const Micros start = rig.now;
   const std::uint64_t job = rig.Submit(spec);
   Micros asked_at = 0;
   for (int i = 0; i < 70 && asked_at == 0; ++i) {
-    for (const auto& f : rig.All<core::FindKey>()) {
-      core::KeyFound none;
+    for (const auto& f : rig.All<job_manager::FindKey>()) {
+      job_manager::KeyFound none;
       none.node = f.node, none.job = job, none.key = "k", none.reached = true;
-      core::NodeMessage m = none;
+      job_manager::NodeMessage m = none;
       rig.core.Take(rig.now, m);
     }
     rig.Clear();
     rig.Run(rig.now + 100 * kMs);
-    if (!rig.All<core::AskNode>().empty()) asked_at = rig.now;
+    if (!rig.All<job_manager::AskNode>().empty()) asked_at = rig.now;
   }
   ASSERT_NE(asked_at, 0u);
   EXPECT_GE(asked_at, start + 4 * kSecond);  // the first ask's time and the margin of clocks
@@ -316,14 +320,14 @@
 }
 
 TEST_F(CoreTest, ARepeatThatCannotReachAllNodesIsRefusedInTime) {
-  core::JobSpec spec;
+  job_manager::JobSpec spec;
   spec.user = "thandi", spec.task_class = kUnsafe, spec.queue = "unsafe", spec.key = "k", spec.repeat = true;
   spec.earlier_until = rig.now + kSecond;
   const Micros start = rig.now;
   const std::uint64_t job = rig.Submit(spec);
   rig.Run(start + 9 * kSecond);
   EXPECT_EQ(rig.Job(job).answer, Answer::kRefused);
-  EXPECT_TRUE(rig.All<core::AskNode>().empty());
+  EXPECT_TRUE(rig.All<job_manager::AskNode>().empty());
   EXPECT_LE(rig.Job(job).ended, start + 8 * kSecond + 300 * kMs);
 }
 
@@ -332,21 +336,21 @@
 TEST_F(CoreTest, ARestartedDaemonAdoptsWhatItFindsAndStartsNothingTwice) {
   CoreRig fresh;
   fresh.List({CoreRig::Node("a"), CoreRig::Node("b")});
-  const auto syncs = fresh.All<core::SyncNode>();
+  const auto syncs = fresh.All<job_manager::SyncNode>();
   ASSERT_EQ(syncs.size(), 2u);
-  core::RunningOnNode held;
+  job_manager::RunningOnNode held;
   held.attempt = {5000, 2};
   held.spec.user = "thandi", held.spec.task_class = kKeyed, held.spec.queue = "keyed", held.spec.key = "k";
   held.spec.service = "stock";
-  fresh.Take(core::Synced{syncs[0].node, 0, {held}});
-  const core::Job* job = fresh.core.Find(5000);
+  fresh.Take(job_manager::Synced{syncs[0].node, 0, {held}});
+  const job_manager::Job* job = fresh.core.Find(5000);
   ASSERT_NE(job, nullptr);
   EXPECT_EQ(job->state, JobState::kRunning);
   EXPECT_TRUE(job->adopted);
   fresh.Submit(kKeyed, "k");  // the owner asks again
   EXPECT_EQ(fresh.verdict, Verdict::kExists);
-  EXPECT_TRUE(fresh.All<core::AskNode>().empty());
-  fresh.Take(core::AttemptEnded{held.attempt, core::EndReason::kExited, 0, "", {}});
+  EXPECT_TRUE(fresh.All<job_manager::AskNode>().empty());
+  fresh.Take(job_manager::AttemptFinished{held.attempt, job_manager::EndReason::kExited, 0, "", {}});
   EXPECT_EQ(fresh.Job(5000).state, JobState::kComplete);
 }
 
@@ -354,7 +358,7 @@
   CoreRig first;
   std::uint64_t last = 0;
   for (int i = 0; i < 1000; ++i) last = first.core.NewJobNumber();
-  core::Core second(Options(), 7, first.now + 10 * kSecond);
+  job_manager::JobManager second(Options(), 7, first.now + 10 * kSecond);
   EXPECT_GT(second.NewJobNumber(), last);
 }
 
@@ -363,11 +367,11 @@
   const std::string name = rig.core.NodeOf(ask.node)->name;
   const auto other = rig.PlaceNew(kKeyed, "", false);
   rig.Clear();
-  rig.List({CoreRig::Node(name, "rack1", rig.now)}, ViewMode::kChanges);
+  rig.List({CoreRig::Node(name, "rack1", rig.now)}, NodeListKind::kDelta);
   EXPECT_EQ(rig.Job(ask.attempt.job).state, JobState::kWaiting);
   EXPECT_EQ(rig.Job(ask.attempt.job).answer, Answer::kPlaced);  // the one answer stands
   rig.Run(rig.now + 2 * kSecond);
-  EXPECT_EQ(rig.All<core::AskNode>().size(), 1u);
+  EXPECT_EQ(rig.All<job_manager::AskNode>().size(), 1u);
   if (other.node == ask.node) {
     EXPECT_EQ(rig.Job(other.attempt.job).state, JobState::kComplete);
   }
@@ -376,86 +380,87 @@
 // The node itself tells its start seconds before the list does; the module must learn that it is cold.
 TEST_F(CoreTest, ANodesOwnWordOnItsStartCountsBeforeTheListAndIsNotUndoneByIt) {
   const auto ask = rig.PlaceNew(kSafe);
-  rig.Take(core::SyncFailed{ask.node});
+  rig.Take(job_manager::SyncFailed{ask.node});
   rig.Run(rig.now + 2 * kSecond);
-  rig.Take(core::Synced{ask.node, rig.now, {}});
+  rig.Take(job_manager::Synced{ask.node, rig.now, {}});
   EXPECT_EQ(rig.Job(ask.attempt.job).state, JobState::kComplete);  // lost with its node; not rerunnable
   const Micros started = rig.core.NodeOf(ask.node)->started;
   EXPECT_EQ(started, rig.now);
-  rig.List({CoreRig::Node(rig.core.NodeOf(ask.node)->name, "rack1", 0)}, ViewMode::kChanges);
+  rig.List({CoreRig::Node(rig.core.NodeOf(ask.node)->name, "rack1", 0)}, NodeListKind::kDelta);
   EXPECT_EQ(rig.core.NodeOf(ask.node)->started, started);
 }
 
 TEST_F(CoreTest, AGoneNodesKeyedTaskIsStoppedAndSettledAfterTheOwnersWait) {
   const auto ask = rig.PlaceNew(kKeyed, "k", true);
   rig.Clear();
-  core::ListedNode gone = *rig.core.NodeOf(ask.node);
-  gone.state = MachineState::kGone;
+  job_manager::ListedNode gone = *rig.core.NodeOf(ask.node);
+  gone.state = NodeState::kGone;
   const Micros start = rig.now;
-  rig.List({gone}, ViewMode::kChanges);
-  EXPECT_EQ(rig.All<core::StopOnNode>().size(), 1u);
+  rig.List({gone}, NodeListKind::kDelta);
+  EXPECT_EQ(rig.All<job_manager::StopOnNode>().size(), 1u);
   rig.Run(start + 2900 * kMs);
-  EXPECT_TRUE(rig.All<core::AskNode>().empty());  // it may run on behind a broken network
+  EXPECT_TRUE(rig.All<job_manager::AskNode>().empty());  // it may run on behind a broken network
   rig.Run(start + 6 * kSecond);
-  EXPECT_EQ(rig.All<core::AskNode>().size(), 1u);
+  EXPECT_EQ(rig.All<job_manager::AskNode>().size(), 1u);
 }
 
 TEST_F(CoreTest, AJobOnADrainingNodeThatIsSentAwayComesAgainElsewhere) {
   const auto ask = rig.PlaceNew(kKeyed, "k", true);
   rig.Clear();
-  rig.Take(core::AttemptEnded{ask.attempt, core::EndReason::kSentAway, 271, "sent away", {}});
+  rig.Take(
+      job_manager::AttemptFinished{ask.attempt, job_manager::EndReason::kSentAway, 271, "sent away", {}});
   rig.Run(rig.now + kSecond);
-  ASSERT_EQ(rig.All<core::AskNode>().size(), 1u);
-  EXPECT_NE(rig.Last<core::AskNode>()->node, ask.node);
+  ASSERT_EQ(rig.All<job_manager::AskNode>().size(), 1u);
+  EXPECT_NE(rig.Last<job_manager::AskNode>()->node, ask.node);
 }
 
 TEST_F(CoreTest, ThousandsOfNodesAreAskedAFewAtATimeAndEachInTheEnd) {
-  core::CoreOptions o = Options();
+  job_manager::JobManagerOptions o = Options();
   o.limits.syncs = 10;
   CoreRig r(o);
-  std::vector<core::ListedNode> nodes;
+  std::vector<job_manager::ListedNode> nodes;
   for (int i = 0; i < 100; ++i) nodes.push_back(CoreRig::Node("m" + std::to_string(i)));
   r.List(nodes);
-  EXPECT_EQ(r.All<core::SyncNode>().size(), 10u);
-  std::set<MachineId> asked;
-  for (std::size_t at = 0; at < r.All<core::SyncNode>().size(); ++at) {
-    const MachineId id = r.All<core::SyncNode>()[at].node;
+  EXPECT_EQ(r.All<job_manager::SyncNode>().size(), 10u);
+  std::set<NodeId> asked;
+  for (std::size_t at = 0; at < r.All<job_manager::SyncNode>().size(); ++at) {
+    const NodeId id = r.All<job_manager::SyncNode>()[at].node;
     asked.insert(id);
-    const std::size_t before = r.All<core::SyncNode>().size();
+    const std::size_t before = r.All<job_manager::SyncNode>().size();
     if (at % 3 == 0) {
-      r.Take(core::SyncFailed{id});
-      r.Take(core::SyncFailed{id});  // told twice: its turn is given on once
+      r.Take(job_manager::SyncFailed{id});
+      r.Take(job_manager::SyncFailed{id});  // told twice: its turn is given on once
     } else {
-      r.Take(core::Synced{id, 0, {}});
+      r.Take(job_manager::Synced{id, 0, {}});
     }
-    EXPECT_LE(r.All<core::SyncNode>().size(), before + 1);
-    EXPECT_LE(r.All<core::SyncNode>().size(), at + 11);
+    EXPECT_LE(r.All<job_manager::SyncNode>().size(), before + 1);
+    EXPECT_LE(r.All<job_manager::SyncNode>().size(), at + 11);
   }
   EXPECT_EQ(asked.size(), 100u);
   r.Clear();
   r.Run(r.now + 2 * kSecond);  // those that failed are asked again
-  EXPECT_GE(r.All<core::SyncNode>().size(), 10u);
+  EXPECT_GE(r.All<job_manager::SyncNode>().size(), 10u);
 }
 
 // ---- Holds, times, users, bounds ----
 
 TEST_F(CoreTest, AHoldAndAStartTimeKeepAJobOutOfTheModule) {
-  core::JobSpec spec;
+  job_manager::JobSpec spec;
   spec.user = "thandi", spec.task_class = kSafe, spec.queue = "safe", spec.hold = "u";
   spec.due = rig.now + 10 * kSecond;
   const std::uint64_t job = rig.Submit(spec);
   EXPECT_EQ(rig.Job(job).state, JobState::kHeld);
   rig.Run(rig.now + 20 * kSecond);
-  EXPECT_TRUE(rig.All<core::AskNode>().empty());
+  EXPECT_TRUE(rig.All<job_manager::AskNode>().empty());
   EXPECT_EQ(rig.core.Release(rig.now, job, "thandi", "u"), Verdict::kOk);
   rig.Collect();
-  EXPECT_EQ(rig.All<core::AskNode>().size(), 1u);
+  EXPECT_EQ(rig.All<job_manager::AskNode>().size(), 1u);
   spec.hold.clear();
   spec.due = rig.now + 5 * kSecond;
   const std::uint64_t later = rig.Submit(spec);
   EXPECT_EQ(rig.Job(later).state, JobState::kWaiting);
   rig.Run(spec.due);
-  EXPECT_EQ(rig.All<core::AskNode>().size(), 2u);
+  EXPECT_EQ(rig.All<job_manager::AskNode>().size(), 2u);
 }
 
 TEST_F(CoreTest, OneUserCannotTouchAnothersJob) {
@@ -469,13 +474,13 @@
 }
 
 TEST_F(CoreTest, AtItsBoundTheTableRefusesAndTheHistoryForgetsTheOldest) {
-  core::CoreOptions o = Options();
+  job_manager::JobManagerOptions o = Options();
   o.limits.jobs = 2;
   o.limits.history = 3;
   CoreRig small(o);
   std::vector<std::uint64_t> jobs;
   for (int i = 0; i < 2; ++i) {
-    core::JobSpec spec;
+    job_manager::JobSpec spec;
     spec.user = "thandi", spec.task_class = kSafe, spec.queue = "safe", spec.hold = "u";
     jobs.push_back(small.Submit(spec));
   }
@@ -490,10 +495,10 @@
 }
 
 TEST_F(CoreTest, ScriptsCountAgainstTheirBound) {
-  core::CoreOptions o = Options();
+  job_manager::JobManagerOptions o = Options();
   o.limits.script_bytes = 1000;
   CoreRig small(o);
-  core::JobSpec spec;
+  job_manager::JobSpec spec;
   spec.user = "thandi", spec.task_class = kSafe, spec.queue = "safe", spec.hold = "u";
   spec.script = std::string(600, 'x');
   const std::uint64_t job = small.Submit(spec);
@@ -512,11 +517,12 @@
     std::string trace;
     for (int i = 0; i < 50; ++i) {
       r.Submit(i % 3u, "", true);
-      const auto ask = r.Last<core::AskNode>();
-      if (ask && i % 4 == 0) r.Take(core::Refused{ask->attempt, Cause::kNoCores, "full", {}, false});
-      if (ask && i % 4 == 1) r.Take(core::Ready{ask->attempt});
+      const auto ask = r.Last<job_manager::AskNode>();
+      if (ask && i % 4 == 0)
+        r.Take(job_manager::Refused{ask->attempt, RejectionReason::kNoCores, "full", {}, false});
+      if (ask && i % 4 == 1) r.Take(job_manager::Ready{ask->attempt});
       r.Run(r.now + 130 * kMs);
-      for (const auto& a : r.All<core::AskNode>()) trace += std::to_string(a.node) + ",";
+      for (const auto& a : r.All<job_manager::AskNode>()) trace += std::to_string(a.node) + ",";
       r.Clear();
     }
     return trace;
--- a/tests/months_test.cpp
+++ b/tests/job_manager/memory_growth_test.cpp
@@ -7,12 +7,12 @@
 #include <queue>
 #include <random>
 
-#include "tests/core_rig.hpp"
+#include "tests/support/job_manager_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
 
-using namespace core;
+using namespace job_manager;
 
 constexpr Micros kDay = 86'400 * kSecond;
 constexpr std::uint64_t kDays = 90, kJobs = 2'000'000;
@@ -23,8 +23,8 @@
  public:
   Months() : rig_(Made()), random_(2026) {}
 
-  static CoreOptions Made() {
-    CoreOptions o = Options();
+  static JobManagerOptions Made() {
+    JobManagerOptions o = Options();
     o.limits.history = kHistory;
     o.limits.nodes = 64;
     return o;
@@ -48,7 +48,8 @@
       } else if (next == end_at) {
         const AttemptId id = ends_.top().second;
         ends_.pop();
-        rig_.core.Take(rig_.now, AttemptEnded{id, EndReason::kExited, 0, "", {}, rig_.now - 1000, rig_.now});
+        rig_.core.Take(rig_.now,
+                       AttemptFinished{id, EndReason::kExited, 0, "", {}, rig_.now - 1000, rig_.now});
         Answer();
       } else if (next == job_at) {
         job_at += every;
@@ -86,7 +87,7 @@
  private:
   void View() {
     ListView view;
-    view.mode = gone_.empty() && random_() % 10 != 0 ? ViewMode::kChanges : ViewMode::kFull;
+    view.kind = gone_.empty() && random_() % 10 != 0 ? NodeListKind::kDelta : NodeListKind::kSnapshot;
     for (const std::string& name : names_) {
       view.nodes.push_back(CoreRig::Node(name, name + "-rack"));
       view.nodes.back().free_cores = 8.0 + static_cast<double>(random_() % 8);
@@ -116,7 +117,7 @@
           ++asked_;
           if (random_() % 100 == 0) {
             ++refused_;
-            rig_.core.Take(rig_.now, Refused{ask->attempt, Cause::kNoCores, "full", {}, false});
+            rig_.core.Take(rig_.now, Refused{ask->attempt, RejectionReason::kNoCores, "full", {}, false});
           } else {
             rig_.core.Take(rig_.now, Ready{ask->attempt});
           }
--- a/tests/core_digest_test.cpp
+++ b/tests/job_manager/output_digest_test.cpp
@@ -1,6 +1,8 @@
 // Guard of the job manager: a digest of all outputs and journal records of runs drawn from a seed, in which
 // users, nodes and the node list do anything, and the process is restarted from its records. A change of
 // names or structure must leave it; a change of what is done renews it and says why.
+#include "tests/support/output_digest.hpp"
+
 #include <gtest/gtest.h>
 
 #include <array>
@@ -8,13 +10,12 @@
 #include <random>
 #include <utility>
 
-#include "tests/core_rig.hpp"
-#include "tests/support/output_digest.hpp"
+#include "tests/support/job_manager_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
 
-using namespace core;
+using namespace job_manager;
 
 class DrawnRun {
  public:
@@ -22,10 +23,10 @@
     options_ = Options();
     options_.durable = true;
     options_.settings.may_cancel = seed % 2 == 0;
-    options_.settings.may_probe = seed % 3 == 0;
-    options_.settings.must_ask = seed % 4 == 0;
-    options_.settings.classes[1].spread = Spread::kCell;
-    options_.settings.classes[1].together_max = 4;
+    options_.settings.may_check_health = seed % 3 == 0;
+    options_.settings.list_on_request = seed % 4 == 0;
+    options_.settings.classes[1].topology_spread = TopologySpread::kRack;
+    options_.settings.classes[1].max_per_domain = 4;
     options_.limits.jobs = 60;
     options_.limits.history = 40;
     options_.limits.syncs = 2;
@@ -53,7 +54,7 @@
   void DrawStep() {
     const std::uint64_t job = jobs_.empty() ? 0 : jobs_[Draw(jobs_.size())];
     const std::string user = Chance(80) ? "thandi" : Chance(50) ? "" : "sipho";
-    Core& core = rig_->core;
+    JobManager& core = rig_->core;
     const Micros now = rig_->now;
     switch (Draw(16)) {
       case 0:
@@ -118,15 +119,17 @@
       if (Chance(20)) starts_[i] = rig_->now - Draw(30 * kSecond);
       ListedNode node =
           CoreRig::Node("node-" + std::to_string(i), "rack-" + std::to_string(i / 2), starts_[i]);
-      if (Chance(10)) node.state = Chance(50) ? MachineState::kDraining : MachineState::kGone;
+      if (Chance(10)) node.state = Chance(50) ? NodeState::kDraining : NodeState::kGone;
       node.free_cores = static_cast<double>(Draw(17));
       if (Chance(85)) nodes.push_back(node);
     }
-    rig_->List(nodes, Chance(50) ? ViewMode::kFull : Chance(80) ? ViewMode::kChanges : ViewMode::kRemembered);
+    rig_->List(nodes, Chance(50)   ? NodeListKind::kSnapshot
+                      : Chance(80) ? NodeListKind::kDelta
+                                   : NodeListKind::kCached);
   }
 
   void DrawGroup() {
-    GroupChange change;
+    MembershipChange change;
     change.size = static_cast<int>(1 + Draw(3));
     change.index = Chance(80) ? 0 : -1;
     rig_->core.TakeGroup(rig_->now, change);
@@ -165,7 +168,8 @@
       if (Chance(80)) {
         coming_.push_back(Ready{ask->attempt});
       } else if (Chance(60)) {
-        coming_.push_back(Refused{ask->attempt, static_cast<Cause>(Draw(5)), "no room", {}, Chance(20)});
+        coming_.push_back(
+            Refused{ask->attempt, static_cast<RejectionReason>(Draw(5)), "no room", {}, Chance(20)});
       } else {
         coming_.push_back(Broken{ask->attempt, false});
       }
@@ -184,7 +188,7 @@
         return;
       }
       coming_.push_back(Stopped{stop->attempt, known});
-      if (known) coming_.push_back(AttemptEnded{stop->attempt, EndReason::kKilled, 9, "", {}, 1, 2});
+      if (known) coming_.push_back(AttemptFinished{stop->attempt, EndReason::kKilled, 9, "", {}, 1, 2});
     } else if (const auto* query = std::get_if<QueryNode>(&output)) {
       if (Chance(20)) {
         coming_.push_back(QueryFailed{query->attempt});
@@ -203,17 +207,18 @@
       coming_.push_back(Probed{probe->node, Chance(50), 20 * kMs, {}});
     }
   }
-  AttemptEnded DrawnEnd(const AttemptId& attempt) {
-    AttemptEnded ended{attempt, static_cast<EndReason>(Draw(7)), static_cast<int>(Draw(3)), "its words", {}};
+  AttemptFinished DrawnEnd(const AttemptId& attempt) {
+    AttemptFinished ended{
+        attempt, static_cast<EndReason>(Draw(7)), static_cast<int>(Draw(3)), "its words", {}};
     ended.started = rig_->now - Draw(kSecond);
     ended.ended = rig_->now;
-    if (Chance(40)) ended.report.busy = static_cast<double>(Draw(100)) / 100.0;
+    if (Chance(40)) ended.report.utilisation = static_cast<double>(Draw(100)) / 100.0;
     return ended;
   }
-  Synced DrawnSynced(MachineId node) {
+  Synced DrawnSynced(NodeId node) {
     Synced synced{node, 0, {}};
     for (unsigned i = 0; i < 5; ++i) {
-      if (Core::IdOfNode("node-" + std::to_string(i)) == node) synced.started = starts_[i];
+      if (JobManager::IdOfNode("node-" + std::to_string(i)) == node) synced.started = starts_[i];
     }
     for (const AttemptId& attempt : running_) {
       const Job* job = rig_->core.Find(attempt.job);
@@ -232,7 +237,7 @@
   }
 
   std::mt19937_64 random_;
-  CoreOptions options_;
+  JobManagerOptions options_;
   std::unique_ptr<CoreRig> rig_;
   std::vector<std::uint64_t> jobs_;
   std::vector<AttemptId> running_;
--- a/tests/restart_test.cpp
+++ b/tests/job_manager/restart_test.cpp
@@ -3,15 +3,15 @@
 
 #include <random>
 
-#include "tests/core_rig.hpp"
+#include "tests/support/job_manager_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
 
-using namespace core;
+using namespace job_manager;
 
-CoreOptions Durable() {
-  CoreOptions o = Options();
+JobManagerOptions Durable() {
+  JobManagerOptions o = Options();
   o.durable = true;
   return o;
 }
@@ -19,8 +19,8 @@
 // A core whose records are kept; Restart gives a new one what was kept, as a new process does.
 class Lives {
  public:
-  explicit Lives(CoreOptions o = Durable()) : options(o) { rig = std::make_unique<CoreRig>(options); }
-  CoreOptions options;
+  explicit Lives(JobManagerOptions o = Durable()) : options(o) { rig = std::make_unique<CoreRig>(options); }
+  JobManagerOptions options;
   std::unique_ptr<CoreRig> rig;
   std::vector<std::string> kept;
 
@@ -56,7 +56,7 @@
   l.rig->Take(Synced{ask.node, 0, {held}});
   EXPECT_NE(l.rig->Job(job).request, 0u);
   EXPECT_TRUE(l.rig->All<Answered>().empty());
-  l.rig->Take(AttemptEnded{ask.attempt, EndReason::kExited, 3, "", {}});
+  l.rig->Take(AttemptFinished{ask.attempt, EndReason::kExited, 3, "", {}});
   EXPECT_EQ(l.rig->Job(job).state, JobState::kComplete);
   l.Restart();
   EXPECT_EQ(l.rig->Job(job).exit_status, 3);
@@ -65,9 +65,9 @@
 
 // A rehearsal found it: before its nodes had spoken a new life crowded a service beyond its spread.
 TEST(Restart, WhatRunsOrMayRunCountsForTheSpreadBeforeItsNodeSpeaks) {
-  CoreOptions o = Durable();
-  o.settings.classes[1].spread = Spread::kCell;
-  o.settings.classes[1].together_max = 2;
+  JobManagerOptions o = Durable();
+  o.settings.classes[1].topology_spread = TopologySpread::kRack;
+  o.settings.classes[1].max_per_domain = 2;
   Lives l(o);
   l.rig->List({CoreRig::Node("a")});
   l.rig->SyncAll();
@@ -197,7 +197,7 @@
 }
 
 TEST(Restart, ADeletedJobIsNotBroughtBackAndAForgottenOneIsGone) {
-  CoreOptions o = Durable();
+  JobManagerOptions o = Durable();
   o.history_kept = 2 * kSecond;
   Lives l;
   l.rig = std::make_unique<CoreRig>(o);
@@ -222,14 +222,14 @@
   spec.user = "thandi", spec.queue = "unsafe", spec.task_class = 2, spec.hold = "u";
   const std::uint64_t job = l.rig->Submit(spec);
   l.Keep();
-  CoreOptions turned = Durable();  // the same queues in another order
+  JobManagerOptions turned = Durable();  // the same queues in another order
   std::swap(turned.classes[1], turned.classes[2]);
   std::swap(turned.settings.classes[1], turned.settings.classes[2]);
-  CoreOptions without = Durable();
+  JobManagerOptions without = Durable();
   without.classes[2] = "other";
   std::string expected;
-  Core same(turned, 1, l.rig->now), missing(without, 1, l.rig->now);
-  for (Core* core : {&same, &missing}) {
+  JobManager same(turned, 1, l.rig->now), missing(without, 1, l.rig->now);
+  for (JobManager* core : {&same, &missing}) {
     for (const std::string& r : l.kept) ASSERT_TRUE(core->Restore(r, &expected)) << expected;
   }
   ASSERT_TRUE(same.Restored(l.rig->now, &expected)) << expected;
@@ -244,14 +244,14 @@
   l.rig->SyncAll();
   for (unsigned i = 0; i < 12; ++i) l.rig->Submit(i % 3, i % 2 == 0 ? "key" + std::to_string(i) : "");
   l.Keep();
-  Core again(Durable(), 1, l.rig->now);
+  JobManager again(Durable(), 1, l.rig->now);
   std::string expected;
   const std::string snapshot = l.rig->core.Snapshot();
   ASSERT_TRUE(ForEachRecord(snapshot, [&](std::string_view r) { return again.Restore(r, &expected); }))
       << expected;
   ASSERT_TRUE(again.Restored(l.rig->now, &expected));
   EXPECT_EQ(again.Count().waiting + again.Count().complete + again.Count().held, 12u);
-  Core other(Durable(), 1, l.rig->now);
+  JobManager other(Durable(), 1, l.rig->now);
   for (const std::string& r : l.kept) ASSERT_TRUE(other.Restore(r, &expected)) << expected;
   ASSERT_TRUE(other.Restored(l.rig->now, &expected));
   EXPECT_EQ(again.Snapshot(), other.Snapshot());
@@ -294,11 +294,11 @@
     Lives l;
     const std::vector<ListedNode> nodes = {CoreRig::Node("a"), CoreRig::Node("b", "other"),
                                            CoreRig::Node("c", "third")};
-    std::map<MachineId, std::map<std::uint64_t, AttemptId>> runs;  // by node and job
-    std::map<MachineId, std::set<std::string>> refused;            // asked after, and never accepted later
+    std::map<NodeId, std::map<std::uint64_t, AttemptId>> runs;  // by node and job
+    std::map<NodeId, std::set<std::string>> refused;            // asked after, and never accepted later
     std::map<std::uint64_t, int> answers;
     std::vector<std::pair<Micros, NodeMessage>> coming;
-    std::vector<std::pair<MachineId, AttemptId>> commits;  // on the way; they outlive the daemon
+    std::vector<std::pair<NodeId, AttemptId>> commits;  // on the way; they outlive the daemon
     l.rig->List(nodes);
     const auto name = [&](const AttemptId& id) {
       return std::to_string(id.job) + "/" + std::to_string(id.number);
@@ -328,7 +328,8 @@
           refused[stop->node].insert(name(stop->attempt));
           if (had) held.erase(stop->attempt.job);
           coming.emplace_back(soon, Stopped{stop->attempt, had});
-          if (had) coming.emplace_back(soon + 1, AttemptEnded{stop->attempt, EndReason::kKilled, 9, "", {}});
+          if (had)
+            coming.emplace_back(soon + 1, AttemptFinished{stop->attempt, EndReason::kKilled, 9, "", {}});
         } else if (const auto* query = std::get_if<QueryNode>(&o)) {
           const auto& held = runs[query->node];
           const auto it = held.find(query->attempt.job);
@@ -367,13 +368,13 @@
         if (held.empty() || !chance(5)) continue;
         const AttemptId id = held.begin()->second;
         held.erase(held.begin());
-        coming.emplace_back(l.rig->now, AttemptEnded{id, EndReason::kExited, 0, "", {}});
+        coming.emplace_back(l.rig->now, AttemptFinished{id, EndReason::kExited, 0, "", {}});
       }
       deliver();
       if (chance(4)) {  // it dies: what was on the way to it is lost, but for ends, which are told again
         std::vector<std::pair<Micros, NodeMessage>> ends;
         for (auto& c : coming) {
-          if (std::holds_alternative<AttemptEnded>(c.second)) ends.push_back(std::move(c));
+          if (std::holds_alternative<AttemptFinished>(c.second)) ends.push_back(std::move(c));
         }
         coming = std::move(ends);
         l.Restart(random() % (3 * kSecond));
@@ -388,7 +389,7 @@
       l.rig->Run(l.rig->now + 100 * kMs);
     }
     for (const std::uint64_t job : jobs) {
-      const core::Job* j = l.rig->core.Find(job);
+      const job_manager::Job* j = l.rig->core.Find(job);
       ASSERT_NE(j, nullptr);
       EXPECT_NE(j->answer, Answer::kNone)
           << "seed " << seed << " job " << job << " state " << static_cast<char>(j->state);
--- a/tests/load_test.cpp
+++ b/tests/load_generator/load_generator_test.cpp
@@ -3,10 +3,10 @@
 
 #include <cmath>
 
-#include "loadtool/figures.hpp"
-#include "loadtool/plan.hpp"
+#include "tools/load_generator/figures.hpp"
+#include "tools/load_generator/plan.hpp"
 
-namespace mountflow::loadtool {
+namespace mountflow::load_generator {
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
@@ -95,4 +95,4 @@
 }
 
 }  // namespace
-}  // namespace mountflow::loadtool
+}  // namespace mountflow::load_generator
--- a/tests/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,7 +1,7 @@
 // The group of schedulers: sure only when it can be.
-#include <gtest/gtest.h>
+#include "membership/membership.hpp"
 
-#include "membership/group.hpp"
+#include <gtest/gtest.h>
 
 namespace mountflow::membership {
 namespace {
@@ -61,7 +61,7 @@
   ASSERT_TRUE(back);
   EXPECT_EQ(back->index, 1);
   EXPECT_TRUE(back->undisturbed);
-  EXPECT_EQ(back->until, in.held_until);
+  EXPECT_EQ(back->valid_until, in.held_until);
   in.held_until = in.now;
   group.Update(in);
   in.held_until = in.now + kSecond;
--- a/tests/node_test.cpp
+++ b/tests/node_agent/node_agent_test.cpp
@@ -2,17 +2,17 @@
 // daemon's links, byte by byte, without sockets.
 #include <gtest/gtest.h>
 
-#include "links/node_links.hpp"
-#include "node/model.hpp"
-#include "node/server.hpp"
-#include "tests/core_rig.hpp"
+#include "node_agent/model.hpp"
+#include "node_agent/server.hpp"
+#include "node_sessions/node_sessions.hpp"
+#include "tests/support/job_manager_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
 
-using node::NodeConfig;
-using node::NodeModel;
-using node::TaskAsk;
+using node_agent::NodeConfig;
+using node_agent::NodeModel;
+using node_agent::TaskAsk;
 
 NodeConfig Config() {
   NodeConfig c;
@@ -40,7 +40,7 @@
 
 struct Rig {
   explicit Rig(NodeConfig config = Config(), Micros started = 0,
-               std::shared_ptr<node::KeyMemory> keys = nullptr)
+               std::shared_ptr<node_agent::KeyMemory> keys = nullptr)
       : now(1000 * kSecond), model(config, std::move(keys), now, started) {}
   Micros now;
   NodeModel model;
@@ -63,7 +63,7 @@
   bool Place(const TaskAsk& ask) {
     model.Offer(now, ask);
     Run(10 * kMs);
-    const auto answers = Said<node::OfferAnswer>();
+    const auto answers = Said<node_agent::OfferAnswer>();
     model.says().clear();
     return !answers.empty() && answers.back().yes && model.Commit(now, ask.attempt);
   }
@@ -72,14 +72,14 @@
 TEST(Node, LooksAtOneAskAtATimeAndLetsOnlySoManyWait) {
   Rig rig;
   for (int i = 0; i < 5; ++i) rig.model.Offer(rig.now, Ask("t" + std::to_string(i), 0.1));
-  auto said = rig.Said<node::OfferAnswer>();
+  auto said = rig.Said<node_agent::OfferAnswer>();
   ASSERT_EQ(said.size(), 2u);  // one looked at, two in line, two turned away
-  EXPECT_EQ(said[0].cause, Cause::kQueueFull);
+  EXPECT_EQ(said[0].cause, RejectionReason::kQueueFull);
   rig.model.says().clear();
   rig.Run(10 * kMs);
-  EXPECT_EQ(rig.Said<node::OfferAnswer>().size(), 1u);
+  EXPECT_EQ(rig.Said<node_agent::OfferAnswer>().size(), 1u);
   rig.Run(20 * kMs);
-  EXPECT_EQ(rig.Said<node::OfferAnswer>().size(), 3u);
+  EXPECT_EQ(rig.Said<node_agent::OfferAnswer>().size(), 3u);
 }
 
 TEST(Node, RefusesWithItsReasonAndPushesOutLowerPriorities) {
@@ -87,20 +87,20 @@
   EXPECT_TRUE(rig.Place(Ask("low", 3.0, 0)));
   rig.model.Offer(rig.now, Ask("same", 2.0, 0));
   rig.Run(10 * kMs);
-  auto answer = rig.Said<node::OfferAnswer>().back();
+  auto answer = rig.Said<node_agent::OfferAnswer>().back();
   EXPECT_FALSE(answer.yes);
-  EXPECT_EQ(answer.cause, Cause::kNoCores);
+  EXPECT_EQ(answer.cause, RejectionReason::kNoCores);
   EXPECT_EQ(answer.words, "no cores: 1 of 4 free, asked for 2");
   rig.model.says().clear();
   rig.model.Offer(rig.now, Ask("high", 2.0, 1));
   rig.Run(10 * kMs);
-  EXPECT_TRUE(rig.Said<node::OfferAnswer>().back().yes);
-  const auto ended = rig.Said<node::TaskEnded>();
+  EXPECT_TRUE(rig.Said<node_agent::OfferAnswer>().back().yes);
+  const auto ended = rig.Said<node_agent::TaskEnded>();
   ASSERT_EQ(ended.size(), 1u);
   EXPECT_EQ(ended[0].attempt, "low");
-  EXPECT_EQ(ended[0].end, node::TaskEnd::kPushedOut);
+  EXPECT_EQ(ended[0].end, node_agent::TaskEnd::kPushedOut);
   EXPECT_FALSE(rig.Place(Ask("huge", 5.0, 9)));  // nothing is pushed out in vain
-  EXPECT_TRUE(rig.Said<node::TaskEnded>().empty());
+  EXPECT_TRUE(rig.Said<node_agent::TaskEnded>().empty());
 }
 
 TEST(Node, StartsAreFewSlowWithoutTheProgramAndTasksEnd) {
@@ -114,7 +114,7 @@
   rig.Run(50 * kMs);
   EXPECT_EQ(rig.model.running(), 2u);
   rig.Run(11 * kSecond);
-  EXPECT_EQ(rig.Said<node::TaskEnded>().size(), 2u);
+  EXPECT_EQ(rig.Said<node_agent::TaskEnded>().size(), 2u);
   EXPECT_EQ(rig.model.free_cores(), 4.0);
 }
 
@@ -122,7 +122,7 @@
   NodeConfig c = Config();
   c.cold_bears = 10.0;
   c.admit_queue = 1000;
-  c.fall_window = 3 * kSecond;
+  c.slow_start_window = 3 * kSecond;
   Rig careful(c, 1000 * kSecond), rough(c, 1000 * kSecond);
   for (int i = 0; i < 10; ++i) careful.model.Offer(careful.now, Ask("t" + std::to_string(i), 0.1));
   EXPECT_FALSE(careful.model.fallen());
@@ -131,16 +131,16 @@
   EXPECT_FALSE(careful.model.fallen());
   for (int i = 0; i < 11; ++i) rough.model.Offer(rough.now, Ask("t" + std::to_string(i), 0.1));
   EXPECT_TRUE(rough.model.fallen());
-  EXPECT_EQ(rough.Said<node::FellOver>().size(), 1u);
+  EXPECT_EQ(rough.Said<node_agent::FellOver>().size(), 1u);
 }
 
 TEST(Node, OneCopyOfAKeyStandsInARack) {
-  const auto keys = std::make_shared<node::KeyMemory>();
+  const auto keys = std::make_shared<node_agent::KeyMemory>();
   Rig a(Config(), 0, keys), b(Config(), 0, keys);
   EXPECT_TRUE(a.Place(Ask("a1", 1.0, 0, "k")));
   b.model.Offer(b.now, Ask("b1", 1.0, 0, "k"));
   b.Run(10 * kMs);
-  EXPECT_EQ(b.Said<node::OfferAnswer>().back().cause, Cause::kNotHere);
+  EXPECT_EQ(b.Said<node_agent::OfferAnswer>().back().cause, RejectionReason::kNotAccepting);
   a.model.Stop(a.now, "a1");
   EXPECT_TRUE(b.Place(Ask("b2", 1.0, 0, "k")));
 }
@@ -176,7 +176,7 @@
   Rig rig;
   EXPECT_TRUE(rig.Place(Ask("a")));
   rig.model.SetDraining(rig.now, true);
-  EXPECT_EQ(rig.Said<node::TaskEnded>().back().end, node::TaskEnd::kSentAway);
+  EXPECT_EQ(rig.Said<node_agent::TaskEnded>().back().end, node_agent::TaskEnd::kSentAway);
   EXPECT_FALSE(rig.Place(Ask("b")));
 }
 
@@ -197,10 +197,10 @@
   EXPECT_TRUE(small.Place(Ask("low1", 1.0, 0)));
   EXPECT_TRUE(small.Place(Ask("low2", 1.0, 0)));
   small.Run(5 * kSecond);
-  const auto ended = small.Said<node::TaskEnded>();
+  const auto ended = small.Said<node_agent::TaskEnded>();
   ASSERT_FALSE(ended.empty());
   for (const auto& e : ended) {
-    EXPECT_EQ(e.end, node::TaskEnd::kEvicted);
+    EXPECT_EQ(e.end, node_agent::TaskEnd::kEvicted);
     EXPECT_NE(e.attempt, "high");
   }
 }
@@ -210,21 +210,21 @@
 class Wire : public ::testing::Test {
  protected:
   CoreRig rig;
-  batch::Vocabulary words;
-  std::unique_ptr<links::NodeLinks> links;
-  std::unique_ptr<node::NodeServer> server;
-  std::set<links::ConnId> open;
+  pbs_server::Vocabulary words;
+  std::unique_ptr<node_sessions::NodeLinks> links;
+  std::unique_ptr<node_agent::NodeServer> server;
+  std::set<node_sessions::ConnId> open;
   bool refuse_connections = false;
 
   void SetUp() override {
     words.queues = {"keyed", "safe", "unsafe"};
-    links::LinkOptions o;
+    node_sessions::LinkOptions o;
     o.report_to = "127.0.0.1:9";
-    links = std::make_unique<links::NodeLinks>(&rig.core, words, o);
+    links = std::make_unique<node_sessions::NodeLinks>(&rig.core, words, o);
     NodeConfig c = Config();
     c.admit = 0;
-    server = std::make_unique<node::NodeServer>(std::make_unique<NodeModel>(c, nullptr, rig.now, 0),
-                                                node::ServerOptions{});
+    server = std::make_unique<node_agent::NodeServer>(std::make_unique<NodeModel>(c, nullptr, rig.now, 0),
+                                                      node_agent::ServerOptions{});
     rig.List({CoreRig::Node("a")});
     Settle();
   }
@@ -236,7 +236,7 @@
       rig.last.clear();
       for (const auto& a : std::exchange(links->actions(), {})) {
         quiet = false;
-        if (const auto* c = std::get_if<links::OpenConn>(&a)) {
+        if (const auto* c = std::get_if<node_sessions::OpenConn>(&a)) {
           if (refuse_connections) {
             links->Closed(rig.now, c->conn);
             continue;
@@ -244,9 +244,9 @@
           open.insert(c->conn);
           server->Open(c->conn);
           links->Connected(rig.now, c->conn);
-        } else if (const auto* s = std::get_if<links::SendBytes>(&a)) {
+        } else if (const auto* s = std::get_if<node_sessions::SendBytes>(&a)) {
           if (reach) server->Receive(rig.now, s->conn, s->bytes);
-        } else if (const auto* d = std::get_if<links::CloseConn>(&a)) {
+        } else if (const auto* d = std::get_if<node_sessions::CloseConn>(&a)) {
           server->Close(rig.now, d->conn);
           open.erase(d->conn);
         }
@@ -281,7 +281,7 @@
 TEST_F(Wire, AJobGoesThroughAndItsConnectionIsKept) {
   const auto first = rig.Submit(1);
   Settle();
-  EXPECT_EQ(rig.Job(first).answer, core::Answer::kPlaced);
+  EXPECT_EQ(rig.Job(first).answer, job_manager::Answer::kPlaced);
   const std::size_t connections = links->connections();
   for (int i = 0; i < 2; ++i) rig.Submit(1), Settle();
   EXPECT_EQ(links->connections(), connections);
@@ -289,11 +289,11 @@
 }
 
 TEST_F(Wire, ANodesRefusalComesWithItsReasonCauseAndLoad) {
-  core::JobSpec spec;
+  job_manager::JobSpec spec;
   spec.user = "thandi", spec.task_class = 1, spec.queue = "safe", spec.service = "s", spec.cores = 6.0;
   const auto job = rig.Submit(spec);
   Settle();
-  EXPECT_EQ(rig.Job(job).answer, core::Answer::kRefused);
+  EXPECT_EQ(rig.Job(job).answer, job_manager::Answer::kRefused);
   EXPECT_EQ(rig.Job(job).comment, "node a: no cores: 4 of 4 free, asked for 6");
 }
 
@@ -303,9 +303,9 @@
   for (int i = 0; i < 3; ++i) {
     for (const auto& o : std::exchange(rig.last, {})) links->Take(rig.now, o);
     for (const auto& a : std::exchange(links->actions(), {})) {
-      if (const auto* c = std::get_if<links::OpenConn>(&a))
+      if (const auto* c = std::get_if<node_sessions::OpenConn>(&a))
         open.insert(c->conn), server->Open(c->conn), links->Connected(rig.now, c->conn);
-      const auto* s = std::get_if<links::SendBytes>(&a);
+      const auto* s = std::get_if<node_sessions::SendBytes>(&a);
       if (s != nullptr && s->bytes.find("+2+1+5") == std::string::npos)
         server->Receive(rig.now, s->conn, s->bytes);
     }
@@ -316,24 +316,24 @@
     for (const auto& m : std::exchange(links->messages(), {})) rig.core.Take(rig.now, m);
     rig.Collect();
   }
-  ASSERT_FALSE(rig.All<core::CommitNode>().empty());
+  ASSERT_FALSE(rig.All<job_manager::CommitNode>().empty());
   CutAll();
-  EXPECT_EQ(rig.Job(job).answer, core::Answer::kNone);
+  EXPECT_EQ(rig.Job(job).answer, job_manager::Answer::kNone);
   Settle();  // the daemon asks; the node has nothing, and never will
-  EXPECT_EQ(rig.Job(job).answer, core::Answer::kRefused);
+  EXPECT_EQ(rig.Job(job).answer, job_manager::Answer::kRefused);
   EXPECT_TRUE(server->model().Held().empty());
 }
 
 TEST_F(Wire, ACommitWhoseReplyWasLostIsFoundRunning) {
   const auto job = rig.Submit(2);
   Settle(true, true);
-  EXPECT_EQ(rig.Job(job).answer, core::Answer::kPlaced);
+  EXPECT_EQ(rig.Job(job).answer, job_manager::Answer::kPlaced);
   const auto second = rig.Submit(2);
   for (int i = 0; i < 4; ++i) {  // replies are lost from the commit on
     for (const auto& o : std::exchange(rig.last, {})) links->Take(rig.now, o);
     bool committed = false;
     for (const auto& a : std::exchange(links->actions(), {})) {
-      const auto* s = std::get_if<links::SendBytes>(&a);
+      const auto* s = std::get_if<node_sessions::SendBytes>(&a);
       if (s == nullptr) continue;
       committed |= s->bytes.find("+2+1+5") != std::string::npos;
       server->Receive(rig.now, s->conn, s->bytes);
@@ -348,26 +348,27 @@
     rig.Collect();
   }
   EXPECT_EQ(server->model().Held().size(), 2u);
-  EXPECT_EQ(rig.Job(second).answer, core::Answer::kNone);
+  EXPECT_EQ(rig.Job(second).answer, job_manager::Answer::kNone);
   CutAll();
   Settle();
-  EXPECT_EQ(rig.Job(second).answer, core::Answer::kPlaced);
+  EXPECT_EQ(rig.Job(second).answer, job_manager::Answer::kPlaced);
   EXPECT_EQ(server->model().Held().size(), 2u);
 }
 
 TEST_F(Wire, ReportsAreKeptUntilTheyAreAcknowledged) {
   const auto job = rig.Submit(1);
   Settle();
-  const auto attempt = rig.Last<core::AskNode>()->attempt;
+  const auto attempt = rig.Last<job_manager::AskNode>()->attempt;
   rig.core.Delete(rig.now, job, "");
   rig.Collect();
   Settle();
   ASSERT_EQ(server->ServersOwed(), std::vector<std::string>{"d0"});
   EXPECT_EQ(server->AddressOf("d0"), "127.0.0.1:9");
   EXPECT_EQ(server->ReportsFor("d0").size(), 1u);
-  EXPECT_EQ(rig.Job(job).state, core::JobState::kExiting);  // the report is on the way
-  pbs::Request obit;
-  ASSERT_EQ(pbs::Decode(server->ReportsFor("d0")[0].bytes, &obit).state, pbs::DisState::kOk);
+  EXPECT_EQ(rig.Job(job).state, job_manager::JobState::kExiting);  // the report is on the way
+  pbs_protocol::Request obit;
+  ASSERT_EQ(pbs_protocol::Decode(server->ReportsFor("d0")[0].bytes, &obit).state,
+            pbs_protocol::DisState::kOk);
   EXPECT_EQ(obit.id, rig.core.NameOf(attempt));
   server->Acknowledged("d0", 1);
   EXPECT_TRUE(server->ServersOwed().empty());
@@ -377,9 +378,9 @@
   const auto job = rig.Submit(0, "k");
   Settle();
   const std::string id = rig.core.IdOf(job);
-  rig.core = core::Core(Options(), 9, rig.now + kSecond);  // the daemon starts anew
+  rig.core = job_manager::JobManager(Options(), 9, rig.now + kSecond);  // the daemon starts anew
   rig.now += kSecond;
-  links = std::make_unique<links::NodeLinks>(&rig.core, words, links::LinkOptions{});
+  links = std::make_unique<node_sessions::NodeLinks>(&rig.core, words, node_sessions::LinkOptions{});
   rig.List({CoreRig::Node("a")});
   Settle();
   ASSERT_NE(rig.core.Find(job), nullptr);
@@ -390,15 +391,15 @@
 }
 
 TEST_F(Wire, BeyondItsBoundsAnAttemptIsToldAsNeverSent) {
-  links::LinkOptions o;
+  node_sessions::LinkOptions o;
   o.most_connections = 1;
   o.most_waiting = 1;
-  links = std::make_unique<links::NodeLinks>(&rig.core, words, o);
+  links = std::make_unique<node_sessions::NodeLinks>(&rig.core, words, o);
   for (int i = 0; i < 3; ++i) rig.Submit(1);
-  const auto asks = rig.All<core::AskNode>();
+  const auto asks = rig.All<job_manager::AskNode>();
   for (const auto& ask : asks) links->Take(rig.now, ask);
   ASSERT_EQ(links->messages().size(), 1u);
-  EXPECT_FALSE(std::get<core::Broken>(links->messages()[0]).sent);
+  EXPECT_FALSE(std::get<job_manager::Broken>(links->messages()[0]).sent);
   EXPECT_EQ(links->connections(), 1u);
 }
 
--- a/tests/pbs_test.cpp
+++ b/tests/pbs_protocol/pbs_protocol_test.cpp
@@ -1,10 +1,10 @@
 // DIS and the messages of the batch protocol: bytes as published, bounds, and every cut of a message.
 #include <gtest/gtest.h>
 
-#include "pbs/dis.hpp"
-#include "pbs/protocol.hpp"
+#include "pbs_protocol/dis.hpp"
+#include "pbs_protocol/protocol.hpp"
 
-namespace mountflow::pbs {
+namespace mountflow::pbs_protocol {
 namespace {
 
 std::string Number(std::uint64_t value) {
@@ -207,4 +207,4 @@
 }
 
 }  // namespace
-}  // namespace mountflow::pbs
+}  // namespace mountflow::pbs_protocol
--- a/tests/batch_test.cpp
+++ b/tests/pbs_server/pbs_server_test.cpp
@@ -1,24 +1,25 @@
 // The server's side of the batch protocol over a core, without sockets: submissions cut at every byte, users,
 // waits, bounds, bad input.
+#include "pbs_server/pbs_server.hpp"
+
 #include <gtest/gtest.h>
 
-#include "batch/front.hpp"
-#include "batch/translate.hpp"
-#include "tests/core_rig.hpp"
+#include "pbs_server/attribute_mapping.hpp"
+#include "tests/support/job_manager_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
 
-using pbs::Code;
-using pbs::Reply;
-using pbs::Request;
-using pbs::RequestType;
+using pbs_protocol::Code;
+using pbs_protocol::Reply;
+using pbs_protocol::Request;
+using pbs_protocol::RequestType;
 
 class FrontTest : public ::testing::Test {
  protected:
   CoreRig rig;
-  batch::FrontOptions options;
-  std::unique_ptr<batch::Front> front;
+  pbs_server::FrontOptions options;
+  std::unique_ptr<pbs_server::Front> front;
   std::uint64_t next = 0;
 
   void SetUp() override {
@@ -29,10 +30,10 @@
     options.words.default_queue = "safe";
     options.most_script = 1000;
     options.managers = {"root"};
-    front = std::make_unique<batch::Front>(&rig.core, options);
+    front = std::make_unique<pbs_server::Front>(&rig.core, options);
   }
   std::uint64_t Open(const std::string& owner = "") {
-    batch::Peer peer;
+    pbs_server::Peer peer;
     peer.address = "test";
     peer.user = owner;
     front->Open(++next, peer);
@@ -47,7 +48,7 @@
   }
   static std::string Bytes(const Request& r) {
     std::string bytes;
-    pbs::Encode(r, &bytes);
+    pbs_protocol::Encode(r, &bytes);
     return bytes;
   }
   std::vector<Reply> Replies(std::uint64_t session) {
@@ -56,8 +57,8 @@
     if (out == nullptr) return replies;
     Reply reply;
     for (;;) {
-      const pbs::Parsed parsed = pbs::Decode(*out, &reply);
-      if (parsed.state != pbs::DisState::kOk) break;
+      const pbs_protocol::Parsed parsed = pbs_protocol::Decode(*out, &reply);
+      if (parsed.state != pbs_protocol::DisState::kOk) break;
       out->erase(0, parsed.used);
       replies.push_back(reply);
     }
@@ -67,8 +68,8 @@
   std::vector<Reply> Send(std::uint64_t session, const std::string& bytes) {
     front->Receive(rig.now, session, bytes);
     rig.Collect();
-    for (const auto& a : CoreRig::Of<core::Answered>(rig.last)) front->On(rig.now, a);
-    for (const auto& e : CoreRig::Of<core::Ended>(rig.last)) front->On(rig.now, e);
+    for (const auto& a : CoreRig::Of<job_manager::Answered>(rig.last)) front->On(rig.now, a);
+    for (const auto& e : CoreRig::Of<job_manager::Ended>(rig.last)) front->On(rig.now, e);
     return Replies(session);
   }
   Reply Call(std::uint64_t session, const Request& r) {
@@ -80,9 +81,9 @@
                        const std::string& user = "thandi") {
     Request r = Make(RequestType::kQueueJob, "", user);
     r.destination = queue;
-    r.attributes = {{"Job_Name", "", "recount", pbs::Op::kSet},
-                    {"Resource_List", "ncpus", "2", pbs::Op::kSet}};
-    if (!key.empty()) r.attributes.push_back({"key", "", key, pbs::Op::kSet});
+    r.attributes = {{"Job_Name", "", "recount", pbs_protocol::Op::kSet},
+                    {"Resource_List", "ncpus", "2", pbs_protocol::Op::kSet}};
+    if (!key.empty()) r.attributes.push_back({"key", "", key, pbs_protocol::Op::kSet});
     return r;
   }
   // The four requests of a submission, pipelined without the id.
@@ -94,7 +95,7 @@
   }
   std::size_t Jobs() {
     std::size_t count = 0;
-    rig.core.ForEach(0, [&count](const core::Job&) { return ++count, true; });
+    rig.core.ForEach(0, [&count](const job_manager::Job&) { return ++count, true; });
     return count;
   }
 };
@@ -102,15 +103,15 @@
 TEST_F(FrontTest, ASubmissionTakesFourRequestsAndOneConnection) {
   const auto s = Open();
   const Reply queued = Call(s, Queue());
-  ASSERT_EQ(queued.choice, pbs::Choice::kQueued);
+  ASSERT_EQ(queued.choice, pbs_protocol::Choice::kQueued);
   Request script = Make(RequestType::kJobScript, queued.text);
   script.script = "echo\n";
   EXPECT_EQ(Call(s, script).code, Code::kNone);
-  EXPECT_EQ(Call(s, Make(RequestType::kReadyToCommit, queued.text)).choice, pbs::Choice::kReady);
+  EXPECT_EQ(Call(s, Make(RequestType::kReadyToCommit, queued.text)).choice, pbs_protocol::Choice::kReady);
   EXPECT_EQ(Jobs(), 0u);
-  EXPECT_EQ(Call(s, Make(RequestType::kCommit, queued.text)).choice, pbs::Choice::kCommitted);
+  EXPECT_EQ(Call(s, Make(RequestType::kCommit, queued.text)).choice, pbs_protocol::Choice::kCommitted);
   EXPECT_EQ(Jobs(), 1u);
-  const core::Job& job = rig.Job(rig.core.NumberOf(queued.text));
+  const job_manager::Job& job = rig.Job(rig.core.NumberOf(queued.text));
   EXPECT_EQ(job.spec->script, "echo\n");
   EXPECT_EQ(job.spec->cores, 2.0);
   // A commit that comes again is told that the job is there.
@@ -185,14 +186,14 @@
   Request wait = Make(RequestType::kStatusJob, id);
   wait.extension = "wait=answer";
   EXPECT_TRUE(Send(s, Bytes(wait) + Bytes(Make(RequestType::kStatusServer))).empty());
-  const auto ask = *rig.Last<core::AskNode>();
-  rig.Take(core::Ready{ask.attempt});
-  rig.Take(core::Committed{ask.attempt});
-  for (const auto& a : CoreRig::Of<core::Answered>(rig.last)) front->On(rig.now, a);
+  const auto ask = *rig.Last<job_manager::AskNode>();
+  rig.Take(job_manager::Ready{ask.attempt});
+  rig.Take(job_manager::Committed{ask.attempt});
+  for (const auto& a : CoreRig::Of<job_manager::Answered>(rig.last)) front->On(rig.now, a);
   const auto replies = Replies(s);
   ASSERT_EQ(replies.size(), 2u);
-  EXPECT_EQ(pbs::ValueOf(replies[0].objects[0].attributes, "answer"), "placed");
-  EXPECT_EQ(replies[1].objects[0].type, pbs::ObjectType::kServer);
+  EXPECT_EQ(pbs_protocol::ValueOf(replies[0].objects[0].attributes, "answer"), "placed");
+  EXPECT_EQ(replies[1].objects[0].type, pbs_protocol::ObjectType::kServer);
 }
 
 TEST_F(FrontTest, AWaitEndsAtItsTimeAndWithItsConnection) {
@@ -205,7 +206,7 @@
   front->Tick(rig.now + 2 * kSecond);
   const auto replies = Replies(s);
   ASSERT_EQ(replies.size(), 1u);
-  EXPECT_NE(pbs::ValueOf(replies[0].objects[0].attributes, "job_state"), "C");
+  EXPECT_NE(pbs_protocol::ValueOf(replies[0].objects[0].attributes, "job_state"), "C");
   EXPECT_TRUE(Send(s, Bytes(wait)).empty());
   front->Close(rig.now, s);
   EXPECT_EQ(front->NextTimer(), ~Micros{0});
@@ -231,7 +232,7 @@
   const auto told = [&](const char* name, const char* value, const char* resource = "") {
     Request r = Make(RequestType::kQueueJob);
     r.destination = "safe";
-    r.attributes = {{name, resource, value, pbs::Op::kSet}};
+    r.attributes = {{name, resource, value, pbs_protocol::Op::kSet}};
     const Reply reply = Call(s, r);
     EXPECT_NE(reply.text.find(name), std::string::npos) << reply.text;
     return reply.code;
@@ -268,64 +269,65 @@
 TEST_F(FrontTest, StatusSelectAndManageDoWhatTheySay) {
   const auto s = Open();
   Request held = Queue();
-  held.attributes.push_back({"Hold_Types", "", "u", pbs::Op::kSet});
+  held.attributes.push_back({"Hold_Types", "", "u", pbs_protocol::Op::kSet});
   const std::string id = Call(s, held).text;
   Call(s, Make(RequestType::kCommit, id));
   Request select = Make(RequestType::kSelectJobs);
-  select.attributes = {{"job_state", "", "H", pbs::Op::kEq}, {"Resource_List", "ncpus", "2", pbs::Op::kGe}};
+  select.attributes = {{"job_state", "", "H", pbs_protocol::Op::kEq},
+                       {"Resource_List", "ncpus", "2", pbs_protocol::Op::kGe}};
   EXPECT_EQ(Call(s, select).ids, std::vector<std::string>{id});
-  select.attributes[1].op = pbs::Op::kGt;
+  select.attributes[1].op = pbs_protocol::Op::kGt;
   EXPECT_TRUE(Call(s, select).ids.empty());
   Request alter = Make(RequestType::kModifyJob, id);
   alter.command = 2;
-  alter.attributes = {{"Resource_List", "mem", "3gb", pbs::Op::kSet},
-                      {"Job_Name", "", "renamed", pbs::Op::kSet}};
+  alter.attributes = {{"Resource_List", "mem", "3gb", pbs_protocol::Op::kSet},
+                      {"Job_Name", "", "renamed", pbs_protocol::Op::kSet}};
   EXPECT_EQ(Call(s, alter).code, Code::kNone);
-  alter.attributes = {{"key", "", "other", pbs::Op::kSet}};
+  alter.attributes = {{"key", "", "other", pbs_protocol::Op::kSet}};
   EXPECT_EQ(Call(s, alter).code, Code::kReadOnly);
   Request move = Make(RequestType::kMoveJob, id);
   move.destination = "unsafe";
   EXPECT_EQ(Call(s, move).code, Code::kNone);
   const Reply status = Call(s, Make(RequestType::kStatusJob, id));
-  EXPECT_EQ(pbs::ValueOf(status.objects[0].attributes, "queue"), "unsafe");
-  EXPECT_EQ(pbs::ValueOf(status.objects[0].attributes, "Resource_List", "mem"), "3gb");
-  EXPECT_EQ(pbs::ValueOf(status.objects[0].attributes, "Job_Name"), "renamed");
+  EXPECT_EQ(pbs_protocol::ValueOf(status.objects[0].attributes, "queue"), "unsafe");
+  EXPECT_EQ(pbs_protocol::ValueOf(status.objects[0].attributes, "Resource_List", "mem"), "3gb");
+  EXPECT_EQ(pbs_protocol::ValueOf(status.objects[0].attributes, "Job_Name"), "renamed");
   Request operators = Make(RequestType::kHoldJob, id);
-  operators.attributes = {{"Hold_Types", "", "o", pbs::Op::kSet}};
+  operators.attributes = {{"Hold_Types", "", "o", pbs_protocol::Op::kSet}};
   EXPECT_EQ(Call(s, operators).code, Code::kPermission);
   EXPECT_EQ(Call(s, Make(RequestType::kRerunJob, id)).code, Code::kNotRunning);
   EXPECT_EQ(Call(s, Make(RequestType::kStatusJob, "1.other")).code, Code::kUnknownJob);
   EXPECT_EQ(Call(s, Make(RequestType::kStatusQueue)).objects.size(), 3u);
   EXPECT_EQ(Call(s, Make(RequestType::kReleaseJob, id)).code, Code::kNone);
-  EXPECT_EQ(rig.All<core::AskNode>().size(), 1u);
+  EXPECT_EQ(rig.All<job_manager::AskNode>().size(), 1u);
 }
 
 TEST(Translate, SizesTimesAndLoadsComeBack) {
   double bytes = 0.0;
   Micros time = 0;
-  EXPECT_TRUE(batch::ReadSize("1.5gb", &bytes));
+  EXPECT_TRUE(pbs_server::ReadSize("1.5gb", &bytes));
   EXPECT_EQ(bytes, 1.5 * 1073741824);
-  EXPECT_EQ(batch::WriteSize(1536.0 * 1048576), "1536mb");
-  EXPECT_FALSE(batch::ReadSize("", &bytes));
-  EXPECT_FALSE(batch::ReadSize("gb", &bytes));
-  EXPECT_FALSE(batch::ReadSize("1e99", &bytes));
+  EXPECT_EQ(pbs_server::WriteSize(1536.0 * 1048576), "1536mb");
+  EXPECT_FALSE(pbs_server::ReadSize("", &bytes));
+  EXPECT_FALSE(pbs_server::ReadSize("gb", &bytes));
+  EXPECT_FALSE(pbs_server::ReadSize("1e99", &bytes));
   for (const Micros t : {Micros{0}, Micros{1'500'000}, Micros{3'661'000'001}}) {
-    ASSERT_TRUE(batch::ReadTime(batch::WriteTime(t), &time));
+    ASSERT_TRUE(pbs_server::ReadTime(pbs_server::WriteTime(t), &time));
     EXPECT_EQ(time, t);
   }
-  EXPECT_FALSE(batch::ReadTime("-5", &time));
-  EXPECT_FALSE(batch::ReadTime("1e300", &time));
+  EXPECT_FALSE(pbs_server::ReadTime("-5", &time));
+  EXPECT_FALSE(pbs_server::ReadTime("1e300", &time));
   LoadReport load;
-  load.free_cores = -1.5, load.busy = 0.25;
-  const LoadReport read = batch::ReadLoad(batch::WriteLoad(load));
+  load.free_cores = -1.5, load.utilisation = 0.25;
+  const LoadReport read = pbs_server::ReadLoad(pbs_server::WriteLoad(load));
   EXPECT_EQ(read.free_cores, load.free_cores);
-  EXPECT_EQ(read.busy, load.busy);
+  EXPECT_EQ(read.utilisation, load.utilisation);
   EXPECT_FALSE(read.queued);
-  EXPECT_FALSE(batch::ReadLoad("x0=abc x1 =").free_cores);
+  EXPECT_FALSE(pbs_server::ReadLoad("x0=abc x1 =").free_cores);
 }
 
 TEST(Complaints, AFloodIsOneLineAKindAndSecondWithItsCount) {
-  batch::Complaints c;
+  pbs_server::Complaints c;
   Micros now = 100 * kSecond;
   for (int i = 0; i < 10'000; ++i)
     c.Add(now + i, i % 2 == 0 ? "a" : "b", "peer-" + std::to_string(i % 10), "bad");
@@ -337,7 +339,7 @@
   EXPECT_EQ(c.NextTimer(), ~Micros{0});
   EXPECT_EQ(c.all(), 10'000u);
   for (int i = 0; i < 10'000; ++i) c.Add(now + 2 * kSecond, "kind " + std::to_string(i), "p", "bad");
-  EXPECT_EQ(c.Take(now + 2 * kSecond).size(), batch::Complaints::kMostKinds);
+  EXPECT_EQ(c.Take(now + 2 * kSecond).size(), pbs_server::Complaints::kMostKinds);
   EXPECT_EQ(c.Take(now + 3 * kSecond).size(), 1u) << "of other kinds";
 }
 
@@ -345,7 +347,7 @@
 
 class DoorTest : public FrontTest {
  protected:
-  door::Door door{door::DoorOptions{}};
+  admission::Door door{admission::DoorOptions{}};
   void SetUp() override {
     FrontTest::SetUp();
     front->SetDoor(&door);
@@ -373,7 +375,7 @@
   EXPECT_EQ(Call(b, Make(RequestType::kStatusServer)).code, Code::kNone) << "others go on";
   const auto replies = Admit(a);
   ASSERT_EQ(replies.size(), 4u) << "and what was pipelined behind it follows";
-  EXPECT_EQ(replies[3].choice, pbs::Choice::kCommitted);
+  EXPECT_EQ(replies[3].choice, pbs_protocol::Choice::kCommitted);
   EXPECT_EQ(rig.core.Count().queued, 1u);
 }
 
@@ -412,7 +414,7 @@
 TEST_F(DoorTest, AnOwnersDeadlineThatIsPastIsRefusedWithoutAWait) {
   const auto a = Open();
   Request r = Queue();
-  r.attributes.push_back({"owner_deadline", "", std::to_string(rig.now - 1), pbs::Op::kSet});
+  r.attributes.push_back({"owner_deadline", "", std::to_string(rig.now - 1), pbs_protocol::Op::kSet});
   const auto replies = Send(a, Bytes(r));
   ASSERT_EQ(replies.size(), 1u);
   EXPECT_EQ(replies[0].auxiliary, 0);
--- a/tests/platform_wire_test.cpp
+++ b/tests/platform/platform_codec_test.cpp
@@ -3,7 +3,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "tests/platform_rig.hpp"
+#include "tests/support/platform_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
@@ -186,14 +186,14 @@
       "domain.kind_cores=32\ndomain.mem_of_kind=64.0\nbounds.max_attempts=4\n");
   ASSERT_EQ(s.settings.classes.size(), text.settings.classes.size());
   for (std::size_t i = 0; i < 2; ++i) {
-    EXPECT_EQ(s.settings.classes[i].effect, text.settings.classes[i].effect);
-    EXPECT_EQ(s.settings.classes[i].scope, text.settings.classes[i].scope);
-    EXPECT_EQ(s.settings.classes[i].window, text.settings.classes[i].window);
-    EXPECT_EQ(s.settings.classes[i].spread, text.settings.classes[i].spread);
-    EXPECT_EQ(s.settings.classes[i].together_max, text.settings.classes[i].together_max);
+    EXPECT_EQ(s.settings.classes[i].idempotency, text.settings.classes[i].idempotency);
+    EXPECT_EQ(s.settings.classes[i].deduplication_scope, text.settings.classes[i].deduplication_scope);
+    EXPECT_EQ(s.settings.classes[i].deduplication_window, text.settings.classes[i].deduplication_window);
+    EXPECT_EQ(s.settings.classes[i].topology_spread, text.settings.classes[i].topology_spread);
+    EXPECT_EQ(s.settings.classes[i].max_per_domain, text.settings.classes[i].max_per_domain);
   }
   EXPECT_EQ(s.report_names, text.report_names);
-  EXPECT_EQ(s.settings.kinds[0].memory, text.settings.kinds[0].memory);
+  EXPECT_EQ(s.settings.node_kinds[0].memory, text.settings.node_kinds[0].memory);
   EXPECT_EQ(s.settings.max_attempts, text.settings.max_attempts);
   EXPECT_EQ(s.tenant_names, (std::vector<std::string>{"acme", "zen"}));
   EXPECT_EQ(s.longest_deadline, 3'200'000u);
@@ -317,9 +317,9 @@
   const auto taken = rig.log.Take();
   ASSERT_EQ(taken.size(), 1u);
   EXPECT_TRUE(taken[0].whole);
-  EXPECT_EQ(taken[0].machines[0].cell, 3u);
-  EXPECT_EQ(taken[0].machines[0].started_at, 5000u);
-  EXPECT_EQ(taken[0].machines[0].free_cores, 1.5);
+  EXPECT_EQ(taken[0].nodes[0].rack, 3u);
+  EXPECT_EQ(taken[0].nodes[0].started_at, 5000u);
+  EXPECT_EQ(taken[0].nodes[0].free_cores, 1.5);
   EXPECT_EQ(rig.log.last(), 9u);
 }
 
--- a/tests/platform_whole_test.cpp
+++ b/tests/platform/platform_process_test.cpp
@@ -1,5 +1,5 @@
 // Whole paths through the platform's program, and the judge of its rules.
-#include "tests/platform_whole_rig.hpp"
+#include "tests/support/platform_process_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
--- a/tests/platform_crossings_test.cpp
+++ b/tests/platform/platform_races_test.cpp
@@ -1,6 +1,6 @@
 // Crossings in the platform's parts, under a controlled clock: an end that meets something that is still
 // owed. docs/platform.md, "What is owed when something ends", names each with its test.
-#include "tests/platform_rig.hpp"
+#include "tests/support/platform_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
@@ -13,7 +13,7 @@
 ListedMachine Listed(const std::string& name, const std::string& address, unsigned cell = 0) {
   ListedMachine machine;
   machine.name = name, machine.address = address, machine.zone = "left", machine.kind = "big";
-  machine.status = "ready", machine.cell = cell, machine.free_cores = 32, machine.free_memory = 64;
+  machine.status = "ready", machine.rack = cell, machine.free_cores = 32, machine.free_memory = 64;
   return machine;
 }
 
@@ -195,9 +195,9 @@
       const std::string address = name == "m-1" ? "10.0.0.1:1" : "10.0.0.2:1";
       if (how == How::kReopened) rig.Up(rig.port.ConnTo(address));
       FleetChange gone, fresh;
-      gone.machines = {Listed(name, address)};
-      gone.machines[0].status = "gone";
-      fresh.machines = {Listed("m-9", address)};
+      gone.nodes = {Listed(name, address)};
+      gone.nodes[0].status = "gone";
+      fresh.nodes = {Listed("m-9", address)};
       if (told_gone_first) rig.tasks.Fleet(rig.now, gone);
       rig.tasks.Fleet(rig.now, fresh);  // with or without word that the old one has gone
       rig.owners.Deliver(rig.now);
@@ -214,7 +214,7 @@
   PlatformRig rig;
   const ConnId conn = rig.Standing(kUid);
   FleetChange fresh;
-  fresh.machines = {Listed("m-9", rig.port.to.at(conn))};
+  fresh.nodes = {Listed("m-9", rig.port.to.at(conn))};
   rig.tasks.Fleet(rig.now, fresh);
   EXPECT_EQ(rig.tasks.size(), 1u);
   rig.Machine(conn, Ends(kUid, 16));
@@ -235,7 +235,7 @@
     if (connected) rig.Up(first);
     FleetChange whole;
     whole.whole = true;
-    whole.machines = {Listed("m-2", "10.0.0.2:1", 1)};
+    whole.nodes = {Listed("m-2", "10.0.0.2:1", 1)};
     rig.tasks.Fleet(rig.now, whole);
     rig.owners.Deliver(rig.now);
     // While connected the machine still tells of its tasks itself; its end is theirs.
@@ -261,11 +261,11 @@
   options.most_connections = 80;
   MachineLinks links(options, &port);
   Micros now = 1'800'000'000 * kSec;
-  for (MachineId m = 1; m <= kMachines; ++m) links.Know(now, m, "10.1.0." + std::to_string(m) + ":1");
-  for (MachineId m = 1; m <= kMachines; ++m) links.Stand(now, m);
+  for (NodeId m = 1; m <= kMachines; ++m) links.Know(now, m, "10.1.0." + std::to_string(m) + ":1");
+  for (NodeId m = 1; m <= kMachines; ++m) links.Stand(now, m);
   std::map<ConnId, Micros> coming;  // connections on their way, and when they come up
-  std::map<MachineId, Micros> last, worst;
-  for (MachineId m = 1; m <= kMachines; ++m) last[m] = now;
+  std::map<NodeId, Micros> last, worst;
+  for (NodeId m = 1; m <= kMachines; ++m) last[m] = now;
   std::uint64_t opened = 0;
   ConnId seen = port.next;
   const Micros until = now + 30 * kSec;
@@ -286,7 +286,7 @@
       it = coming.erase(it);
       if (port.to.count(conn) == 0) continue;
       const std::string address = port.to.at(conn);
-      const MachineId m = static_cast<MachineId>(std::stoul(address.substr(7, address.find(':') - 7)));
+      const NodeId m = static_cast<NodeId>(std::stoul(address.substr(7, address.find(':') - 7)));
       links.OnConnected(now, conn);
       if (!port.Machine(conn).empty()) {  // only now a machine tells what it has
         links.OnBytes(now, conn, MachineBytes(MachineKind::kTested, 1, 1));
@@ -300,7 +300,7 @@
     ASSERT_LE(port.to.size(), 80u);
   }
   Micros most = 0;
-  for (MachineId m = 1; m <= kMachines; ++m) most = std::max({most, worst[m], now - last[m]});
+  for (NodeId m = 1; m <= kMachines; ++m) most = std::max({most, worst[m], now - last[m]});
   EXPECT_LT(most, 6 * kSec);  // 8 s are allowed, of which the owner's side needs its part
   RecordProperty("worst_ms", static_cast<int>(most / kMilli));
   RecordProperty("opened_a_second", static_cast<int>(opened / 30));
--- a/tests/platform_search_test.cpp
+++ b/tests/platform/platform_search_test.cpp
@@ -7,8 +7,8 @@
 #include <cstdlib>
 #include <random>
 
-#include "tests/platform_rig.hpp"
-#include "tests/platform_stand.hpp"
+#include "tests/support/platform_fakes.hpp"
+#include "tests/support/platform_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
@@ -135,7 +135,7 @@
   ListedMachine Entry(const Machine& m) const {
     ListedMachine e;
     e.name = m.name, e.address = m.address, e.zone = "left", e.kind = "big", e.status = m.status,
-    e.cell = m.cell;
+    e.rack = m.cell;
     e.started_at = m.started_at, e.free_cores = 24, e.free_memory = 48;
     return e;
   }
@@ -143,7 +143,7 @@
   void Tell(std::size_t which) {
     const Machine m = machines_[which];
     FleetChange change;
-    change.machines = {Entry(m)};
+    change.nodes = {Entry(m)};
     Passed p{now_, What::kTold, 0, m.name};
     p.cause = m.status == "ready" ? 0 : m.status == "draining" ? 1 : 2;
     p.cell = m.cell, p.started_at = m.started_at;
@@ -154,7 +154,7 @@
       const unsigned life = nodes_[n]->life;
       At(heard_at_, [this, n, life, change] {
         if (nodes_[n]->life != life || !nodes_[n]->tasks) return;
-        nodes_[n]->knows.insert(change.machines[0].name);
+        nodes_[n]->knows.insert(change.nodes[0].name);
         nodes_[n]->tasks->Fleet(now_, change);
         Step(n);
       });
@@ -194,7 +194,7 @@
                 : m.status == "gone" ? 2
                                      : 1;
       if (node.life == 0) node.record.push_back(p);
-      if (m.status != "gone") known.machines.push_back(Entry(m));
+      if (m.status != "gone") known.nodes.push_back(Entry(m));
       node.knows.insert(m.name);
     }
     node.tasks->Start(now_, {known});
--- a/tests/platform_endings_test.cpp
+++ b/tests/platform/platform_shutdown_test.cpp
@@ -3,7 +3,7 @@
 #include <sys/resource.h>
 #include <sys/stat.h>
 
-#include "tests/platform_whole_rig.hpp"
+#include "tests/support/platform_process_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
@@ -319,17 +319,17 @@
 // The danger: who closes a connection counts it no more, and a peer that does not read kept its descriptor
 // for 10 s.
 TEST(LoopEndings, ConnectionsThatFlushAreBounded) {
-  struct Accepting : net::Handler {
-    void OnAccepted(net::ListenerId, net::ConnId conn, const net::PeerInfo&) override {
+  struct Accepting : event_loop::Handler {
+    void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) override {
       conns.push_back(conn);
     }
-    std::vector<net::ConnId> conns;
+    std::vector<event_loop::ConnId> conns;
   } accepting;
-  struct Peer : net::Handler {
-    void OnClosed(net::ConnId, const std::string&) override { ++closed; }
+  struct Peer : event_loop::Handler {
+    void OnClosed(event_loop::ConnId, const std::string&) override { ++closed; }
     int closed = 0;
   } peer;
-  net::Loop loop;
+  event_loop::Loop loop;
   std::string error;
   const auto listener = loop.Listen("127.0.0.1:0", &accepting, &error);
   const std::string address = "127.0.0.1:" + std::to_string(loop.PortOf(listener));
@@ -344,7 +344,7 @@
   };
   ASSERT_TRUE(until([&] { return accepting.conns.size() == 5; }));
   loop.SetMostClosing(2);
-  for (const net::ConnId conn : accepting.conns) {
+  for (const event_loop::ConnId conn : accepting.conns) {
     loop.Send(conn, std::string(16 << 20, 'x'));  // more than the kernel takes
     loop.Close(conn, true);
     loop.Close(conn, true);  // again changes nothing
--- a/tests/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -3,7 +3,7 @@
 
 #include <random>
 
-#include "tests/platform_rig.hpp"
+#include "tests/support/platform_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
@@ -206,7 +206,7 @@
   ListedMachine fresh;
   fresh.name = "m-9", fresh.address = address, fresh.zone = "left", fresh.kind = "big",
   fresh.status = "ready";
-  change.machines = {fresh};
+  change.nodes = {fresh};
   rig.tasks.Fleet(rig.now, change);
   rig.Ended(conn);
   rig.Pass(kSec);
@@ -456,7 +456,7 @@
       fresh.address = "10.0.0." + std::to_string(random() % 4) + ":1";
       fresh.free_cores = 32, fresh.free_memory = 64;
       names[which] = fresh.name;
-      change.machines = {gone, fresh};
+      change.nodes = {gone, fresh};
       rig.tasks.Fleet(rig.now, change);
       rig.owners.Deliver(rig.now);
     }
--- a/tests/owners_test.cpp
+++ b/tests/retry/retry_test.cpp
@@ -1,15 +1,15 @@
 // Owners' repeats: who may ask again, when, how often.
-#include <gtest/gtest.h>
+#include "retry/retry.hpp"
 
-#include "owners/repeats.hpp"
+#include <gtest/gtest.h>
 
-namespace mountflow::owners {
+namespace mountflow::retry {
 namespace {
 
 AskEnded Refused() {
   AskEnded e;
   e.rerunnable = true;
-  e.effect = Effect::kSafe;
+  e.idempotency = Idempotency::kIdempotent;
   e.now = 1'000'000;
   e.give_up = 1'000'000'000;
   return e;
@@ -47,7 +47,7 @@
 
 TEST(Repeats, AnUnsafeTaskThatMayHaveRunNeverComesAgain) {
   AskEnded e = Refused();
-  e.effect = Effect::kUnsafe;
+  e.idempotency = Idempotency::kNotIdempotent;
   Repeats repeats;
   for (const AskEnd end : {AskEnd::kFailed, AskEnd::kLost}) {
     e.end = end;
@@ -60,12 +60,12 @@
 TEST(Repeats, AKeyedTaskInDoubtSettlesFirstAndASafeOneNeedNot) {
   AskEnded e = Refused();
   e.end = AskEnd::kFailed;
-  e.effect = Effect::kKeyed;
+  e.idempotency = Idempotency::kWithKey;
   Repeats keyed, safe;
   const RepeatDecision d = keyed.Decide({}, e);
   EXPECT_EQ(d.verdict, RepeatVerdict::kSettle);
   EXPECT_GE(d.at - e.now, RepeatPolicy{}.settle_wait);
-  e.effect = Effect::kSafe;
+  e.idempotency = Idempotency::kIdempotent;
   EXPECT_EQ(safe.Decide({}, e).verdict, RepeatVerdict::kAgain);
 }
 
@@ -86,4 +86,4 @@
 }
 
 }  // namespace
-}  // namespace mountflow::owners
+}  // namespace mountflow::retry
--- a/tests/scheduler_digest_test.cpp
+++ b/tests/scheduler/action_digest_test.cpp
@@ -29,20 +29,20 @@
   explicit DrawnWorld(std::uint64_t seed)
       : random_(seed), settings_(DrawnSettings(seed)), scheduler_(settings_, seed) {
     for (unsigned i = 0; i < kMachines; ++i) {
-      MachineEntry entry;
-      entry.machine = i + 1;
-      entry.cell = i / 4;
+      NodeEntry entry;
+      entry.node = i + 1;
+      entry.rack = i / 4;
       entry.zone = i / 16;
       entry.kind = i % 5 == 0 ? 1 : 0;
       entry.started_at = i % 7 == 0 ? kStart - Draw(20 * kSecond) : 0;
-      entry.free_cores = settings_.kinds[entry.kind].cores;
-      entry.free_memory = settings_.kinds[entry.kind].memory;
-      entries_[entry.machine] = entry;
+      entry.free_cores = settings_.node_kinds[entry.kind].cores;
+      entry.free_memory = settings_.node_kinds[entry.kind].memory;
+      entries_[entry.node] = entry;
     }
   }
 
   void Play() {
-    Push(kStart, List(ViewMode::kFull));
+    Push(kStart, List(NodeListKind::kSnapshot));
     for (Micros at = kStart + 300 * kMs; at < kStart + kPlayed; at += 300 * kMs + Draw(700 * kMs))
       DrawList(at);
     for (Micros at = kStart + kMs; at < kStart + kPlayed; at += Draw(40 * kMs)) DrawArrival(at);
@@ -55,11 +55,11 @@
       if (due.at > kStart + kPlayed) break;
       actions.clear();
       Event event = due.event;
-      if (auto* list = std::get_if<FleetView>(&event); list != nullptr && list->machines.empty())
+      if (auto* list = std::get_if<NodeListUpdate>(&event); list != nullptr && list->nodes.empty())
         FillList(list);
       ++events[event.index()];
-      if (const auto* outcome = std::get_if<Outcome>(&event)) {
-        ++endings[static_cast<std::size_t>(outcome->ending)];
+      if (const auto* outcome = std::get_if<AttemptEnded>(&event)) {
+        ++endings[static_cast<std::size_t>(outcome->result)];
       }
       scheduler_.Handle(due.at, event, &actions);
       for (const Action& action : actions) Take(due.at, action);
@@ -80,7 +80,7 @@
   };
   struct Attempt {
     unsigned number = 0;
-    MachineId machine = 0;
+    NodeId node = 0;
     bool placed = false;
     Micros sent = 0;
   };
@@ -88,38 +88,41 @@
   static Settings DrawnSettings(std::uint64_t seed) {
     Settings s;
     s.classes.resize(6);
-    const Effect effects[] = {Effect::kUnsafe, Effect::kKeyed, Effect::kSafe};
-    const Scope scopes[] = {Scope::kCell, Scope::kZone, Scope::kAll};
-    const Spread spreads[] = {Spread::kNone, Spread::kMachine, Spread::kCell, Spread::kZone};
+    const Idempotency effects[] = {Idempotency::kNotIdempotent, Idempotency::kWithKey,
+                                   Idempotency::kIdempotent};
+    const DeduplicationScope scopes[] = {DeduplicationScope::kRack, DeduplicationScope::kZone,
+                                         DeduplicationScope::kAll};
+    const TopologySpread spreads[] = {TopologySpread::kNone, TopologySpread::kNode, TopologySpread::kRack,
+                                      TopologySpread::kZone};
     for (std::size_t i = 0; i < s.classes.size(); ++i) {
       TaskClass& c = s.classes[i];
-      c.effect = effects[i % 3];
-      c.scope = scopes[(i + seed) % 3];
-      c.window = 4 * kSecond;
-      c.spread = spreads[(i + seed) % 4];
-      c.together_max = static_cast<int>(3 + i);
-      c.kind = i == 5 ? 1 : -1;
+      c.idempotency = effects[i % 3];
+      c.deduplication_scope = scopes[(i + seed) % 3];
+      c.deduplication_window = 4 * kSecond;
+      c.topology_spread = spreads[(i + seed) % 4];
+      c.max_per_domain = static_cast<int>(3 + i);
+      c.node_kind = i == 5 ? 1 : -1;
       c.priority = static_cast<int>(i % 4);
     }
-    s.kinds = {{32.0, 64.0}, {16.0, 128.0}};
+    s.node_kinds = {{32.0, 64.0}, {16.0, 128.0}};
     s.group_size = static_cast<int>(1 + seed % 5 * 4);
     s.self_index = seed == 6 ? -1 : static_cast<int>(seed % s.group_size);
-    s.must_ask = seed % 3 == 0;
-    s.lists_free = seed % 4 != 3;
-    s.placed_at_running = seed % 2 == 0;
-    s.may_probe = seed % 3 != 1;
+    s.list_on_request = seed % 3 == 0;
+    s.list_has_free_capacity = seed % 4 != 3;
+    s.started_means_running = seed % 2 == 0;
+    s.may_check_health = seed % 3 != 1;
     s.may_cancel = seed % 4 != 2;
-    s.preempts = seed % 2 == 1;
+    s.nodes_preempt = seed % 2 == 1;
     s.max_attempts = 3 + seed % 2;
     s.mean_cores = 1.5;
     s.mean_memory = 2.5;
-    s.accept_cores = seed % 2 == 0 ? 1.0 : 1.2;
-    s.drain_grace = 2 * kSecond;
-    s.cold_from = 0.25;
-    s.cold_time = 12 * kSecond;
-    s.fall_multiple = 2.0;
-    s.fall_window = 2 * kSecond;
-    s.cold_offers = 12.0;
+    s.overcommit_cores = seed % 2 == 0 ? 1.0 : 1.2;
+    s.drain_grace_period = 2 * kSecond;
+    s.slow_start_initial_pace = 0.25;
+    s.slow_start_duration = 12 * kSecond;
+    s.overload_multiple = 2.0;
+    s.slow_start_window = 2 * kSecond;
+    s.slow_start_budget = 12.0;
     s.cross_zone_price = seed % 4 == 1 ? 0.1 : 0.0;
     return s;
   }
@@ -129,25 +132,25 @@
   void Push(Micros at, Event event) { due_.push({at, ++order_, std::move(event)}); }
 
   // Its entries are filled in when it is due, with what holds then.
-  FleetView List(ViewMode mode) const {
-    FleetView list;
-    list.mode = mode;
+  NodeListUpdate List(NodeListKind mode) const {
+    NodeListUpdate list;
+    list.kind = mode;
     return list;
   }
-  void FillList(FleetView* list) {
-    if (list->mode == ViewMode::kFailed) return;
+  void FillList(NodeListUpdate* list) {
+    if (list->kind == NodeListKind::kUnavailable) return;
     for (auto& [id, entry] : entries_) {
-      if (list->mode == ViewMode::kChanges && Chance(40)) continue;
-      entry.free_cores = settings_.kinds[entry.kind].cores - used_cores_[id];
-      entry.free_memory = settings_.kinds[entry.kind].memory - 2.0 * used_cores_[id];
-      list->machines.push_back(entry);
+      if (list->kind == NodeListKind::kDelta && Chance(40)) continue;
+      entry.free_cores = settings_.node_kinds[entry.kind].cores - used_cores_[id];
+      entry.free_memory = settings_.node_kinds[entry.kind].memory - 2.0 * used_cores_[id];
+      list->nodes.push_back(entry);
     }
   }
   void DrawList(Micros at) {
-    const ViewMode mode = Chance(80)   ? ViewMode::kChanges
-                          : Chance(40) ? ViewMode::kFull
-                          : Chance(50) ? ViewMode::kRemembered
-                                       : ViewMode::kFailed;
+    const NodeListKind mode = Chance(80)   ? NodeListKind::kDelta
+                              : Chance(40) ? NodeListKind::kSnapshot
+                              : Chance(50) ? NodeListKind::kCached
+                                           : NodeListKind::kUnavailable;
     Push(at, List(mode));
   }
   void DrawArrival(Micros at) {
@@ -162,41 +165,42 @@
     task.memory = 2.0 * task.cores;
     tasks_[task.request] = task;
     if (Chance(2)) {
-      const auto machine = static_cast<MachineId>(1 + Draw(kMachines));
-      Push(at, RunningTask{task, machine});
+      const auto machine = static_cast<NodeId>(1 + Draw(kMachines));
+      Push(at, TaskRecovered{task, machine});
       attempts_[task.request] = {0, machine, true, at};
-      Push(at + Draw(8 * kSecond), End(task.request, Ending::kDone, Cause::kUntold, true));
+      Push(at + Draw(8 * kSecond),
+           End(task.request, AttemptResult::kCompleted, RejectionReason::kUnspecified, true));
       return;
     }
-    Push(at, TaskArrival{task});
-    if (Chance(4)) Push(at + Draw(2 * kSecond), Withdrawal{task.request});
+    Push(at, TaskSubmitted{task});
+    if (Chance(4)) Push(at + Draw(2 * kSecond), TaskCancelled{task.request});
   }
   void DrawTrouble(Micros at) {
-    MachineEntry& entry = entries_[static_cast<MachineId>(1 + Draw(kMachines))];
+    NodeEntry& entry = entries_[static_cast<NodeId>(1 + Draw(kMachines))];
     switch (Draw(5)) {
       case 0:
-        entry.state = MachineState::kDraining;
+        entry.state = NodeState::kDraining;
         break;
       case 1:
-        entry.state = MachineState::kGone;
+        entry.state = NodeState::kGone;
         break;
       case 2:
         entry.started_at = at;
-        entry.state = MachineState::kReady;
+        entry.state = NodeState::kReady;
         break;
       case 3:
-        silent_.push_back(entry.machine);
+        silent_.push_back(entry.node);
         if (silent_.size() > 3) silent_.erase(silent_.begin());
         break;
       default: {
-        GroupChange change;
+        MembershipChange change;
         change.size = static_cast<int>(1 + Draw(12));
         change.index = Chance(80) ? static_cast<int>(Draw(change.size)) : -1;
-        change.until = Chance(50) ? at + 20 * kSecond : ~Micros{0};
+        change.valid_until = Chance(50) ? at + 20 * kSecond : ~Micros{0};
         change.undisturbed = Chance(30);
         Push(at, change);
         for (auto& [id, one] : entries_) {
-          if (Chance(50)) one.state = MachineState::kReady;
+          if (Chance(50)) one.state = NodeState::kReady;
         }
       }
     }
@@ -204,59 +208,61 @@
 
   LoadReport DrawReport() {
     LoadReport report;
-    if (Chance(50)) report.busy = static_cast<double>(Draw(120)) / 100.0;
+    if (Chance(50)) report.utilisation = static_cast<double>(Draw(120)) / 100.0;
     if (Chance(30)) report.free_cores = static_cast<double>(Draw(32));
     if (Chance(30)) report.queued = static_cast<double>(Draw(5));
     return report;
   }
-  Outcome End(RequestId request, Ending ending, Cause cause, bool closed) {
+  AttemptEnded End(RequestId request, AttemptResult ending, RejectionReason cause, bool closed) {
     const Attempt& attempt = attempts_[request];
-    Outcome outcome;
+    AttemptEnded outcome;
     outcome.request = request;
     outcome.attempt = attempt.number;
-    outcome.machine = attempt.machine;
+    outcome.node = attempt.node;
     outcome.elapsed = Draw(kSecond);
-    outcome.closed = closed;
-    outcome.ending = ending;
-    outcome.cause = cause;
+    outcome.request_closed = closed;
+    outcome.result = ending;
+    outcome.reason = cause;
     outcome.report = DrawReport();
-    if (attempt.placed) used_cores_[attempt.machine] -= tasks_[request].cores;
+    if (attempt.placed) used_cores_[attempt.node] -= tasks_[request].cores;
     return outcome;
   }
-  bool Silent(MachineId machine) const {
+  bool Silent(NodeId machine) const {
     return std::find(silent_.begin(), silent_.end(), machine) != silent_.end();
   }
-  void DrawFate(Micros now, const Offer& offer) {
+  void DrawFate(Micros now, const StartAttempt& offer) {
     Attempt& attempt = attempts_[offer.request];
-    attempt = {offer.attempt, offer.machine, false, now};
+    attempt = {offer.attempt, offer.node, false, now};
     const Micros soon = now + 2 * kMs + Draw(80 * kMs);
-    if (Silent(offer.machine)) {
-      Push(std::max(offer.until, soon), End(offer.request, Ending::kTimedOut, Cause::kUntold, true));
+    if (Silent(offer.node)) {
+      Push(std::max(offer.deadline, soon),
+           End(offer.request, AttemptResult::kTimedOut, RejectionReason::kUnspecified, true));
       return;
     }
     const std::uint64_t fate = Draw(100);
     if (fate < 4) {
-      Push(soon, End(offer.request, Ending::kError, Cause::kUntold, false));
+      Push(soon, End(offer.request, AttemptResult::kError, RejectionReason::kUnspecified, false));
     } else if (fate < 12) {
-      Push(soon, End(offer.request, Ending::kRefused, static_cast<Cause>(Draw(5)), false));
+      Push(soon, End(offer.request, AttemptResult::kRejected, static_cast<RejectionReason>(Draw(5)), false));
     } else if (fate < 15) {
-      Push(soon, End(offer.request, Ending::kUnreachable, Cause::kUntold, false));
+      Push(soon, End(offer.request, AttemptResult::kUnreachable, RejectionReason::kUnspecified, false));
     } else if (fate < 16) {
-      Push(soon, End(offer.request, Ending::kMoot, Cause::kUntold, false));
+      Push(soon, End(offer.request, AttemptResult::kNotSent, RejectionReason::kUnspecified, false));
     } else if (fate < 18) {
-      Push(soon, End(offer.request, Ending::kTimedOut, Cause::kUntold, false));
+      Push(soon, End(offer.request, AttemptResult::kTimedOut, RejectionReason::kUnspecified, false));
     } else {
       attempt.placed = true;
-      used_cores_[offer.machine] += tasks_[offer.request].cores;
-      Push(soon, Placement{offer.request, offer.attempt, offer.machine, soon - now});
+      used_cores_[offer.node] += tasks_[offer.request].cores;
+      Push(soon, TaskStarted{offer.request, offer.attempt, offer.node, soon - now});
       if (Chance(50)) {
-        Push(soon + Draw(kSecond),
-             TaskNote{offer.request, offer.attempt, offer.machine, static_cast<NoteKind>(1 + Draw(5)), 1.0});
+        Push(soon + Draw(kSecond), TaskProgress{offer.request, offer.attempt, offer.node,
+                                                static_cast<ProgressKind>(1 + Draw(5)), 1.0});
       }
       const bool lost = Chance(10);
-      const Cause cause = lost && Chance(70) ? static_cast<Cause>(5 + Draw(3)) : Cause::kUntold;
+      const RejectionReason cause =
+          lost && Chance(70) ? static_cast<RejectionReason>(5 + Draw(3)) : RejectionReason::kUnspecified;
       Push(soon + kSecond + Draw(8 * kSecond),
-           End(offer.request, lost ? Ending::kLost : Ending::kDone, cause, true));
+           End(offer.request, lost ? AttemptResult::kLost : AttemptResult::kCompleted, cause, true));
     }
   }
 
@@ -264,37 +270,38 @@
     ++actions[action.index()];
     digest.Add(now);
     digest.Add(action.index());
-    if (const auto* offer = std::get_if<Offer>(&action)) {
+    if (const auto* offer = std::get_if<StartAttempt>(&action)) {
       digest.Add(offer->request);
       digest.Add(offer->attempt);
-      digest.Add(offer->machine);
-      digest.Add(offer->until);
+      digest.Add(offer->node);
+      digest.Add(offer->deadline);
       DrawFate(now, *offer);
-    } else if (const auto* cancel = std::get_if<CancelOffer>(&action)) {
+    } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
       digest.Add(cancel->request);
       digest.Add(cancel->attempt);
-      Push(now + Draw(100 * kMs), End(cancel->request, Ending::kCancelled, Cause::kUntold, false));
-    } else if (const auto* refusal = std::get_if<Refusal>(&action)) {
+      Push(now + Draw(100 * kMs),
+           End(cancel->request, AttemptResult::kCancelled, RejectionReason::kUnspecified, false));
+    } else if (const auto* refusal = std::get_if<RejectTask>(&action)) {
       digest.Add(refusal->request);
-      digest.Add(refusal->wait);
-    } else if (const auto* failure = std::get_if<Failure>(&action)) {
+      digest.Add(refusal->retry_after);
+    } else if (const auto* failure = std::get_if<FailTask>(&action)) {
       digest.Add(failure->request);
-    } else if (const auto* move = std::get_if<Move>(&action)) {
+    } else if (const auto* move = std::get_if<MigrateTask>(&action)) {
       digest.Add(move->request);
-    } else if (const auto* timer = std::get_if<SetAlarm>(&action)) {
+    } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       digest.Add(timer->at);
       digest.Add(timer->token);
-      Push(timer->at, Alarm{timer->token});
-    } else if (const auto* probe = std::get_if<Probe>(&action)) {
-      digest.Add(probe->machine);
-      ProbeResult result;
-      result.machine = probe->machine;
-      result.answered = !Silent(probe->machine) && Chance(80);
+      Push(timer->at, TimerFired{timer->token});
+    } else if (const auto* probe = std::get_if<StartHealthCheck>(&action)) {
+      digest.Add(probe->node);
+      HealthCheckResult result;
+      result.node = probe->node;
+      result.answered = !Silent(probe->node) && Chance(80);
       result.elapsed = 20 * kMs;
       result.report = DrawReport();
       Push(now + 20 * kMs, result);
-    } else if (std::holds_alternative<FollowList>(action)) {
-      Push(now + Draw(400 * kMs), List(Chance(20) ? ViewMode::kFailed : ViewMode::kFull));
+    } else if (std::holds_alternative<WatchNodes>(action)) {
+      Push(now + Draw(400 * kMs), List(Chance(20) ? NodeListKind::kUnavailable : NodeListKind::kSnapshot));
     }
   }
 
@@ -304,11 +311,11 @@
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
   std::uint64_t order_ = 0;
   RequestId last_request_ = 0;
-  std::map<MachineId, MachineEntry> entries_;
-  std::map<MachineId, double> used_cores_;
+  std::map<NodeId, NodeEntry> entries_;
+  std::map<NodeId, double> used_cores_;
   std::map<RequestId, Task> tasks_;
   std::map<RequestId, Attempt> attempts_;
-  std::vector<MachineId> silent_;
+  std::vector<NodeId> silent_;
 };
 
 TEST(SchedulerDigest, DecidesAsRecordedOverEightSeeds) {
@@ -334,7 +341,7 @@
   EXPECT_GT(all, 100'000u);
   for (std::size_t i = 0; i < endings.size(); ++i) EXPECT_GT(endings[i], 50u) << "ending " << i;
   // The scheduler never moves a running task and never asks for the whole list; it does all else.
-  const std::vector<std::size_t> never = {Action(Move{}).index(), Action(FetchList{}).index()};
+  const std::vector<std::size_t> never = {Action(MigrateTask{}).index(), Action(ListNodes{}).index()};
   for (std::size_t i = 0; i < actions.size(); ++i) {
     const bool is_never = std::find(never.begin(), never.end(), i) != never.end();
     EXPECT_EQ(actions[i] == 0, is_never) << "actions of kind " << i << ": " << actions[i];
--- a/tests/own_work_test.cpp
+++ b/tests/scheduler/unobserved_load_test.cpp
@@ -1,5 +1,5 @@
 // The sums of own tasks against the plain walk over all of them, which they replaced.
-#include "own_work.hpp"
+#include "scheduler/unobserved_load.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/accepted_keys_test.cpp
+++ b/tests/settings/accepted_keys_test.cpp
@@ -106,7 +106,7 @@
   EXPECT_EQ(report("x0").free_cores, 0.5);
   EXPECT_EQ(report("x1").free_memory, 0.5);
   for (const char* name : {"pending", "queue"}) EXPECT_EQ(report(name).queued, 0.5) << name;
-  for (const char* name : {"cpu_share", "util"}) EXPECT_EQ(report(name).busy, 0.5) << name;
+  for (const char* name : {"cpu_share", "util"}) EXPECT_EQ(report(name).utilisation, 0.5) << name;
 }
 
 void AddSchema(const nlohmann::json& schema, const std::string& path, GoldenFile* golden) {
--- a/tests/codec_test.cpp
+++ b/tests/simulator_adapter/simulator_adapter_test.cpp
@@ -1,5 +1,3 @@
-#include "adapter/codec.hpp"
-
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -7,10 +5,11 @@
 #include <string>
 #include <vector>
 
-#include "adapter/drill.hpp"
 #include "settings/settings.hpp"
+#include "simulator_adapter/codec.hpp"
+#include "simulator_adapter/server.hpp"
 
-namespace mountflow::adapter {
+namespace mountflow::simulator_adapter {
 namespace {
 
 // Writes little-endian bytes, the way the wire page lays a record out.
@@ -107,30 +106,32 @@
   b.U8(20).U8(3).U32(0).U16(999);  // a failed call: its list number means nothing
   const auto seen = Decode(&decoder, b, &now);
   ASSERT_EQ(seen.size(), 3u);
-  const auto view = [&](std::size_t i) { return std::get<FleetView>(std::get<Event>(seen[i].event.body)); };
-  EXPECT_EQ(view(0).mode, ViewMode::kFull);
-  ASSERT_EQ(view(0).machines.size(), 2u);
-  const MachineEntry e = view(0).machines[0];
-  EXPECT_EQ(e.machine, 10u);
-  EXPECT_EQ(e.cell, 4u);
+  const auto view = [&](std::size_t i) {
+    return std::get<NodeListUpdate>(std::get<Event>(seen[i].event.body));
+  };
+  EXPECT_EQ(view(0).kind, NodeListKind::kSnapshot);
+  ASSERT_EQ(view(0).nodes.size(), 2u);
+  const NodeEntry e = view(0).nodes[0];
+  EXPECT_EQ(e.node, 10u);
+  EXPECT_EQ(e.rack, 4u);
   EXPECT_EQ(e.kind, 1u);
   EXPECT_EQ(e.started_at, 777u);
   EXPECT_EQ(e.zone, 2u);
-  EXPECT_EQ(e.state, MachineState::kReady);
+  EXPECT_EQ(e.state, NodeState::kReady);
   EXPECT_DOUBLE_EQ(e.free_cores, 3.5);
   EXPECT_DOUBLE_EQ(e.free_memory, -2.0);
-  EXPECT_EQ(view(0).machines[1].state, MachineState::kDraining);
-  EXPECT_EQ(view(1).mode, ViewMode::kChanges);
-  ASSERT_EQ(view(1).machines.size(), 1u);
-  EXPECT_EQ(view(1).machines[0].state, MachineState::kGone);
-  EXPECT_EQ(view(2).mode, ViewMode::kFailed);
-  EXPECT_TRUE(view(2).machines.empty());
+  EXPECT_EQ(view(0).nodes[1].state, NodeState::kDraining);
+  EXPECT_EQ(view(1).kind, NodeListKind::kDelta);
+  ASSERT_EQ(view(1).nodes.size(), 1u);
+  EXPECT_EQ(view(1).nodes[0].state, NodeState::kGone);
+  EXPECT_EQ(view(2).kind, NodeListKind::kUnavailable);
+  EXPECT_TRUE(view(2).nodes.empty());
 }
 
 TEST(Decode, Pending) {
   Bytes b;
   b.U8(30).U32(7).U32(12000).U16(1).U64(5000).U16(2).F32(1.5f).U64(99).F32(2.5f).U64(88).U8(1);
-  const Task t = OnlyEvent<TaskArrival>(b).task;
+  const Task t = OnlyEvent<TaskSubmitted>(b).task;
   EXPECT_EQ(t.request, 7u);
   EXPECT_EQ(t.task_class, 1u);
   EXPECT_EQ(t.deadline, 5000u);
@@ -144,7 +145,7 @@
 TEST(Decode, Existing) {
   Bytes b;
   b.U8(110).U32(7).U64(5000).U64(99).U16(2).F32(1.5f).U16(1).U64(88).U8(0).U32(55).U32(1).F32(2.5f);
-  const auto running = OnlyEvent<RunningTask>(b);
+  const auto running = OnlyEvent<TaskRecovered>(b);
   EXPECT_EQ(running.task.request, 7u);
   EXPECT_EQ(running.task.deadline, 5000u);
   EXPECT_EQ(running.task.key, 99u);
@@ -152,38 +153,39 @@
   EXPECT_DOUBLE_EQ(running.task.cores, 1.5);
   EXPECT_EQ(running.task.task_class, 1u);
   EXPECT_EQ(running.task.service, 88u);
-  EXPECT_EQ(running.machine, 55u);
+  EXPECT_EQ(running.node, 55u);
   EXPECT_DOUBLE_EQ(running.task.memory, 2.5);
 }
 
 TEST(Decode, TakenNoteLapsedDue) {
-  const auto placed = OnlyEvent<Placement>(Bytes().U8(40).U32(7).U16(2).U32(300).U32(55));
+  const auto placed = OnlyEvent<TaskStarted>(Bytes().U8(40).U32(7).U16(2).U32(300).U32(55));
   EXPECT_EQ(placed.request, 7u);
   EXPECT_EQ(placed.attempt, 2u);
   EXPECT_EQ(placed.elapsed, 300u);
-  EXPECT_EQ(placed.machine, 55u);
-  const auto note = OnlyEvent<TaskNote>(Bytes().U8(120).U32(7).U16(2).U32(55).U8(4).F32(0.5f));
-  EXPECT_EQ(note.kind, NoteKind::kServed);
-  EXPECT_EQ(note.machine, 55u);
+  EXPECT_EQ(placed.node, 55u);
+  const auto note = OnlyEvent<TaskProgress>(Bytes().U8(120).U32(7).U16(2).U32(55).U8(4).F32(0.5f));
+  EXPECT_EQ(note.kind, ProgressKind::kServed);
+  EXPECT_EQ(note.node, 55u);
   EXPECT_DOUBLE_EQ(note.value, 0.5);
-  EXPECT_EQ(OnlyEvent<Withdrawal>(Bytes().U8(60).U32(7)).request, 7u);
-  EXPECT_EQ(OnlyEvent<Alarm>(Bytes().U8(70).U64(1u << 20)).token, 1u << 20);
+  EXPECT_EQ(OnlyEvent<TaskCancelled>(Bytes().U8(60).U32(7)).request, 7u);
+  EXPECT_EQ(OnlyEvent<TimerFired>(Bytes().U8(70).U64(1u << 20)).token, 1u << 20);
 }
 
 TEST(Decode, AnswerOutcomes) {
-  const std::vector<std::pair<unsigned, Ending>> all = {
-      {200, Ending::kDone},        {502, Ending::kError}, {429, Ending::kRefused},   {408, Ending::kTimedOut},
-      {521, Ending::kUnreachable}, {520, Ending::kLost},  {444, Ending::kCancelled}, {409, Ending::kMoot}};
+  const std::vector<std::pair<unsigned, AttemptResult>> all = {
+      {200, AttemptResult::kCompleted}, {502, AttemptResult::kError},       {429, AttemptResult::kRejected},
+      {408, AttemptResult::kTimedOut},  {521, AttemptResult::kUnreachable}, {520, AttemptResult::kLost},
+      {444, AttemptResult::kCancelled}, {409, AttemptResult::kNotSent}};
   for (const auto& [status, ending] : all) {
     Bytes b;
     b.U8(50).U32(7).U32(300).U16(1).U8(1).U16(status).U32(5).U32(55).U8(0);
-    const auto outcome = OnlyEvent<Outcome>(b);
-    EXPECT_EQ(outcome.ending, ending);
-    EXPECT_EQ(outcome.cause, Cause::kEvicted);
+    const auto outcome = OnlyEvent<AttemptEnded>(b);
+    EXPECT_EQ(outcome.result, ending);
+    EXPECT_EQ(outcome.reason, RejectionReason::kEvicted);
     EXPECT_EQ(outcome.attempt, 1u);
-    EXPECT_EQ(outcome.machine, 55u);
+    EXPECT_EQ(outcome.node, 55u);
     EXPECT_EQ(outcome.elapsed, 300u);
-    EXPECT_TRUE(outcome.closed);
+    EXPECT_TRUE(outcome.request_closed);
   }
 }
 
@@ -199,8 +201,8 @@
   ASSERT_EQ(seen.size(), 3u);
   EXPECT_EQ(seen[0].event.report, (RawReport{1.0f, 2.0f}));
   EXPECT_EQ(seen[1].event.report, RawReport{3.0f});
-  EXPECT_TRUE(std::get<ProbeResult>(std::get<Event>(seen[1].event.body)).answered);
-  EXPECT_FALSE(std::get<ProbeResult>(std::get<Event>(seen[2].event.body)).answered);
+  EXPECT_TRUE(std::get<HealthCheckResult>(std::get<Event>(seen[1].event.body)).answered);
+  EXPECT_FALSE(std::get<HealthCheckResult>(std::get<Event>(seen[2].event.body)).answered);
 }
 
 TEST(Decode, PeersAreSkipped) {
@@ -250,15 +252,15 @@
 
 TEST(Encode, EveryAction) {
   Encoder encoder;
-  encoder.Act(3, Offer{7, 0, 55, 1000});
-  encoder.Act(3, CancelOffer{7, 2});
-  encoder.Act(3, Refusal{8, 250});
-  encoder.Act(3, Failure{9});
-  encoder.Act(3, Move{10});
-  encoder.Act(4, SetAlarm{2000, 1});
-  encoder.Act(4, Probe{55});
-  encoder.Act(4, FollowList{});
-  encoder.Act(4, FetchList{});
+  encoder.Act(3, StartAttempt{7, 0, 55, 1000});
+  encoder.Act(3, CancelAttempt{7, 2});
+  encoder.Act(3, RejectTask{8, 250});
+  encoder.Act(3, FailTask{9});
+  encoder.Act(3, MigrateTask{10});
+  encoder.Act(4, SetTimer{2000, 1});
+  encoder.Act(4, StartHealthCheck{55});
+  encoder.Act(4, WatchNodes{});
+  encoder.Act(4, ListNodes{});
   encoder.Act(4, LogLine{"hi"});
   encoder.Panic(4, "no");
   Bytes records;
@@ -281,20 +283,20 @@
       "domain.ack=accepted\nbounds.max_attempts=4\nsome.later.key=x y\nstats.names=x0,x1,pending\n");
   const Settings& s = read.settings;
   ASSERT_EQ(s.classes.size(), 2u);
-  EXPECT_EQ(s.classes[0].effect, Effect::kKeyed);
-  EXPECT_EQ(s.classes[0].scope, Scope::kZone);
-  EXPECT_EQ(s.classes[0].window, 5u);
-  EXPECT_EQ(s.classes[1].effect, Effect::kSafe);
-  EXPECT_EQ(s.classes[0].spread, Spread::kNone);
-  EXPECT_EQ(s.classes[1].spread, Spread::kCell);
-  EXPECT_EQ(s.classes[1].together_max, 3);
-  ASSERT_EQ(s.kinds.size(), 2u);
-  EXPECT_DOUBLE_EQ(s.kinds[1].cores, 59.0);
-  EXPECT_DOUBLE_EQ(s.kinds[0].memory, 52.0);
+  EXPECT_EQ(s.classes[0].idempotency, Idempotency::kWithKey);
+  EXPECT_EQ(s.classes[0].deduplication_scope, DeduplicationScope::kZone);
+  EXPECT_EQ(s.classes[0].deduplication_window, 5u);
+  EXPECT_EQ(s.classes[1].idempotency, Idempotency::kIdempotent);
+  EXPECT_EQ(s.classes[0].topology_spread, TopologySpread::kNone);
+  EXPECT_EQ(s.classes[1].topology_spread, TopologySpread::kRack);
+  EXPECT_EQ(s.classes[1].max_per_domain, 3);
+  ASSERT_EQ(s.node_kinds.size(), 2u);
+  EXPECT_DOUBLE_EQ(s.node_kinds[1].cores, 59.0);
+  EXPECT_DOUBLE_EQ(s.node_kinds[0].memory, 52.0);
   EXPECT_EQ(s.group_size, 3);
   EXPECT_EQ(s.self_index, 2);
-  EXPECT_TRUE(s.must_ask);
-  EXPECT_FALSE(s.placed_at_running);
+  EXPECT_TRUE(s.list_on_request);
+  EXPECT_FALSE(s.started_means_running);
   EXPECT_EQ(s.max_attempts, 4u);
   EXPECT_EQ(read.report_names, (std::vector<std::string>{"x0", "x1", "pending"}));
 }
@@ -327,7 +329,7 @@
 std::string Serve(const std::string& input, int* status, std::string* errors) {
   std::istringstream in(input);
   std::ostringstream out, err;
-  *status = adapter::Serve(in, out, err);
+  *status = simulator_adapter::Serve(in, out, err);
   *errors = err.str();
   return out.str();
 }
@@ -383,4 +385,4 @@
 }
 
 }  // namespace
-}  // namespace mountflow::adapter
+}  // namespace mountflow::simulator_adapter
--- a/tests/storage_test.cpp
+++ b/tests/storage/storage_test.cpp
@@ -6,7 +6,7 @@
 
 #include "storage/gate.hpp"
 #include "storage/log.hpp"
-#include "tests/faulty_files.hpp"
+#include "tests/support/faulty_files.hpp"
 
 namespace mountflow::testing {
 namespace {
--- a/tests/stored_state_test.cpp
+++ b/tests/storage/stored_state_test.cpp
@@ -11,16 +11,16 @@
 #include <iterator>
 #include <map>
 
+#include "discovery/snapshot.hpp"
 #include "ledger/book.hpp"
-#include "registry/snapshot.hpp"
 #include "storage/log.hpp"
-#include "tests/core_rig.hpp"
+#include "tests/support/job_manager_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
 
 namespace fs = std::filesystem;
-using namespace core;
+using namespace job_manager;
 
 const fs::path kRecorded = fs::path(MOUNTFLOW_TEST_DATA) / "stored_state";
 constexpr Micros kHour = 3600 * kSecond;
@@ -50,8 +50,8 @@
   fs::path path;
 };
 
-CoreOptions Durable() {
-  CoreOptions o = Options();
+JobManagerOptions Durable() {
+  JobManagerOptions o = Options();
   o.durable = true;
   return o;
 }
@@ -72,11 +72,11 @@
   return rules;
 }
 
-registry::Snapshot View() {
-  registry::Snapshot view;
+discovery::Snapshot View() {
+  discovery::Snapshot view;
   view.taken_at = 1'796'083'200 * kSecond;
   view.nodes = {CoreRig::Node("a"), CoreRig::Node("b", "rack-2", 7 * kSecond)};
-  view.nodes[1].state = MachineState::kDraining;
+  view.nodes[1].state = NodeState::kDraining;
   return view;
 }
 
@@ -92,7 +92,7 @@
   rig.List({CoreRig::Node("a"), CoreRig::Node("b", "rack-2")});
   rig.SyncAll();
   const AskNode first = rig.PlaceNew(1, "key-1");
-  rig.Take(AttemptEnded{first.attempt, EndReason::kExited, 3, "", {}, rig.now, rig.now + kSecond});
+  rig.Take(AttemptFinished{first.attempt, EndReason::kExited, 3, "", {}, rig.now, rig.now + kSecond});
   commit();
   rig.PlaceNew(0, "key-2");
   JobSpec held;
@@ -147,7 +147,7 @@
     WriteJobs(files.get());
     WriteLedger(files.get());
   }
-  ASSERT_TRUE(registry::SaveSnapshot((folder.path / "view").string(), View(), &error)) << error;
+  ASSERT_TRUE(discovery::SaveSnapshot((folder.path / "view").string(), View(), &error)) << error;
   const auto written = FilesOf(folder.path);
   if (record) {
     fs::remove_all(kRecorded);
@@ -224,10 +224,10 @@
   EXPECT_EQ(book.Find(1)->tenant, "t");
   EXPECT_GE(book.last(), 4u);
 
-  registry::Snapshot view;
-  ASSERT_TRUE(registry::LoadSnapshot((folder.path / "view").string(), &view, &error)) << error;
+  discovery::Snapshot view;
+  ASSERT_TRUE(discovery::LoadSnapshot((folder.path / "view").string(), &view, &error)) << error;
   ASSERT_EQ(view.nodes.size(), 2u);
-  EXPECT_EQ(view.nodes[1].state, MachineState::kDraining);
+  EXPECT_EQ(view.nodes[1].state, NodeState::kDraining);
   EXPECT_EQ(view.taken_at, View().taken_at);
 }
 
--- a/tests/doubles/wrong_scheduler.cpp
+++ b/tests/support/broken_scheduler.cpp
@@ -7,7 +7,7 @@
 
 namespace mountflow {
 
-class Scheduler::Brain {
+class Scheduler::Impl {
  public:
   struct Request {
     Task task;
@@ -15,16 +15,16 @@
     bool over = false;
   };
   int wrong = std::getenv("MOUNTFLOW_WRONG") != nullptr ? std::atoi(std::getenv("MOUNTFLOW_WRONG")) : 0;
-  std::map<MachineId, MachineEntry> machines;
+  std::map<NodeId, NodeEntry> machines;
   std::map<RequestId, Request> requests;
   std::uint64_t turn = 0;
 
-  const MachineEntry* Pick() {
-    std::vector<const MachineEntry*> fit;
-    const MachineEntry* newest = nullptr;
+  const NodeEntry* Pick() {
+    std::vector<const NodeEntry*> fit;
+    const NodeEntry* newest = nullptr;
     for (const auto& [id, m] : machines) {
-      if (m.state == MachineState::kGone || (m.state == MachineState::kDraining && wrong != 3)) continue;
-      if (m.state == MachineState::kDraining) return &m;  // rule 3: these above all
+      if (m.state == NodeState::kGone || (m.state == NodeState::kDraining && wrong != 3)) continue;
+      if (m.state == NodeState::kDraining) return &m;  // rule 3: these above all
       fit.push_back(&m);
       if (newest == nullptr || m.started_at > newest->started_at) newest = &m;
     }
@@ -34,44 +34,44 @@
     return fit[turn++ % fit.size()];
   }
   void OfferNext(Micros now, Request& r, std::vector<Action>* out) {
-    const MachineEntry* m = r.made < 4 ? Pick() : nullptr;
+    const NodeEntry* m = r.made < 4 ? Pick() : nullptr;
     if (m == nullptr) {
       r.over = true;
-      out->push_back(Refusal{r.task.request, 0});
+      out->push_back(RejectTask{r.task.request, 0});
       return;
     }
     // Rule 2: given up soon, and offered again whatever may have run.
     const Micros until = wrong == 2 ? now + 700'000 : r.task.deadline;
-    out->push_back(Offer{r.task.request, r.made++, m->machine, until});
+    out->push_back(StartAttempt{r.task.request, r.made++, m->node, until});
   }
   void Handle(Micros now, const Event& event, std::vector<Action>* out) {
-    if (const auto* view = std::get_if<FleetView>(&event)) {
-      for (const MachineEntry& e : view->machines) machines[e.machine] = e;
-    } else if (const auto* arrival = std::get_if<TaskArrival>(&event)) {
+    if (const auto* view = std::get_if<NodeListUpdate>(&event)) {
+      for (const NodeEntry& e : view->nodes) machines[e.node] = e;
+    } else if (const auto* arrival = std::get_if<TaskSubmitted>(&event)) {
       if (wrong == 1 && ++turn % 3 == 0) return;  // rule 1: forgotten
       Request& r = requests[arrival->task.request];
       r.task = arrival->task;
       OfferNext(now, r, out);
-    } else if (const auto* placed = std::get_if<Placement>(&event)) {
+    } else if (const auto* placed = std::get_if<TaskStarted>(&event)) {
       requests[placed->request].over = true;
-    } else if (const auto* gone = std::get_if<Withdrawal>(&event)) {
+    } else if (const auto* gone = std::get_if<TaskCancelled>(&event)) {
       requests[gone->request].over = true;
-    } else if (const auto* outcome = std::get_if<Outcome>(&event)) {
+    } else if (const auto* outcome = std::get_if<AttemptEnded>(&event)) {
       Request& r = requests[outcome->request];
-      if (r.over || outcome->closed) return;
+      if (r.over || outcome->request_closed) return;
       if (now < r.task.deadline) return OfferNext(now, r, out);
       r.over = true;
-      out->push_back(Failure{outcome->request});
+      out->push_back(FailTask{outcome->request});
     }
   }
 };
 
-Scheduler::Scheduler(const Settings&, std::uint64_t) : brain_(std::make_unique<Brain>()) {}
+Scheduler::Scheduler(const Settings&, std::uint64_t) : impl_(std::make_unique<Impl>()) {}
 Scheduler::~Scheduler() = default;
 Scheduler::Scheduler(Scheduler&&) noexcept = default;
 Scheduler& Scheduler::operator=(Scheduler&&) noexcept = default;
 void Scheduler::Handle(Micros now, const Event& event, std::vector<Action>* actions) {
-  brain_->Handle(now, event, actions);
+  impl_->Handle(now, event, actions);
 }
 
 }  // namespace mountflow
--- a/tests/faulty_files.hpp
+++ b/tests/support/faulty_files.hpp
@@ -1,6 +1,6 @@
 // Files in memory that can fail or crash at the n-th call, and that lose what was not synced.
-#ifndef MOUNTFLOW_TESTS_FAULTY_FILES_HPP_
-#define MOUNTFLOW_TESTS_FAULTY_FILES_HPP_
+#ifndef MOUNTFLOW_TESTS_SUPPORT_FAULTY_FILES_HPP_
+#define MOUNTFLOW_TESTS_SUPPORT_FAULTY_FILES_HPP_
 
 #include <algorithm>
 #include <map>
@@ -127,4 +127,4 @@
 
 }  // namespace mountflow::testing
 
-#endif  // MOUNTFLOW_TESTS_FAULTY_FILES_HPP_
+#endif  // MOUNTFLOW_TESTS_SUPPORT_FAULTY_FILES_HPP_
--- a/tests/core_rig.hpp
+++ b/tests/support/job_manager_fixture.hpp
@@ -1,12 +1,12 @@
 // The core with hand-fed nodes and a clock under control: messages in, messages out, no sockets.
-#ifndef MOUNTFLOW_TESTS_CORE_RIG_HPP_
-#define MOUNTFLOW_TESTS_CORE_RIG_HPP_
+#ifndef MOUNTFLOW_TESTS_SUPPORT_JOB_MANAGER_FIXTURE_HPP_
+#define MOUNTFLOW_TESTS_SUPPORT_JOB_MANAGER_FIXTURE_HPP_
 
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "core/core.hpp"
+#include "job_manager/job_manager.hpp"
 
 namespace mountflow::testing {
 
@@ -14,31 +14,31 @@
 inline constexpr Micros kSecond = 1000 * kMs;
 
 // Classes: 0 keyed by cell, 1 safe, 2 unsafe.
-inline core::CoreOptions Options() {
-  core::CoreOptions o;
+inline job_manager::JobManagerOptions Options() {
+  job_manager::JobManagerOptions o;
   o.server = "d0";
   Settings& s = o.settings;
   s.classes.resize(3);
-  s.classes[0].effect = Effect::kKeyed;
-  s.classes[0].scope = Scope::kCell;
-  s.classes[0].window = 5 * kSecond;
-  s.classes[1].effect = Effect::kSafe;
-  s.classes[2].effect = Effect::kUnsafe;
-  s.kinds = {{16.0, 32.0}};
+  s.classes[0].idempotency = Idempotency::kWithKey;
+  s.classes[0].deduplication_scope = DeduplicationScope::kRack;
+  s.classes[0].deduplication_window = 5 * kSecond;
+  s.classes[1].idempotency = Idempotency::kIdempotent;
+  s.classes[2].idempotency = Idempotency::kNotIdempotent;
+  s.node_kinds = {{16.0, 32.0}};
   s.group_size = 1;
   s.self_index = 0;
-  s.lists_free = true;
-  s.placed_at_running = false;
+  s.list_has_free_capacity = true;
+  s.started_means_running = false;
   s.may_cancel = false;  // else unanswered offers of a test are taken back after a while
   s.max_attempts = 4;
   s.mean_memory = 2.0;
-  s.owner_wait = 3 * kSecond;
-  s.cold_from = 0.25;
-  s.cold_time = 15 * kSecond;
-  s.fall_multiple = 2.0;
-  s.fall_window = 3 * kSecond;
-  s.cold_offers = 8.0;
-  s.drain_grace = 2 * kSecond;
+  s.client_wait = 3 * kSecond;
+  s.slow_start_initial_pace = 0.25;
+  s.slow_start_duration = 15 * kSecond;
+  s.overload_multiple = 2.0;
+  s.slow_start_window = 3 * kSecond;
+  s.slow_start_budget = 8.0;
+  s.drain_grace_period = 2 * kSecond;
   o.classes = {"keyed", "safe", "unsafe"};
   o.hard_limits = {8 * kSecond, 8 * kSecond, 8 * kSecond};
   o.kinds = {"k"};
@@ -48,13 +48,13 @@
 
 class CoreRig {
  public:
-  explicit CoreRig(core::CoreOptions options = Options(), std::uint64_t seed = 7)
+  explicit CoreRig(job_manager::JobManagerOptions options = Options(), std::uint64_t seed = 7)
       : now(1'000'000 * kSecond), core(std::move(options), seed, now) {}
 
   Micros now;
-  core::Core core;
-  std::vector<core::Output> all;   // since the last Clear
-  std::vector<core::Output> last;  // of the last step
+  job_manager::JobManager core;
+  std::vector<job_manager::Output> all;   // since the last Clear
+  std::vector<job_manager::Output> last;  // of the last step
 
   void Collect() {
     last = std::move(core.outputs());
@@ -62,7 +62,7 @@
     all.insert(all.end(), last.begin(), last.end());
   }
   void Clear() { all.clear(); }
-  void Take(const core::NodeMessage& m) {
+  void Take(const job_manager::NodeMessage& m) {
     core.Take(now, m);
     Collect();
   }
@@ -76,9 +76,9 @@
     }
     now = to;
   }
-  static core::ListedNode Node(const std::string& name, const std::string& rack = "rack",
-                               Micros started = 0) {
-    core::ListedNode n;
+  static job_manager::ListedNode Node(const std::string& name, const std::string& rack = "rack",
+                                      Micros started = 0) {
+    job_manager::ListedNode n;
     n.name = name;
     n.address = "127.0.0.1:1";
     n.rack = rack;
@@ -89,19 +89,20 @@
     n.free_memory = 32.0;
     return n;
   }
-  void List(std::vector<core::ListedNode> nodes, ViewMode mode = ViewMode::kFull) {
-    core::ListView v;
-    v.mode = mode;
+  void List(std::vector<job_manager::ListedNode> nodes, NodeListKind mode = NodeListKind::kSnapshot) {
+    job_manager::ListView v;
+    v.kind = mode;
     v.nodes = std::move(nodes);
     core.TakeList(now, v);
     Collect();
   }
   // Answers the sync of each listed node: nothing runs there.
   void SyncAll(Micros started = 0) {
-    for (const core::SyncNode& s : Of<core::SyncNode>(all)) Take(core::Synced{s.node, started, {}});
+    for (const job_manager::SyncNode& s : Of<job_manager::SyncNode>(all))
+      Take(job_manager::Synced{s.node, started, {}});
   }
   std::uint64_t Submit(unsigned task_class, const std::string& key = "", bool rerunnable = false) {
-    core::JobSpec spec;
+    job_manager::JobSpec spec;
     spec.user = "thandi";
     spec.task_class = task_class;
     spec.queue = core.options().classes[task_class];
@@ -110,18 +111,18 @@
     spec.rerunnable = rerunnable;
     return Submit(std::move(spec));
   }
-  std::uint64_t Submit(core::JobSpec spec) {
-    const core::Submitted done = core.Submit(now, core.NewJobNumber(), std::move(spec));
+  std::uint64_t Submit(job_manager::JobSpec spec) {
+    const job_manager::Submitted done = core.Submit(now, core.NewJobNumber(), std::move(spec));
     verdict = done.verdict;
     Collect();
     return done.job;
   }
-  core::Verdict verdict = core::Verdict::kOk;
+  job_manager::Verdict verdict = job_manager::Verdict::kOk;
 
   template <typename T>
-  static std::vector<T> Of(const std::vector<core::Output>& from) {
+  static std::vector<T> Of(const std::vector<job_manager::Output>& from) {
     std::vector<T> found;
-    for (const core::Output& o : from) {
+    for (const job_manager::Output& o : from) {
       if (const T* one = std::get_if<T>(&o)) found.push_back(*one);
     }
     return found;
@@ -135,18 +136,18 @@
     const auto found = Of<T>(all);
     return found.empty() ? std::nullopt : std::optional<T>(found.back());
   }
-  const core::Job& Job(std::uint64_t number) const { return *core.Find(number); }
+  const job_manager::Job& Job(std::uint64_t number) const { return *core.Find(number); }
   // Submits and has the node say yes to all.
-  core::AskNode PlaceNew(unsigned task_class, const std::string& key = "", bool rerunnable = false) {
+  job_manager::AskNode PlaceNew(unsigned task_class, const std::string& key = "", bool rerunnable = false) {
     Clear();
     Submit(task_class, key, rerunnable);
-    const core::AskNode ask = *Last<core::AskNode>();
-    Take(core::Ready{ask.attempt});
-    Take(core::Committed{ask.attempt});
+    const job_manager::AskNode ask = *Last<job_manager::AskNode>();
+    Take(job_manager::Ready{ask.attempt});
+    Take(job_manager::Committed{ask.attempt});
     return ask;
   }
 };
 
 }  // namespace mountflow::testing
 
-#endif  // MOUNTFLOW_TESTS_CORE_RIG_HPP_
+#endif  // MOUNTFLOW_TESTS_SUPPORT_JOB_MANAGER_FIXTURE_HPP_
--- a/tests/support/output_digest.hpp
+++ b/tests/support/output_digest.hpp
@@ -5,12 +5,12 @@
 
 #include <variant>
 
-#include "core/messages.hpp"
+#include "job_manager/messages.hpp"
 #include "tests/support/digest.hpp"
 
 namespace mountflow::testing {
 
-inline void AddAttempt(const core::AttemptId& attempt, Digest* digest) {
+inline void AddAttempt(const job_manager::AttemptId& attempt, Digest* digest) {
   digest->Add(attempt.job);
   digest->Add(attempt.number);
 }
@@ -18,7 +18,7 @@
 struct OutputDigester {
   Digest* digest;
 
-  void operator()(const core::Used& o) const {
+  void operator()(const job_manager::Used& o) const {
     AddAttempt(o.attempt, digest);
     digest->Add(o.node);
     digest->Add(o.task_class);
@@ -28,27 +28,27 @@
     digest->Add(o.started);
     digest->Add(o.ended);
   }
-  void operator()(const core::AskNode& o) const { AddAtNode(o); }
-  void operator()(const core::CommitNode& o) const { AddAtNode(o); }
-  void operator()(const core::AbandonAsk& o) const { AddAtNode(o); }
-  void operator()(const core::StopOnNode& o) const { AddAtNode(o); }
-  void operator()(const core::QueryNode& o) const { AddAtNode(o); }
-  void operator()(const core::SignalOnNode& o) const {
+  void operator()(const job_manager::AskNode& o) const { AddAtNode(o); }
+  void operator()(const job_manager::CommitNode& o) const { AddAtNode(o); }
+  void operator()(const job_manager::AbandonAsk& o) const { AddAtNode(o); }
+  void operator()(const job_manager::StopOnNode& o) const { AddAtNode(o); }
+  void operator()(const job_manager::QueryNode& o) const { AddAtNode(o); }
+  void operator()(const job_manager::SignalOnNode& o) const {
     AddAtNode(o);
     digest->Add(std::string_view(o.signal));
   }
-  void operator()(const core::SyncNode& o) const { digest->Add(o.node); }
-  void operator()(const core::FindKey& o) const {
+  void operator()(const job_manager::SyncNode& o) const { digest->Add(o.node); }
+  void operator()(const job_manager::FindKey& o) const {
     digest->Add(o.node);
     digest->Add(o.job);
     digest->Add(std::string_view(o.key));
   }
-  void operator()(const core::ProbeNode& o) const { digest->Add(o.node); }
-  void operator()(const core::ForgetNode& o) const { digest->Add(o.node); }
-  void operator()(const core::Answered& o) const { digest->Add(o.job); }
-  void operator()(const core::Ended& o) const { digest->Add(o.job); }
-  void operator()(const core::AskList& o) const { digest->Add(o.follow); }
-  void operator()(const core::LogEntry& o) const {
+  void operator()(const job_manager::ProbeNode& o) const { digest->Add(o.node); }
+  void operator()(const job_manager::ForgetNode& o) const { digest->Add(o.node); }
+  void operator()(const job_manager::Answered& o) const { digest->Add(o.job); }
+  void operator()(const job_manager::Ended& o) const { digest->Add(o.job); }
+  void operator()(const job_manager::AskList& o) const { digest->Add(o.follow); }
+  void operator()(const job_manager::LogEntry& o) const {
     digest->Add(o.level);
     digest->Add(o.job);
     digest->Add(o.attempt);
@@ -63,7 +63,7 @@
   }
 };
 
-inline void AddOutput(const core::Output& output, Digest* digest) {
+inline void AddOutput(const job_manager::Output& output, Digest* digest) {
   digest->Add(output.index());
   std::visit(OutputDigester{digest}, output);
 }
