--- a/tests/platform_stand.hpp
+++ b/tests/support/platform_fakes.hpp
@@ -1,7 +1,7 @@
 // Stand-ins for what surrounds the platform's program, on loopback, written from the protocol's pages; a
 // record of what passed on their sockets; and a judge of the five rules over that record alone.
-#ifndef MOUNTFLOW_TESTS_PLATFORM_STAND_HPP_
-#define MOUNTFLOW_TESTS_PLATFORM_STAND_HPP_
+#ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_FAKES_HPP_
+#define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_FAKES_HPP_
 
 #include <functional>
 #include <map>
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
+#include "event_loop/event_loop.hpp"
 #include "http/message.hpp"
-#include "net/loop.hpp"
-#include "platform/machine_wire.hpp"
-#include "platform/owner_wire.hpp"
+#include "platform/client_codec.hpp"
+#include "platform/node_codec.hpp"
 
 namespace mountflow::testing {
 
@@ -35,9 +35,9 @@
 using Record = std::vector<Passed>;
 
 struct JudgeRules {
-  Micros slack = 55'000, drain_grace = 2'050'000, window = 5'000'000, cold = 17'000'000,
+  Micros slack = 55'000, drain_grace_period = 2'050'000, window = 5'000'000, cold = 17'000'000,
          cold_window = 3'000'000, gone = 100'000, release = 8'000'000;
-  std::size_t cold_bears = 12, together_max = 3;
+  std::size_t cold_bears = 12, max_per_domain = 3;
   std::string keyed = "service", spread = "batch";
 };
 
@@ -114,7 +114,7 @@
             breach(2, p.uid, "sent to machines that do not discard repeats");
           }
         }
-        if (machine.cause > 0 && p.at > machine.at + rules.drain_grace)
+        if (machine.cause > 0 && p.at > machine.at + rules.drain_grace_period)
           breach(3, p.uid, "sent to " + p.machine);
         if (machine.started_at != 0 && p.at < machine.started_at + rules.cold) {
           std::vector<Micros>& sent = cold[p.machine];
@@ -128,7 +128,7 @@
           for (const auto& [uid, where] : held) {
             together += asked[uid].service == a->second.service && told[where].cell == machine.cell;
           }
-          if (together > rules.together_max) breach(5, p.uid, "too many of its service in one cell");
+          if (together > rules.max_per_domain) breach(5, p.uid, "too many of its service in one cell");
           held[p.uid] = p.machine;
         }
         out[p.uid] = p.machine;
@@ -158,9 +158,9 @@
 }
 
 // A machine: listens, and answers each set-up as `reply` says. Without one it says yes.
-class StandMachine : public net::Handler {
+class StandMachine : public event_loop::Handler {
  public:
-  StandMachine(net::Loop* loop, std::string name, unsigned cell, Record* record)
+  StandMachine(event_loop::Loop* loop, std::string name, unsigned cell, Record* record)
       : name(std::move(name)), cell(cell), loop_(loop), record_(record) {
     std::string error;
     listener_ = loop_->Listen("127.0.0.1:0", this, &error);
@@ -202,7 +202,7 @@
     return WriteMachineMessage(no);
   }
 
-  void OnAccepted(net::ListenerId, net::ConnId conn, const net::PeerInfo&) override {
+  void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) override {
     ++accepted;
     conns[conn];
     if (reset_new > 0) {
@@ -211,7 +211,7 @@
       loop_->Abort(conn);
     }
   }
-  void OnReceived(net::ConnId conn, std::string_view bytes) override {
+  void OnReceived(event_loop::ConnId conn, std::string_view bytes) override {
     if (silent) return;
     MachineReader& reader = conns[conn];
     reader.Feed(bytes);
@@ -245,14 +245,14 @@
       }
     }
   }
-  void OnClosed(net::ConnId conn, const std::string&) override { conns.erase(conn); }
+  void OnClosed(event_loop::ConnId conn, const std::string&) override { conns.erase(conn); }
 
   std::string name, address;
   unsigned cell;
   std::function<std::string(const MachineMessage&)> reply;
   bool silent = false;
   int reset_new = 0, accepted = 0;
-  std::map<net::ConnId, MachineReader> conns;
+  std::map<event_loop::ConnId, MachineReader> conns;
   std::vector<MachineMessage> set_ups;
   std::vector<Uid> stops;
   std::set<Uid> standing;
@@ -263,15 +263,15 @@
     passed.cause = cause;
     record_->push_back(passed);
   }
-  net::Loop* loop_;
+  event_loop::Loop* loop_;
   Record* record_;
-  net::ListenerId listener_ = 0;
+  event_loop::ListenerId listener_ = 0;
 };
 
 // The change log: numbered events, long poll.
-class StandChangeLog : public net::Handler {
+class StandChangeLog : public event_loop::Handler {
  public:
-  explicit StandChangeLog(net::Loop* loop) : loop_(loop) {
+  explicit StandChangeLog(event_loop::Loop* loop) : loop_(loop) {
     std::string error;
     listener_ = loop_->Listen("127.0.0.1:0", this, &error);
     address = "127.0.0.1:" + std::to_string(loop_->PortOf(listener_));
@@ -288,10 +288,10 @@
     for (const std::string& e : events) all += (all.empty() ? "" : ",") + e;
     return R"({"seq":)" + std::to_string(first + events.size() - 1) + R"(,"results":[)" + all + "]}";
   }
-  void OnAccepted(net::ListenerId, net::ConnId conn, const net::PeerInfo&) override {
+  void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) override {
     readers_.emplace(conn, std::make_unique<http::Reader>(http::Reader::Side::kRequests, 1 << 10));
   }
-  void OnReceived(net::ConnId conn, std::string_view bytes) override {
+  void OnReceived(event_loop::ConnId conn, std::string_view bytes) override {
     http::Reader& reader = *readers_.at(conn);
     reader.Feed(bytes);
     while (!reader.messages().empty()) {
@@ -308,7 +308,7 @@
       }
     }
   }
-  void OnClosed(net::ConnId conn, const std::string&) override {
+  void OnClosed(event_loop::ConnId conn, const std::string&) override {
     waiting_.erase(conn);
     readers_.erase(conn);
   }
@@ -333,7 +333,7 @@
   int cut_next = 0;  // so many replies are cut in the middle
 
  private:
-  void Answer(net::ConnId conn, std::uint64_t since) {
+  void Answer(event_loop::ConnId conn, std::uint64_t since) {
     std::string all;
     for (std::size_t i = since + 1 > first ? since + 1 - first : 0; i < events.size(); ++i) {
       all += (all.empty() ? "" : ",") + events[i];
@@ -350,16 +350,16 @@
     }
     loop_->Send(conn, bytes);
   }
-  net::Loop* loop_;
-  net::ListenerId listener_ = 0;
-  std::map<net::ConnId, std::unique_ptr<http::Reader>> readers_;
-  std::map<net::ConnId, std::uint64_t> waiting_;
+  event_loop::Loop* loop_;
+  event_loop::ListenerId listener_ = 0;
+  std::map<event_loop::ConnId, std::unique_ptr<http::Reader>> readers_;
+  std::map<event_loop::ConnId, std::uint64_t> waiting_;
 };
 
 // Owners: one connection, what was said on it.
-class StandOwner : public net::Handler {
+class StandOwner : public event_loop::Handler {
  public:
-  StandOwner(net::Loop* loop, const std::string& to, Record* record) : loop_(loop), record_(record) {
+  StandOwner(event_loop::Loop* loop, const std::string& to, Record* record) : loop_(loop), record_(record) {
     conn = loop_->Connect(to, this);
   }
   ~StandOwner() override { loop_->Close(conn); }
@@ -409,7 +409,7 @@
     loop_->Close(conn, true);
   }
 
-  void OnReceived(net::ConnId, std::string_view bytes) override {
+  void OnReceived(event_loop::ConnId, std::string_view bytes) override {
     reader_.Feed(bytes);
     OwnerMessage m;
     while (reader_.Next(&m) == OwnerReader::State::kMessage) {
@@ -426,9 +426,9 @@
       }
     }
   }
-  void OnClosed(net::ConnId, const std::string&) override { closed = true; }
+  void OnClosed(event_loop::ConnId, const std::string&) override { closed = true; }
 
-  net::ConnId conn = 0;
+  event_loop::ConnId conn = 0;
   bool closed = false;
   std::set<Uid> mine;
   std::map<Uid, OwnerMessage> final;
@@ -436,11 +436,11 @@
   std::vector<int> tested;
 
  private:
-  net::Loop* loop_;
+  event_loop::Loop* loop_;
   Record* record_;
   OwnerReader reader_;
 };
 
 }  // namespace mountflow::testing
 
-#endif  // MOUNTFLOW_TESTS_PLATFORM_STAND_HPP_
+#endif  // MOUNTFLOW_TESTS_SUPPORT_PLATFORM_FAKES_HPP_
--- a/tests/platform_rig.hpp
+++ b/tests/support/platform_fixture.hpp
@@ -1,6 +1,6 @@
 // A script in place of the sockets, for tests of platform/ under a controlled clock.
-#ifndef MOUNTFLOW_TESTS_PLATFORM_RIG_HPP_
-#define MOUNTFLOW_TESTS_PLATFORM_RIG_HPP_
+#ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_FIXTURE_HPP_
+#define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_FIXTURE_HPP_
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "platform/owners.hpp"
+#include "platform/client_connections.hpp"
 #include "platform/platform_config.hpp"
 #include "tests/support/digest.hpp"
 
@@ -187,4 +187,4 @@
 
 }  // namespace mountflow::testing
 
-#endif  // MOUNTFLOW_TESTS_PLATFORM_RIG_HPP_
+#endif  // MOUNTFLOW_TESTS_SUPPORT_PLATFORM_FIXTURE_HPP_
--- a/tests/platform_whole_rig.hpp
+++ b/tests/support/platform_process_fixture.hpp
@@ -1,6 +1,6 @@
 // The platform's program itself, on loopback among stand-ins: waits on events, never on sleeps.
-#ifndef MOUNTFLOW_TESTS_PLATFORM_WHOLE_RIG_HPP_
-#define MOUNTFLOW_TESTS_PLATFORM_WHOLE_RIG_HPP_
+#ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_PROCESS_FIXTURE_HPP_
+#define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_PROCESS_FIXTURE_HPP_
 
 #include <gtest/gtest.h>
 
@@ -9,8 +9,8 @@
 #include <filesystem>
 #include <fstream>
 
-#include "tests/platform_stand.hpp"
-#include "tests/whole_rig.hpp"
+#include "tests/support/platform_fakes.hpp"
+#include "tests/support/process_fixture.hpp"
 
 namespace mountflow::testing {
 
@@ -130,8 +130,8 @@
    "fall_multiple":2.0},"stats":{"names":["x0","x1","pending","cpu_share"]}}})";
 
   int memory_mb = 32, sockets = 256, cores = 32;
-  net::Loop loop;
-  net::Handler nobody;
+  event_loop::Loop loop;
+  event_loop::Handler nobody;
   Record record;
   StandChangeLog log{&loop};
   std::vector<std::unique_ptr<StandMachine>> machines;
@@ -143,4 +143,4 @@
 
 }  // namespace mountflow::testing
 
-#endif  // MOUNTFLOW_TESTS_PLATFORM_WHOLE_RIG_HPP_
+#endif  // MOUNTFLOW_TESTS_SUPPORT_PLATFORM_PROCESS_FIXTURE_HPP_
--- a/tests/whole_rig.hpp
+++ b/tests/support/process_fixture.hpp
@@ -1,7 +1,7 @@
 // Real programs on loopback sockets for whole-path tests: child processes, a node double that the test
 // scripts message by message, and waiting on events with a generous limit, never on sleeps.
-#ifndef MOUNTFLOW_TESTS_WHOLE_RIG_HPP_
-#define MOUNTFLOW_TESTS_WHOLE_RIG_HPP_
+#ifndef MOUNTFLOW_TESTS_SUPPORT_PROCESS_FIXTURE_HPP_
+#define MOUNTFLOW_TESTS_SUPPORT_PROCESS_FIXTURE_HPP_
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -23,10 +23,10 @@
 #include <string>
 #include <vector>
 
-#include "client/client.hpp"
+#include "discovery/entry.hpp"
 #include "http/message.hpp"
-#include "pbs/protocol.hpp"
-#include "registry/entry.hpp"
+#include "pbs_client/pbs_client.hpp"
+#include "pbs_protocol/protocol.hpp"
 
 namespace mountflow::testing {
 
@@ -198,7 +198,7 @@
  public:
   struct Got {
     int conn = -1;
-    pbs::Request request;
+    pbs_protocol::Request request;
   };
 
   explicit NodeDouble(std::string name) : name_(std::move(name)) {
@@ -216,8 +216,8 @@
     for (auto& [fd, input] : conns_) close(fd);
     close(listener_);
   }
-  core::ListedNode Entry() const {
-    core::ListedNode n;
+  job_manager::ListedNode Entry() const {
+    job_manager::ListedNode n;
     n.name = name_;
     n.address = "127.0.0.1:" + std::to_string(port_);
     n.rack = "rack", n.room = "room-a", n.kind = "small";
@@ -225,7 +225,7 @@
     return n;
   }
   // Waits for the next request of this type that is not answered by itself. Fails the test when none comes.
-  Got WaitFor(pbs::RequestType type) {
+  Got WaitFor(pbs_protocol::RequestType type) {
     const Micros until = Mono() + kLimit;
     for (;;) {
       for (auto it = got_.begin(); it != got_.end(); ++it) {
@@ -243,33 +243,33 @@
   }
   // Takes the next attempt; returns its commit.
   Got SayYes() {
-    Reply(WaitFor(pbs::RequestType::kReadyToCommit));
-    const Got commit = WaitFor(pbs::RequestType::kCommit);
+    Reply(WaitFor(pbs_protocol::RequestType::kReadyToCommit));
+    const Got commit = WaitFor(pbs_protocol::RequestType::kCommit);
     Reply(commit);
     return commit;
   }
-  bool Seen(pbs::RequestType type) const {
+  bool Seen(pbs_protocol::RequestType type) const {
     for (const Got& g : all_) {
       if (g.request.type == type) return true;
     }
     return false;
   }
-  std::size_t Count(pbs::RequestType type) const {
+  std::size_t Count(pbs_protocol::RequestType type) const {
     std::size_t count = 0;
     for (const Got& g : all_) count += g.request.type == type;
     return count;
   }
-  void Reply(const Got& to, pbs::Code code = pbs::Code::kNone, int auxiliary = 0,
+  void Reply(const Got& to, pbs_protocol::Code code = pbs_protocol::Code::kNone, int auxiliary = 0,
              const std::string& text = "") {
-    pbs::Reply r;
+    pbs_protocol::Reply r;
     r.code = code;
     r.auxiliary = auxiliary;
-    if (!text.empty()) r.choice = pbs::Choice::kText, r.text = text;
+    if (!text.empty()) r.choice = pbs_protocol::Choice::kText, r.text = text;
     Send(to.conn, r);
   }
-  void Send(int conn, const pbs::Reply& r) {
+  void Send(int conn, const pbs_protocol::Reply& r) {
     std::string bytes;
-    pbs::Encode(r, &bytes);
+    pbs_protocol::Encode(r, &bytes);
     if (send(conn, bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) return;
   }
   void Cut(const Got& at) {
@@ -288,26 +288,26 @@
     return true;
   }
   // Tells a daemon an end, as a node does.
-  static pbs::Code Report(int batch_port, const std::string& attempt, const std::string& reason, int status,
-                          Micros start = 0, Micros end = 0) {
-    client::Client client;
+  static pbs_protocol::Code Report(int batch_port, const std::string& attempt, const std::string& reason,
+                                   int status, Micros start = 0, Micros end = 0) {
+    pbs_client::Client client;
     std::string error;
-    pbs::Request r;
-    r.type = pbs::RequestType::kJobObit;
+    pbs_protocol::Request r;
+    r.type = pbs_protocol::RequestType::kJobObit;
     r.user = "node@double";
     r.id = attempt;
     r.status = status;
-    r.attributes = {{"end_reason", "", reason, pbs::Op::kSet}};
+    r.attributes = {{"end_reason", "", reason, pbs_protocol::Op::kSet}};
     if (end != 0) {
-      r.attributes.push_back({"start", "", std::to_string(start), pbs::Op::kSet});
-      r.attributes.push_back({"end", "", std::to_string(end), pbs::Op::kSet});
+      r.attributes.push_back({"start", "", std::to_string(start), pbs_protocol::Op::kSet});
+      r.attributes.push_back({"end", "", std::to_string(end), pbs_protocol::Op::kSet});
     }
-    pbs::Reply reply;
+    pbs_protocol::Reply reply;
     EXPECT_TRUE(client.Connect("127.0.0.1:" + std::to_string(batch_port), kLimit, &error)) << error;
     EXPECT_TRUE(client.Call(r, &reply, kLimit, &error)) << error;
     return reply.code;
   }
-  std::vector<pbs::StatusObject> held;  // told when a daemon asks what runs
+  std::vector<pbs_protocol::StatusObject> held;  // told when a daemon asks what runs
 
  private:
   void Pump(int wait_ms) {
@@ -332,19 +332,20 @@
       input.append(buffer, static_cast<std::size_t>(n));
       for (;;) {
         Got got{p.fd, {}};
-        const pbs::Parsed parsed = pbs::Decode(input, &got.request);
-        if (parsed.state != pbs::DisState::kOk) break;
+        const pbs_protocol::Parsed parsed = pbs_protocol::Decode(input, &got.request);
+        if (parsed.state != pbs_protocol::DisState::kOk) break;
         input.erase(0, parsed.used);
         all_.push_back(got);
         const auto type = got.request.type;
-        if (type == pbs::RequestType::kQueueJob || type == pbs::RequestType::kJobScript) {
+        if (type == pbs_protocol::RequestType::kQueueJob || type == pbs_protocol::RequestType::kJobScript) {
           Reply(got);
-        } else if (type == pbs::RequestType::kStatusJob && got.request.id.empty()) {
-          pbs::Reply r;
-          r.choice = pbs::Choice::kStatus;
+        } else if (type == pbs_protocol::RequestType::kStatusJob && got.request.id.empty()) {
+          pbs_protocol::Reply r;
+          r.choice = pbs_protocol::Choice::kStatus;
           r.objects = held;
-          r.objects.insert(r.objects.begin(),
-                           {pbs::ObjectType::kServer, name_, {{"started", "", "0", pbs::Op::kSet}}});
+          r.objects.insert(
+              r.objects.begin(),
+              {pbs_protocol::ObjectType::kServer, name_, {{"started", "", "0", pbs_protocol::Op::kSet}}});
           Send(got.conn, r);
         } else {
           got_.push_back(got);
@@ -364,8 +365,8 @@
   Site() : list_({"mountflow-list", "--listen", "127.0.0.1:0"}) {
     list_port = PortIn(list_.Line(), "ready: ");
   }
-  void Publish(const core::ListedNode& n) {
-    ASSERT_EQ(Http(list_port, "PUT", "/v1/kv/mountflow/nodes/" + n.name, registry::WriteEntry(n)).status,
+  void Publish(const job_manager::ListedNode& n) {
+    ASSERT_EQ(Http(list_port, "PUT", "/v1/kv/mountflow/nodes/" + n.name, discovery::WriteEntry(n)).status,
               200);
   }
   struct Daemon {
@@ -417,42 +418,43 @@
   explicit BatchClient(const Site::Daemon& d, std::string user = "root") : user_(std::move(user)) {
     EXPECT_TRUE(client_.Connect(d.address(), kLimit, &error_)) << error_;
   }
-  pbs::Reply Call(pbs::Request r) {
+  pbs_protocol::Reply Call(pbs_protocol::Request r) {
     r.user = user_;
-    pbs::Reply reply;
+    pbs_protocol::Reply reply;
     EXPECT_TRUE(client_.Call(r, &reply, kLimit, &error_)) << error_;
     return reply;
   }
-  pbs::Reply Call(pbs::RequestType type, const std::string& id = "", const std::string& extension = "") {
-    pbs::Request r;
+  pbs_protocol::Reply Call(pbs_protocol::RequestType type, const std::string& id = "",
+                           const std::string& extension = "") {
+    pbs_protocol::Request r;
     r.type = type;
     r.id = id;
     r.extension = extension;
     return Call(r);
   }
   // The id of a committed job.
-  std::string Submit(const std::string& queue, pbs::Attributes attributes = {}) {
-    pbs::Request r;
-    r.type = pbs::RequestType::kQueueJob;
+  std::string Submit(const std::string& queue, pbs_protocol::Attributes attributes = {}) {
+    pbs_protocol::Request r;
+    r.type = pbs_protocol::RequestType::kQueueJob;
     r.destination = queue;
     r.attributes = std::move(attributes);
-    const pbs::Reply queued = Call(r);
-    EXPECT_EQ(queued.code, pbs::Code::kNone) << queued.text;
-    const pbs::Reply done = Call(pbs::RequestType::kCommit, queued.text);
-    EXPECT_EQ(done.code, pbs::Code::kNone) << done.text;
+    const pbs_protocol::Reply queued = Call(r);
+    EXPECT_EQ(queued.code, pbs_protocol::Code::kNone) << queued.text;
+    const pbs_protocol::Reply done = Call(pbs_protocol::RequestType::kCommit, queued.text);
+    EXPECT_EQ(done.code, pbs_protocol::Code::kNone) << done.text;
     return done.text;
   }
   std::string Attribute(const std::string& id, const std::string& name, const std::string& extension = "") {
-    const pbs::Reply r = Call(pbs::RequestType::kStatusJob, id, extension);
-    return r.objects.empty() ? "" : std::string(pbs::ValueOf(r.objects[0].attributes, name));
+    const pbs_protocol::Reply r = Call(pbs_protocol::RequestType::kStatusJob, id, extension);
+    return r.objects.empty() ? "" : std::string(pbs_protocol::ValueOf(r.objects[0].attributes, name));
   }
   void Close() { client_.Close(); }
 
  private:
-  client::Client client_;
+  pbs_client::Client client_;
   std::string user_, error_;
 };
 
 }  // namespace mountflow::testing
 
-#endif  // MOUNTFLOW_TESTS_WHOLE_RIG_HPP_
+#endif  // MOUNTFLOW_TESTS_SUPPORT_PROCESS_FIXTURE_HPP_
--- a/tests/registry_rig.hpp
+++ b/tests/support/registry_fixture.hpp
@@ -1,60 +1,60 @@
 // A registry client wired to stand-in stores in memory, under a clock of our own, with breaks thrown in.
-#ifndef MOUNTFLOW_TESTS_REGISTRY_RIG_HPP_
-#define MOUNTFLOW_TESTS_REGISTRY_RIG_HPP_
+#ifndef MOUNTFLOW_TESTS_SUPPORT_REGISTRY_FIXTURE_HPP_
+#define MOUNTFLOW_TESTS_SUPPORT_REGISTRY_FIXTURE_HPP_
 
 #include <map>
 #include <memory>
 #include <string>
 #include <vector>
 
-#include "registry/client.hpp"
-#include "registry/etcd_store.hpp"
-#include "registry/store.hpp"
+#include "discovery/client.hpp"
+#include "tools/registry_standin/etcd_store.hpp"
+#include "tools/registry_standin/store.hpp"
 
 namespace mountflow::testing {
 
 inline std::string NodeValue(const std::string& name, double room = 1.0,
-                             MachineState state = MachineState::kReady) {
-  core::ListedNode n;
+                             NodeState state = NodeState::kReady) {
+  job_manager::ListedNode n;
   n.name = name, n.address = "127.0.0.1:1", n.rack = "r", n.room = "x", n.kind = "k";
   n.free_cores = room, n.state = state;
-  return registry::WriteEntry(n);
+  return discovery::WriteEntry(n);
 }
 
 class RegistryRig {
  public:
-  RegistryRig(registry::RegistryKind kind, std::size_t endpoints = 1, unsigned page = 3) {
-    registry::ClientOptions o;
+  RegistryRig(discovery::RegistryKind kind, std::size_t endpoints = 1, unsigned page = 3) {
+    discovery::ClientOptions o;
     o.kind = kind;
     o.page = page;
     o.endpoints.clear();
     for (std::size_t i = 0; i < endpoints; ++i) {
       o.endpoints.push_back("e" + std::to_string(i));
-      etcd.push_back(std::make_unique<registry::EtcdStore>());
-      consul.push_back(std::make_unique<registry::Store>());
+      etcd.push_back(std::make_unique<discovery::EtcdStore>());
+      consul.push_back(std::make_unique<discovery::Store>());
       up.push_back(true);
     }
     options = o;
-    client = std::make_unique<registry::RegistryClient>(o, 5);
+    client = std::make_unique<discovery::RegistryClient>(o, 5);
   }
-  registry::ClientOptions options;
-  std::vector<std::unique_ptr<registry::EtcdStore>> etcd;
-  std::vector<std::unique_ptr<registry::Store>> consul;
+  discovery::ClientOptions options;
+  std::vector<std::unique_ptr<discovery::EtcdStore>> etcd;
+  std::vector<std::unique_ptr<discovery::Store>> consul;
   std::vector<bool> up;
-  std::unique_ptr<registry::RegistryClient> client;
+  std::unique_ptr<discovery::RegistryClient> client;
   Micros now = 1'000'000'000;
   std::size_t deliver =
       ~std::size_t{0};  // bytes of replies that still get through; then the connection is cut
   bool deaf = false;    // replies are lost, and the connection stays
-  std::map<std::string, core::ListedNode> view;
+  std::map<std::string, job_manager::ListedNode> view;
   std::size_t views = 0, full_views = 0;
   std::vector<std::pair<Micros, std::string>> drains;  // when a node was first told as leaving
   std::vector<std::string> complaints;
 
-  bool IsEtcd() const { return options.kind == registry::RegistryKind::kEtcd; }
-  registry::EtcdStore& Etcd() { return *etcd[0]; }
+  bool IsEtcd() const { return options.kind == discovery::RegistryKind::kEtcd; }
+  discovery::EtcdStore& Etcd() { return *etcd[0]; }
   // Writes to all etcd members, or the one consul store, alike.
-  void Put(const std::string& name, double room, MachineState state = MachineState::kReady) {
+  void Put(const std::string& name, double room, NodeState state = NodeState::kReady) {
     const std::string key = options.prefix + name, value = NodeValue(name, room, state);
     if (IsEtcd()) {
       for (auto& e : etcd) e->Put(now, key, value);
@@ -91,7 +91,7 @@
       client->Tick(now);
       for (auto& a : std::exchange(client->actions(), {})) {
         quiet = false;
-        if (const auto* open = std::get_if<registry::OpenTo>(&a)) {
+        if (const auto* open = std::get_if<discovery::OpenTo>(&a)) {
           Forget();
           at_ = static_cast<std::size_t>(std::stoul(open->address.substr(1)));
           if (!up[at_]) {
@@ -101,7 +101,7 @@
           conn_ = ++next_conn_;
           reader_ = std::make_unique<http::Reader>(http::Reader::Side::kRequests, 1 << 20);
           client->Connected(now);
-        } else if (const auto* send = std::get_if<registry::SendData>(&a)) {
+        } else if (const auto* send = std::get_if<discovery::SendData>(&a)) {
           if (!conn_) continue;
           reader_->Feed(send->bytes);
           while (!reader_->messages().empty()) {
@@ -142,10 +142,10 @@
     for (const auto& sent : consul[0]->Take()) {
       http::Reader reader(http::Reader::Side::kReplies, 1 << 24);
       reader.Feed(sent.reply);
-      std::vector<registry::KeyValue> pairs;
+      std::vector<discovery::KeyValue> pairs;
       std::string expected;
       if (reader.messages().front().status == 200)
-        registry::ReadKv(reader.messages().front().body, &pairs, &expected);
+        discovery::ReadKv(reader.messages().front().body, &pairs, &expected);
       for (const auto& kv : pairs) truth[kv.key] = kv.value;
     }
     return truth;
@@ -153,7 +153,7 @@
   // The view, as its nodes' entries.
   std::map<std::string, std::string> Seen() const {
     std::map<std::string, std::string> seen;
-    for (const auto& [name, node] : view) seen[options.prefix + name] = registry::WriteEntry(node);
+    for (const auto& [name, node] : view) seen[options.prefix + name] = discovery::WriteEntry(node);
     return seen;
   }
 
@@ -181,12 +181,12 @@
     }
     return true;
   }
-  void Apply(const core::ListView& v) {
+  void Apply(const job_manager::ListView& v) {
     ++views;
-    if (v.mode == ViewMode::kFull) ++full_views, view.clear();
+    if (v.kind == NodeListKind::kSnapshot) ++full_views, view.clear();
     for (const auto& n : v.nodes) {
-      if (n.state != MachineState::kReady) drains.emplace_back(now, n.name);
-      if (n.state == MachineState::kGone) {
+      if (n.state != NodeState::kReady) drains.emplace_back(now, n.name);
+      if (n.state == NodeState::kGone) {
         view.erase(n.name);
       } else {
         view[n.name] = n;
@@ -200,4 +200,4 @@
 
 }  // namespace mountflow::testing
 
-#endif  // MOUNTFLOW_TESTS_REGISTRY_RIG_HPP_
+#endif  // MOUNTFLOW_TESTS_SUPPORT_REGISTRY_FIXTURE_HPP_
--- a/tests/rig.hpp
+++ b/tests/support/scheduler_fixture.hpp
@@ -1,6 +1,6 @@
 // A hand-fed scheduler for the module tests: events in, actions out, no bench.
-#ifndef MOUNTFLOW_TESTS_RIG_HPP_
-#define MOUNTFLOW_TESTS_RIG_HPP_
+#ifndef MOUNTFLOW_TESTS_SUPPORT_SCHEDULER_FIXTURE_HPP_
+#define MOUNTFLOW_TESTS_SUPPORT_SCHEDULER_FIXTURE_HPP_
 
 #include <cstdint>
 #include <optional>
@@ -18,27 +18,27 @@
 inline Settings Plain() {
   Settings s;
   s.classes.resize(1);
-  s.classes[0].effect = Effect::kSafe;
-  s.classes[0].scope = Scope::kCell;
-  s.classes[0].window = 5 * kSecond;
-  s.classes[0].start_seconds = 10.0;
-  s.kinds = {{40.0, 100.0}};
+  s.classes[0].idempotency = Idempotency::kIdempotent;
+  s.classes[0].deduplication_scope = DeduplicationScope::kRack;
+  s.classes[0].deduplication_window = 5 * kSecond;
+  s.classes[0].start_value_seconds = 10.0;
+  s.node_kinds = {{40.0, 100.0}};
   s.group_size = 2;
   s.self_index = 0;
-  s.lists_free = true;
-  s.placed_at_running = false;
+  s.list_has_free_capacity = true;
+  s.started_means_running = false;
   s.may_cancel = true;
   s.max_attempts = 4;
   s.mean_cores = 1.0;
   s.mean_memory = 2.0;
-  s.owner_wait = 3 * kSecond;
+  s.client_wait = 3 * kSecond;
   s.answer_slack = 8 * kMs;
-  s.drain_grace = 2 * kSecond;
-  s.cold_from = 0.25;
-  s.cold_time = 17 * kSecond;
-  s.fall_multiple = 2.0;
-  s.fall_window = 3 * kSecond;
-  s.cold_offers = 8.0;
+  s.drain_grace_period = 2 * kSecond;
+  s.slow_start_initial_pace = 0.25;
+  s.slow_start_duration = 17 * kSecond;
+  s.overload_multiple = 2.0;
+  s.slow_start_window = 3 * kSecond;
+  s.slow_start_budget = 8.0;
   return s;
 }
 
@@ -49,10 +49,10 @@
   return s;
 }
 
-inline MachineEntry Entry(MachineId id, double free_cores = 40.0, double free_memory = 100.0) {
-  MachineEntry e;
-  e.machine = id;
-  e.cell = id / 10;
+inline NodeEntry Entry(NodeId id, double free_cores = 40.0, double free_memory = 100.0) {
+  NodeEntry e;
+  e.node = id;
+  e.rack = id / 10;
   e.zone = id / 100;
   e.free_cores = free_cores;
   e.free_memory = free_memory;
@@ -70,10 +70,10 @@
     actions.clear();
     scheduler_.Handle(now, event, &actions);
   }
-  void View(std::vector<MachineEntry> machines, ViewMode mode = ViewMode::kFull) {
-    FleetView view;
-    view.mode = mode;
-    view.machines = std::move(machines);
+  void View(std::vector<NodeEntry> machines, NodeListKind mode = NodeListKind::kSnapshot) {
+    NodeListUpdate view;
+    view.kind = mode;
+    view.nodes = std::move(machines);
     Feed(view);
   }
   // A task of one core and two of memory with eight seconds to its deadline.
@@ -89,31 +89,31 @@
     return t;
   }
   RequestId Arrive(const Task& t) {
-    Feed(TaskArrival{t});
+    Feed(TaskSubmitted{t});
     return t.request;
   }
   RequestId Arrive(unsigned task_class = 0, double cores = 1.0, std::uint64_t service = 0) {
     return Arrive(Make(task_class, cores, service));
   }
-  void Place(RequestId request, unsigned attempt, MachineId machine) {
-    Feed(Placement{request, attempt, machine, 0});
+  void Place(RequestId request, unsigned attempt, NodeId machine) {
+    Feed(TaskStarted{request, attempt, machine, 0});
   }
-  void End(RequestId request, unsigned attempt, MachineId machine, Ending ending,
-           Cause cause = Cause::kUntold, bool closed = false) {
-    Outcome o;
+  void End(RequestId request, unsigned attempt, NodeId machine, AttemptResult ending,
+           RejectionReason cause = RejectionReason::kUnspecified, bool closed = false) {
+    AttemptEnded o;
     o.request = request;
     o.attempt = attempt;
-    o.machine = machine;
-    o.ending = ending;
-    o.cause = cause;
-    o.closed = closed;
+    o.node = machine;
+    o.result = ending;
+    o.reason = cause;
+    o.request_closed = closed;
     Feed(o);
   }
   // Sounds the scheduler's own beat until `until`; keeps the actions of all beats.
   void BeatUntil(Micros until) {
     std::vector<Action> all;
     for (; now < until; now += 100 * kMs) {
-      Feed(Alarm{1});
+      Feed(TimerFired{1});
       all.insert(all.end(), actions.begin(), actions.end());
     }
     actions = all;
@@ -132,7 +132,7 @@
     const auto found = All<T>();
     return found.size() == 1 ? std::optional<T>(found[0]) : std::nullopt;
   }
-  bool FinalAnswer() const { return All<Refusal>().size() + All<Failure>().size() > 0; }
+  bool FinalAnswer() const { return All<RejectTask>().size() + All<FailTask>().size() > 0; }
 
  private:
   Scheduler scheduler_;
@@ -141,4 +141,4 @@
 
 }  // namespace mountflow::testing
 
-#endif  // MOUNTFLOW_TESTS_RIG_HPP_
+#endif  // MOUNTFLOW_TESTS_SUPPORT_SCHEDULER_FIXTURE_HPP_
--- a/tests/tls_rig.hpp
+++ b/tests/support/tls_fixture.hpp
@@ -1,6 +1,6 @@
 // Certificates made for a test: a CA and leaves with chosen names and times.
-#ifndef MOUNTFLOW_TESTS_TLS_RIG_HPP_
-#define MOUNTFLOW_TESTS_TLS_RIG_HPP_
+#ifndef MOUNTFLOW_TESTS_SUPPORT_TLS_FIXTURE_HPP_
+#define MOUNTFLOW_TESTS_SUPPORT_TLS_FIXTURE_HPP_
 
 #include <openssl/evp.h>
 #include <openssl/pem.h>
@@ -83,4 +83,4 @@
 
 }  // namespace mountflow::testing
 
-#endif  // MOUNTFLOW_TESTS_TLS_RIG_HPP_
+#endif  // MOUNTFLOW_TESTS_SUPPORT_TLS_FIXTURE_HPP_
--- a/rehearsal/judge.cpp
+++ b/tools/chaos/invariant_checker.cpp
@@ -1,11 +1,11 @@
-#include "rehearsal/judge.hpp"
+#include "tools/chaos/invariant_checker.hpp"
 
 #include <algorithm>
 #include <deque>
 #include <limits>
 #include <set>
 
-namespace mountflow::rehearsal {
+namespace mountflow::chaos {
 namespace {
 
 constexpr Micros kNever = std::numeric_limits<Micros>::max();
@@ -258,7 +258,7 @@
   }
 
   void ColdOffer(const std::string& node, Life& life, const std::string& daemon) {
-    ++verdict_.cold_offers;
+    ++verdict_.slow_start_budget;
     auto& offers = life.offers;
     offers.emplace_back(now_, daemon);
     while (offers.front().first + fall_window_ <= now_) offers.pop_front();
@@ -596,8 +596,8 @@
   text += "), " + std::to_string(v.excused) + " excused; " + std::to_string(v.attempts) + " attempts, " +
           std::to_string(v.accepted) + " accepted, " + std::to_string(v.refused_by_nodes) +
           " refused by nodes; " + std::to_string(v.drains_told) + " leaving nodes told, " +
-          std::to_string(v.cold_lives) + " cold lives with " + std::to_string(v.cold_offers) + " offers, " +
-          std::to_string(v.spread_checks) + " spread checks\n";
+          std::to_string(v.cold_lives) + " cold lives with " + std::to_string(v.slow_start_budget) +
+          " offers, " + std::to_string(v.spread_checks) + " spread checks\n";
   std::map<int, std::size_t> by_rule;
   for (const Breach& b : v.breaches) ++by_rule[b.rule];
   if (v.breaches.empty()) return text + "rules broken: none\n";
@@ -615,4 +615,4 @@
   return text;
 }
 
-}  // namespace mountflow::rehearsal
+}  // namespace mountflow::chaos
--- a/rehearsal/main.cpp
+++ b/tools/chaos/main.cpp
@@ -6,23 +6,23 @@
 #include <cstdlib>
 
 #include "config/config.hpp"
-#include "rehearsal/day.hpp"
-#include "rehearsal/judge.hpp"
-#include "rehearsal/runner.hpp"
+#include "tools/chaos/invariant_checker.hpp"
+#include "tools/chaos/runner.hpp"
+#include "tools/chaos/scenario.hpp"
 
 namespace {
 
 using namespace mountflow;
 
 int JudgeFile(const std::string& file) {
-  std::vector<rehearsal::json> record;
+  std::vector<chaos::json> record;
   std::string error;
-  if (!rehearsal::ReadRecord(file, &record, &error)) {
+  if (!chaos::ReadRecord(file, &record, &error)) {
     std::fprintf(stderr, "mountflow-rehearse: %s\n", error.c_str());
     return 2;
   }
-  const rehearsal::Verdict verdict = rehearsal::Judge(record);
-  std::fputs(rehearsal::Report(verdict).c_str(), stdout);
+  const chaos::Verdict verdict = chaos::Judge(record);
+  std::fputs(chaos::Report(verdict).c_str(), stdout);
   return verdict.clean() ? 0 : verdict.error.empty() ? 1 : 2;
 }
 
@@ -56,7 +56,7 @@
   CLI11_PARSE(app, argc, argv);
   if (!judge.empty()) return JudgeFile(judge);
 
-  std::string text = rehearsal::kDefaultDay, name = "embedded day", error;
+  std::string text = chaos::kDefaultDay, name = "embedded day", error;
   if (!make.empty()) {
     std::vector<std::string> troubles;
     for (std::size_t from = 0; from <= make.size();) {
@@ -64,7 +64,7 @@
       troubles.push_back(make.substr(from, comma - from));
       from = comma + 1;
     }
-    text = rehearsal::MakeDay(troubles, seed == 0 ? 1 : seed, &error);
+    text = chaos::MakeDay(troubles, seed == 0 ? 1 : seed, &error);
     name = "made day";
   } else if (!file.empty()) {
     config::ReadFile(file, &text, &error);
@@ -78,14 +78,14 @@
     std::fputs(text.c_str(), stdout);
     return 0;
   }
-  rehearsal::Day day;
+  chaos::Day day;
   std::vector<std::string> errors;
-  if (!rehearsal::ReadDay(text, name, &day, &errors)) {
+  if (!chaos::ReadDay(text, name, &day, &errors)) {
     for (const std::string& one : errors) std::fprintf(stderr, "mountflow-rehearse: %s\n", one.c_str());
     return 2;
   }
   if (seed != 0) day.seed = seed;
-  rehearsal::RunOptions options;
+  chaos::RunOptions options;
   options.programs = OwnFolder();
   options.daemon = daemon;
   options.quiet = quiet;
@@ -95,7 +95,7 @@
     if (mkdtemp(made) == nullptr) return 2;
     options.folder = made;
   }
-  const rehearsal::RunResult result = rehearsal::Play(day, options);
+  const chaos::RunResult result = chaos::Play(day, options);
   if (!result.ok) {
     std::fprintf(stderr, "mountflow-rehearse: %s\n", result.error.c_str());
     return 2;
--- a/rehearsal/record.cpp
+++ b/tools/chaos/message_log.cpp
@@ -1,8 +1,8 @@
-#include "rehearsal/record.hpp"
+#include "tools/chaos/message_log.hpp"
 
 #include <fstream>
 
-namespace mountflow::rehearsal {
+namespace mountflow::chaos {
 
 Recorder::~Recorder() {
   if (file_ != nullptr) std::fclose(file_);
@@ -46,30 +46,30 @@
   return true;
 }
 
-json Describe(const pbs::Request& r) {
+json Describe(const pbs_protocol::Request& r) {
   json j = {{"type", static_cast<unsigned>(r.type)}};
   if (!r.user.empty()) j["user"] = r.user;
   if (!r.id.empty()) j["id"] = r.id;
   if (!r.destination.empty()) j["queue"] = r.destination;
   if (!r.extension.empty()) j["extension"] = r.extension;
   if (r.status != 0) j["status"] = r.status;
-  for (const pbs::Attribute& a : r.attributes) {
+  for (const pbs_protocol::Attribute& a : r.attributes) {
     if (a.name == "Variable_List" || a.name.size() > 40) continue;  // long, and of no matter here
     j["attributes"][a.resource.empty() ? a.name : a.name + "." + a.resource] = a.value;
   }
   return j;
 }
 
-json Describe(const pbs::Reply& r) {
+json Describe(const pbs_protocol::Reply& r) {
   json j = {{"code", static_cast<int>(r.code)}};
   if (r.auxiliary != 0) j["aux"] = r.auxiliary;
   if (!r.text.empty()) j["text"] = r.text;
   if (!r.ids.empty()) j["ids"] = r.ids;
-  for (const pbs::StatusObject& o : r.objects) {
+  for (const pbs_protocol::StatusObject& o : r.objects) {
     json one = {{"name", o.name}, {"type", static_cast<unsigned>(o.type)}};
     for (const char* name :
          {"job_state", "answer", "comment", "exit_status", "exec_host", "started", "service", "queue"}) {
-      const std::string_view value = pbs::ValueOf(o.attributes, name);
+      const std::string_view value = pbs_protocol::ValueOf(o.attributes, name);
       if (!value.empty()) one[name] = std::string(value);
     }
     j["objects"].push_back(std::move(one));
@@ -77,4 +77,4 @@
   return j;
 }
 
-}  // namespace mountflow::rehearsal
+}  // namespace mountflow::chaos
--- a/rehearsal/record.hpp
+++ b/tools/chaos/message_log.hpp
@@ -7,8 +7,8 @@
 //   list    a node list as a daemon got it: "who", "nodes": {name: [state, started]}
 //   client  a client's own log: "event", "job", ...
 //   event   what the runner did: node_start, node_kill, daemon_start, daemon_kill, ...
-#ifndef MOUNTFLOW_REHEARSAL_RECORD_HPP_
-#define MOUNTFLOW_REHEARSAL_RECORD_HPP_
+#ifndef MOUNTFLOW_TOOLS_CHAOS_MESSAGE_LOG_HPP_
+#define MOUNTFLOW_TOOLS_CHAOS_MESSAGE_LOG_HPP_
 
 #include <cstdio>
 #include <nlohmann/json.hpp>
@@ -16,9 +16,9 @@
 #include <vector>
 
 #include "mountflow/scheduler.hpp"
-#include "pbs/protocol.hpp"
+#include "pbs_protocol/protocol.hpp"
 
-namespace mountflow::rehearsal {
+namespace mountflow::chaos {
 
 using nlohmann::json;
 
@@ -38,9 +38,9 @@
 // Reads a record; false with the line that is wrong.
 bool ReadRecord(const std::string& file, std::vector<json>* lines, std::string* error);
 
-json Describe(const pbs::Request& request);
-json Describe(const pbs::Reply& reply);
+json Describe(const pbs_protocol::Request& request);
+json Describe(const pbs_protocol::Reply& reply);
 
-}  // namespace mountflow::rehearsal
+}  // namespace mountflow::chaos
 
-#endif  // MOUNTFLOW_REHEARSAL_RECORD_HPP_
+#endif  // MOUNTFLOW_TOOLS_CHAOS_MESSAGE_LOG_HPP_
--- a/rehearsal/tap.cpp
+++ b/tools/chaos/recording_proxy.cpp
@@ -1,8 +1,8 @@
-#include "rehearsal/tap.hpp"
+#include "tools/chaos/recording_proxy.hpp"
 
-#include "registry/entry.hpp"
+#include "discovery/entry.hpp"
 
-namespace mountflow::rehearsal {
+namespace mountflow::chaos {
 namespace {
 
 constexpr std::size_t kMostHeld = 8 << 20;  // bytes of one connection; beyond: it is cut
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-Tap::Tap(net::Loop* loop, Recorder* recorder, TapKind kind, std::string who)
+Tap::Tap(event_loop::Loop* loop, Recorder* recorder, TapKind kind, std::string who)
     : loop_(loop), recorder_(recorder), kind_(kind), who_(std::move(who)) {}
 
 Tap::~Tap() = default;
@@ -39,7 +39,7 @@
   return {{"tap", NameOf(kind_)}, {"who", who_}, {"conn", pair.number}};
 }
 
-void Tap::OnAccepted(net::ListenerId, net::ConnId conn, const net::PeerInfo&) {
+void Tap::OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) {
   if (passing_.refuse) return loop_->Abort(conn);
   const std::uint64_t number = ++next_;
   Pair& pair = pairs_[number];
@@ -55,7 +55,7 @@
   if (kind_ != TapKind::kList) recorder_->Write(loop_->Now(), "open", Line(pair));
 }
 
-void Tap::OnReceived(net::ConnId conn, std::string_view bytes) {
+void Tap::OnReceived(event_loop::ConnId conn, std::string_view bytes) {
   const auto of = of_conn_.find(conn);
   if (of == of_conn_.end()) return;
   Pair& pair = pairs_.at(of->second);
@@ -124,10 +124,11 @@
 void Tap::SeeAsks(Pair& pair) {
   std::size_t used = 0;
   for (;;) {
-    pbs::Request request;
-    const pbs::Parsed parsed = pbs::Decode(std::string_view(pair.asked).substr(used), &request);
-    if (parsed.state != pbs::DisState::kOk) {
-      pair.broken = parsed.state == pbs::DisState::kBad;
+    pbs_protocol::Request request;
+    const pbs_protocol::Parsed parsed =
+        pbs_protocol::Decode(std::string_view(pair.asked).substr(used), &request);
+    if (parsed.state != pbs_protocol::DisState::kOk) {
+      pair.broken = parsed.state == pbs_protocol::DisState::kBad;
       break;
     }
     used += parsed.used;
@@ -141,10 +142,11 @@
 void Tap::SeeReplies(Pair& pair) {
   std::size_t used = 0;
   for (;;) {
-    pbs::Reply reply;
-    const pbs::Parsed parsed = pbs::Decode(std::string_view(pair.replied).substr(used), &reply);
-    if (parsed.state != pbs::DisState::kOk) {
-      pair.broken = parsed.state == pbs::DisState::kBad;
+    pbs_protocol::Reply reply;
+    const pbs_protocol::Parsed parsed =
+        pbs_protocol::Decode(std::string_view(pair.replied).substr(used), &reply);
+    if (parsed.state != pbs_protocol::DisState::kOk) {
+      pair.broken = parsed.state == pbs_protocol::DisState::kBad;
       break;
     }
     used += parsed.used;
@@ -160,9 +162,9 @@
   std::string key;
   const json body = json::parse(m.body, nullptr, false);
   if (body.is_object() && m.path == "/v3/kv/range") {
-    registry::FromBase64(body.value("key", ""), &key);
+    discovery::FromBase64(body.value("key", ""), &key);
   } else if (body.is_object() && m.path == "/v3/watch" && body.contains("create_request")) {
-    registry::FromBase64(body["create_request"].value("key", ""), &key);
+    discovery::FromBase64(body["create_request"].value("key", ""), &key);
   }
   const bool of_list = key.compare(0, list_prefix.size(), list_prefix) == 0;
   pair.of_list.push_back(of_list);
@@ -183,13 +185,13 @@
     const bool of_list = pair.of_list.front();
     pair.of_list.pop_front();
     if (!of_list || (reply.status != 200 && reply.status != 404)) continue;
-    std::vector<registry::KeyValue> pairs;
+    std::vector<discovery::KeyValue> pairs;
     std::string expected;
-    registry::EtcdRange range;
-    if (registry::ReadRange(reply.body, &range, &expected) && range.revision != 0) {
-      for (registry::KeyValue& kv : range.pairs) pair.pages.push_back(std::move(kv));
+    discovery::EtcdRange range;
+    if (discovery::ReadRange(reply.body, &range, &expected) && range.revision != 0) {
+      for (discovery::KeyValue& kv : range.pairs) pair.pages.push_back(std::move(kv));
       if (!range.more) TakeList(std::exchange(pair.pages, {}));
-    } else if (reply.status == 404 || registry::ReadKv(reply.body, &pairs, &expected)) {
+    } else if (reply.status == 404 || discovery::ReadKv(reply.body, &pairs, &expected)) {
       TakeList(pairs);
     }
   }
@@ -198,15 +200,15 @@
 void Tap::SeeWatch(Pair& pair) {
   std::size_t from = 0;
   for (std::size_t end; (end = pair.watch.find('\n', from)) != std::string::npos; from = end + 1) {
-    registry::EtcdWatch watch;
+    discovery::EtcdWatch watch;
     std::string expected;
-    if (!registry::ReadWatch(pair.watch.substr(from, end - from), &watch, &expected)) continue;
-    for (const registry::KeyChange& change : watch.events) {
-      core::ListedNode node;
+    if (!discovery::ReadWatch(pair.watch.substr(from, end - from), &watch, &expected)) continue;
+    for (const discovery::KeyChange& change : watch.events) {
+      job_manager::ListedNode node;
       if (change.removed) {
         listed_.erase(change.key);
-      } else if (registry::ReadEntry(change.value, &node, &expected)) {
-        listed_[change.key] = {node.name, node.state == MachineState::kReady ? "ready" : "draining",
+      } else if (discovery::ReadEntry(change.value, &node, &expected)) {
+        listed_[change.key] = {node.name, node.state == NodeState::kReady ? "ready" : "draining",
                                node.started};
       }
     }
@@ -215,13 +217,13 @@
   RecordList();
 }
 
-void Tap::TakeList(const std::vector<registry::KeyValue>& pairs) {
+void Tap::TakeList(const std::vector<discovery::KeyValue>& pairs) {
   listed_.clear();
-  for (const registry::KeyValue& kv : pairs) {
-    core::ListedNode node;
+  for (const discovery::KeyValue& kv : pairs) {
+    job_manager::ListedNode node;
     std::string expected;
-    if (!registry::ReadEntry(kv.value, &node, &expected)) continue;
-    listed_[kv.key] = {node.name, node.state == MachineState::kReady ? "ready" : "draining", node.started};
+    if (!discovery::ReadEntry(kv.value, &node, &expected)) continue;
+    listed_[kv.key] = {node.name, node.state == NodeState::kReady ? "ready" : "draining", node.started};
   }
   RecordList();
 }
@@ -260,7 +262,7 @@
   while (!pairs_.empty()) End(pairs_.begin()->first);
 }
 
-void Tap::OnClosed(net::ConnId conn, const std::string&) {
+void Tap::OnClosed(event_loop::ConnId conn, const std::string&) {
   const auto of = of_conn_.find(conn);
   if (of == of_conn_.end()) return;
   Pair& pair = pairs_.at(of->second);
@@ -277,4 +279,4 @@
   End(pair.number);
 }
 
-}  // namespace mountflow::rehearsal
+}  // namespace mountflow::chaos
--- a/rehearsal/tap.hpp
+++ b/tools/chaos/recording_proxy.hpp
@@ -1,8 +1,8 @@
 // Taps between the parts of a rehearsal: each forwards the bytes of its
 // connections, writes down every message that it sees, and can hold, delay or
 // cut what passes.
-#ifndef MOUNTFLOW_REHEARSAL_TAP_HPP_
-#define MOUNTFLOW_REHEARSAL_TAP_HPP_
+#ifndef MOUNTFLOW_TOOLS_CHAOS_RECORDING_PROXY_HPP_
+#define MOUNTFLOW_TOOLS_CHAOS_RECORDING_PROXY_HPP_
 
 #include <deque>
 #include <functional>
@@ -10,12 +10,12 @@
 #include <memory>
 #include <string>
 
+#include "discovery/etcd.hpp"
+#include "event_loop/event_loop.hpp"
 #include "http/message.hpp"
-#include "net/loop.hpp"
-#include "registry/etcd.hpp"
-#include "rehearsal/record.hpp"
+#include "tools/chaos/message_log.hpp"
 
-namespace mountflow::rehearsal {
+namespace mountflow::chaos {
 
 enum class TapKind { kClient, kNode, kReport, kList };
 
@@ -29,10 +29,10 @@
 };
 inline constexpr Micros kTrickleStep = 20'000;
 
-class Tap : public net::Handler {
+class Tap : public event_loop::Handler {
  public:
   // `who` is the node or daemon at the far end (for kList: the daemon that reads).
-  Tap(net::Loop* loop, Recorder* recorder, TapKind kind, std::string who);
+  Tap(event_loop::Loop* loop, Recorder* recorder, TapKind kind, std::string who);
   ~Tap() override;
   bool Listen(std::string* error);
   std::string address() const;
@@ -46,9 +46,9 @@
   // kList: called with the number of nodes of each list that passed.
   std::function<void(std::size_t)> on_list;
 
-  void OnAccepted(net::ListenerId, net::ConnId conn, const net::PeerInfo&) override;
-  void OnReceived(net::ConnId conn, std::string_view bytes) override;
-  void OnClosed(net::ConnId conn, const std::string& reason) override;
+  void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) override;
+  void OnReceived(event_loop::ConnId conn, std::string_view bytes) override;
+  void OnClosed(event_loop::ConnId conn, const std::string& reason) override;
 
  private:
   struct Chunk {
@@ -57,7 +57,7 @@
   };
   struct Pair {
     std::uint64_t number = 0;
-    net::ConnId down = 0, up = 0;
+    event_loop::ConnId down = 0, up = 0;
     std::string asked, replied;  // not decoded yet
     bool broken = false;         // what passes is no valid protocol any more: only forwarded
     std::deque<Chunk> to_up, to_down;
@@ -65,8 +65,8 @@
     std::unique_ptr<http::Reader> list, list_asks;
     // By request whose reply is to come: whether it is of the list.
     std::deque<bool> of_list;
-    std::vector<registry::KeyValue> pages;  // etcd: of a read that goes on
-    std::string watch;                      // etcd: of a watch's message that goes on
+    std::vector<discovery::KeyValue> pages;  // etcd: of a read that goes on
+    std::string watch;                       // etcd: of a watch's message that goes on
     Micros trickled_at = 0;
   };
   void SeeAsks(Pair& pair);
@@ -74,7 +74,7 @@
   void SeeList(Pair& pair, std::string_view bytes);
   void SeeListAsk(Pair& pair, const http::Message& request);
   void SeeWatch(Pair& pair);
-  void TakeList(const std::vector<registry::KeyValue>& pairs);
+  void TakeList(const std::vector<discovery::KeyValue>& pairs);
   void RecordList();
   void Move(Pair& pair);
   void MoveLater(std::uint64_t number, Micros at);
@@ -82,21 +82,21 @@
   void End(std::uint64_t number);
   json Line(const Pair& pair) const;
 
-  net::Loop* loop_;
+  event_loop::Loop* loop_;
   Recorder* recorder_;
   TapKind kind_;
   std::string who_, upstream_;
-  net::ListenerId listener_ = 0;
+  event_loop::ListenerId listener_ = 0;
   Passing passing_;
   std::map<std::string, json> listed_;  // kList: by key, what the daemon was told: state and start
   std::size_t cut_after_ = 0;           // 0: no cut is due
   json recorded_;                       // as written down last; a new connection writes it down again
   std::map<std::uint64_t, Pair> pairs_;
-  std::map<net::ConnId, std::uint64_t> of_conn_;
+  std::map<event_loop::ConnId, std::uint64_t> of_conn_;
   std::uint64_t next_ = 0;
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
-}  // namespace mountflow::rehearsal
+}  // namespace mountflow::chaos
 
-#endif  // MOUNTFLOW_REHEARSAL_TAP_HPP_
+#endif  // MOUNTFLOW_TOOLS_CHAOS_RECORDING_PROXY_HPP_
--- a/rehearsal/runner.cpp
+++ b/tools/chaos/runner.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/runner.hpp"
+#include "tools/chaos/runner.hpp"
 
 #include <errno.h>
 #include <fcntl.h>
@@ -17,12 +17,12 @@
 #include <sstream>
 
 #include "config/config.hpp"
-#include "net/loop.hpp"
-#include "rehearsal/clients.hpp"
-#include "rehearsal/record.hpp"
-#include "rehearsal/tap.hpp"
+#include "event_loop/event_loop.hpp"
+#include "tools/chaos/message_log.hpp"
+#include "tools/chaos/recording_proxy.hpp"
+#include "tools/chaos/workload.hpp"
 
-namespace mountflow::rehearsal {
+namespace mountflow::chaos {
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
@@ -34,7 +34,7 @@
 // A child process whose first line of output is awaited.
 class Child {
  public:
-  Child(net::Loop* loop, std::string log) : loop_(loop), log_(std::move(log)) {}
+  Child(event_loop::Loop* loop, std::string log) : loop_(loop), log_(std::move(log)) {}
 
   bool Start(const std::vector<std::string>& arguments, std::function<void(const std::string&)> ready,
              std::function<void(int)> ended) {
@@ -86,12 +86,12 @@
   int pid() const { return pid_; }
 
  private:
-  net::Loop* loop_;
+  event_loop::Loop* loop_;
   std::string log_;
   int pid_ = 0;
 };
 
-class Runner : public net::Handler {
+class Runner : public event_loop::Handler {
  public:
   Runner(const Day& day, const RunOptions& options) : day_(day), options_(options), random_(day.seed) {}
 
@@ -108,7 +108,7 @@
   }
 
   // One-shot HTTP requests to controls: what comes back is not awaited.
-  void OnReceived(net::ConnId conn, std::string_view) override { loop_.Close(conn); }
+  void OnReceived(event_loop::ConnId conn, std::string_view) override { loop_.Close(conn); }
 
  private:
   struct NodePart {
@@ -396,7 +396,7 @@
   // ---- Faults ----
 
   void Control(const std::string& address, const std::string& path) {
-    const net::ConnId conn = loop_.Connect(address, this);
+    const event_loop::ConnId conn = loop_.Connect(address, this);
     loop_.Send(conn, http::WriteRequest("PUT", path, {{"Host", "control"}}, ""));
   }
   void ControlNode(const std::string& name, const std::string& verb) {
@@ -595,7 +595,7 @@
   const Day& day_;
   const RunOptions& options_;
   std::mt19937_64 random_;
-  net::Loop loop_;
+  event_loop::Loop loop_;
   Recorder recorder_;
   RunResult result_;
   std::vector<NodePart> nodes_;
@@ -613,4 +613,4 @@
 
 RunResult Play(const Day& day, const RunOptions& options) { return Runner(day, options).Run(); }
 
-}  // namespace mountflow::rehearsal
+}  // namespace mountflow::chaos
--- a/rehearsal/runner.hpp
+++ b/tools/chaos/runner.hpp
@@ -1,13 +1,13 @@
 // Plays a day: starts the programs on free loopback ports with taps between
 // them, drives the clients, throws the faults, writes the record.
-#ifndef MOUNTFLOW_REHEARSAL_RUNNER_HPP_
-#define MOUNTFLOW_REHEARSAL_RUNNER_HPP_
+#ifndef MOUNTFLOW_TOOLS_CHAOS_RUNNER_HPP_
+#define MOUNTFLOW_TOOLS_CHAOS_RUNNER_HPP_
 
 #include <string>
 
-#include "rehearsal/day.hpp"
+#include "tools/chaos/scenario.hpp"
 
-namespace mountflow::rehearsal {
+namespace mountflow::chaos {
 
 struct RunOptions {
   std::string programs;               // folder of mountflowd, mountflow-node, mountflow-list
@@ -25,6 +25,6 @@
 
 RunResult Play(const Day& day, const RunOptions& options);
 
-}  // namespace mountflow::rehearsal
+}  // namespace mountflow::chaos
 
-#endif  // MOUNTFLOW_REHEARSAL_RUNNER_HPP_
+#endif  // MOUNTFLOW_TOOLS_CHAOS_RUNNER_HPP_
--- a/rehearsal/day.cpp
+++ b/tools/chaos/scenario.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/day.hpp"
+#include "tools/chaos/scenario.hpp"
 
 #include <algorithm>
 #include <map>
@@ -6,7 +6,7 @@
 
 #include "config/config.hpp"
 
-namespace mountflow::rehearsal {
+namespace mountflow::chaos {
 namespace {
 
 using nlohmann::json;
@@ -205,4 +205,4 @@
   return root.dump(2) + "\n";
 }
 
-}  // namespace mountflow::rehearsal
+}  // namespace mountflow::chaos
--- a/rehearsal/day.hpp
+++ b/tools/chaos/scenario.hpp
@@ -1,12 +1,12 @@
 // A day to rehearse: JSON with comments, checked against a schema.
-#ifndef MOUNTFLOW_REHEARSAL_DAY_HPP_
-#define MOUNTFLOW_REHEARSAL_DAY_HPP_
+#ifndef MOUNTFLOW_TOOLS_CHAOS_SCENARIO_HPP_
+#define MOUNTFLOW_TOOLS_CHAOS_SCENARIO_HPP_
 
 #include <nlohmann/json.hpp>
 #include <string>
 #include <vector>
 
-namespace mountflow::rehearsal {
+namespace mountflow::chaos {
 
 struct Load {
   std::string queue;
@@ -56,6 +56,6 @@
 
 extern const char kDefaultDay[];  // the embedded rough day
 
-}  // namespace mountflow::rehearsal
+}  // namespace mountflow::chaos
 
-#endif  // MOUNTFLOW_REHEARSAL_DAY_HPP_
+#endif  // MOUNTFLOW_TOOLS_CHAOS_SCENARIO_HPP_
--- a/rehearsal/clients.cpp
+++ b/tools/chaos/workload.cpp
@@ -1,23 +1,23 @@
-#include "rehearsal/clients.hpp"
+#include "tools/chaos/workload.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace mountflow::rehearsal {
+namespace mountflow::chaos {
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kPatience = 2 * kSecond;  // beyond its deadline, before a client calls an answer missing
 const char kUser[] = "root";
 
-std::string Bytes(const pbs::Request& request) {
+std::string Bytes(const pbs_protocol::Request& request) {
   std::string bytes;
-  pbs::Encode(request, &bytes);
+  pbs_protocol::Encode(request, &bytes);
   return bytes;
 }
 
-pbs::Request Make(pbs::RequestType type, const std::string& id = "") {
-  pbs::Request r;
+pbs_protocol::Request Make(pbs_protocol::RequestType type, const std::string& id = "") {
+  pbs_protocol::Request r;
   r.type = type;
   r.user = kUser;
   r.id = id;
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-Clients::Clients(net::Loop* loop, Recorder* recorder, std::vector<std::string> daemons,
+Clients::Clients(event_loop::Loop* loop, Recorder* recorder, std::vector<std::string> daemons,
                  std::map<std::string, Micros> limits, std::uint64_t seed)
     : loop_(loop),
       recorder_(recorder),
@@ -93,10 +93,10 @@
   c.id.clear();
   c.conn = loop_->Connect(daemons_[c.daemon], this);
   of_conn_[c.conn] = c.number;
-  pbs::Request queue = Make(pbs::RequestType::kQueueJob);
+  pbs_protocol::Request queue = Make(pbs_protocol::RequestType::kQueueJob);
   queue.destination = c.load.queue;
   const auto put = [&queue](const char* name, std::string value, const char* resource = "") {
-    queue.attributes.push_back({name, resource, std::move(value), pbs::Op::kSet});
+    queue.attributes.push_back({name, resource, std::move(value), pbs_protocol::Op::kSet});
   };
   put("Job_Name", c.service);
   put("service", c.service);
@@ -111,10 +111,10 @@
     put("repeat", "true");
     put("earlier_until", std::to_string(c.earlier_until));
   }
-  pbs::Request script = Make(pbs::RequestType::kJobScript);
+  pbs_protocol::Request script = Make(pbs_protocol::RequestType::kJobScript);
   script.script = "true\n";
   c.replies = 3;
-  loop_->Send(c.conn, Bytes(queue) + Bytes(script) + Bytes(Make(pbs::RequestType::kReadyToCommit)));
+  loop_->Send(c.conn, Bytes(queue) + Bytes(script) + Bytes(Make(pbs_protocol::RequestType::kReadyToCommit)));
   const std::uint64_t number = c.number;
   const unsigned try_number = c.tries;
   if (c.load.retry_after > 0.0 && !c.key.empty()) {
@@ -138,14 +138,14 @@
   c.input.clear();
   c.conn = loop_->Connect(daemons_[c.daemon], this);
   of_conn_[c.conn] = c.number;
-  pbs::Request status = Make(pbs::RequestType::kStatusJob, c.id);
+  pbs_protocol::Request status = Make(pbs_protocol::RequestType::kStatusJob, c.id);
   status.extension = "wait=answer";
   loop_->Send(c.conn, Bytes(status));
 }
 
-void Clients::OnConnected(net::ConnId) {}
+void Clients::OnConnected(event_loop::ConnId) {}
 
-void Clients::OnReceived(net::ConnId conn, std::string_view bytes) {
+void Clients::OnReceived(event_loop::ConnId conn, std::string_view bytes) {
   const auto of = of_conn_.find(conn);
   if (of == of_conn_.end()) return;
   const std::uint64_t number = of->second;
@@ -153,36 +153,36 @@
   for (;;) {
     const auto it = jobs_.find(number);
     if (it == jobs_.end() || it->second.conn != conn) return;
-    pbs::Reply reply;
-    const pbs::Parsed parsed = pbs::Decode(it->second.input, &reply);
-    if (parsed.state != pbs::DisState::kOk) return;
+    pbs_protocol::Reply reply;
+    const pbs_protocol::Parsed parsed = pbs_protocol::Decode(it->second.input, &reply);
+    if (parsed.state != pbs_protocol::DisState::kOk) return;
     it->second.input.erase(0, parsed.used);
     Handle(it->second, reply);
   }
 }
 
-void Clients::Handle(Client& c, const pbs::Reply& reply) {
-  if (reply.code == pbs::Code::kExists && c.step != Step::kAnswer && !reply.text.empty()) {
+void Clients::Handle(Client& c, const pbs_protocol::Reply& reply) {
+  if (reply.code == pbs_protocol::Code::kExists && c.step != Step::kAnswer && !reply.text.empty()) {
     // An earlier try was taken: its answer is the one.
     c.id = reply.text;
     c.replies = 0;
     Log(c, "exists", json::object());
-  } else if (reply.code != pbs::Code::kNone) {
+  } else if (reply.code != pbs_protocol::Code::kNone) {
     return Finish(c.number, "rejected", "rejected",
-                  reply.text.empty() ? pbs::Describe(reply.code) : reply.text);
+                  reply.text.empty() ? pbs_protocol::Describe(reply.code) : reply.text);
   } else if (c.step == Step::kQueue) {
-    if (reply.choice == pbs::Choice::kQueued) c.id = reply.text;
+    if (reply.choice == pbs_protocol::Choice::kQueued) c.id = reply.text;
     if (--c.replies > 0) return;
     c.step = Step::kCommit;
     Log(c, "commit", json::object());
-    loop_->Send(c.conn, Bytes(Make(pbs::RequestType::kCommit, c.id)));
+    loop_->Send(c.conn, Bytes(Make(pbs_protocol::RequestType::kCommit, c.id)));
     return;
   } else if (c.step == Step::kCommit) {
     Log(c, "taken", json::object());
   } else {
     if (reply.objects.empty()) return Finish(c.number, "rejected", "rejected", "empty status");
-    const std::string answer(pbs::ValueOf(reply.objects[0].attributes, "answer"));
-    const std::string comment(pbs::ValueOf(reply.objects[0].attributes, "comment"));
+    const std::string answer(pbs_protocol::ValueOf(reply.objects[0].attributes, "answer"));
+    const std::string comment(pbs_protocol::ValueOf(reply.objects[0].attributes, "comment"));
     if (answer == "placed") {
       running_.push_back(
           {c.id, c.daemon, c.load, c.service, loop_->Now() + static_cast<Micros>(std::stod(c.life) * 1e6)});
@@ -190,7 +190,7 @@
     return Finish(c.number, "answer", answer.empty() ? "none" : answer, comment);
   }
   c.step = Step::kAnswer;
-  pbs::Request status = Make(pbs::RequestType::kStatusJob, c.id);
+  pbs_protocol::Request status = Make(pbs_protocol::RequestType::kStatusJob, c.id);
   status.extension = "wait=answer";
   loop_->Send(c.conn, Bytes(status));
   if (c.cancel) {
@@ -203,8 +203,8 @@
 }
 
 void Clients::Delete(std::size_t daemon, const std::string& id) {
-  const net::ConnId conn = loop_->Connect(daemons_[daemon], this);
-  pbs::Request r = Make(pbs::RequestType::kDeleteJob, id);
+  const event_loop::ConnId conn = loop_->Connect(daemons_[daemon], this);
+  pbs_protocol::Request r = Make(pbs_protocol::RequestType::kDeleteJob, id);
   r.command = 1;
   loop_->Send(conn, Bytes(r));
   loop_->At(loop_->Now() + kSecond, [this, conn] { loop_->Close(conn, true); });
@@ -236,7 +236,7 @@
   Try(c);
 }
 
-void Clients::OnClosed(net::ConnId conn, const std::string& reason) {
+void Clients::OnClosed(event_loop::ConnId conn, const std::string& reason) {
   const auto of = of_conn_.find(conn);
   if (of == of_conn_.end()) return;
   const std::uint64_t number = of->second;
@@ -281,18 +281,18 @@
 void Clients::CancelSome(int count) { to_cancel_ += count; }
 
 void Clients::GoneBeforeCommit() {
-  const net::ConnId conn = loop_->Connect(daemons_[0], this);
-  pbs::Request queue = Make(pbs::RequestType::kQueueJob);
+  const event_loop::ConnId conn = loop_->Connect(daemons_[0], this);
+  pbs_protocol::Request queue = Make(pbs_protocol::RequestType::kQueueJob);
   queue.destination = load_[0].queue;
-  queue.attributes.push_back({"Job_Name", "", "gone-before-commit", pbs::Op::kSet});
-  loop_->Send(conn, Bytes(queue) + Bytes(Make(pbs::RequestType::kReadyToCommit)));
+  queue.attributes.push_back({"Job_Name", "", "gone-before-commit", pbs_protocol::Op::kSet});
+  loop_->Send(conn, Bytes(queue) + Bytes(Make(pbs_protocol::RequestType::kReadyToCommit)));
   loop_->At(loop_->Now() + 50'000, [this, conn] { loop_->Abort(conn); });
 }
 
 void Clients::HalfFrame() {
-  const net::ConnId conn = loop_->Connect(daemons_[0], this);
+  const event_loop::ConnId conn = loop_->Connect(daemons_[0], this);
   loop_->Send(conn, "+2+1+1+4root+0+7serv");
   loop_->At(loop_->Now() + 300'000, [this, conn] { loop_->Abort(conn); });
 }
 
-}  // namespace mountflow::rehearsal
+}  // namespace mountflow::chaos
--- a/rehearsal/clients.hpp
+++ b/tools/chaos/workload.hpp
@@ -1,8 +1,8 @@
 // The batch clients of a rehearsal: each job is submitted over a connection of
 // its own, its answer awaited there; keyed ones are asked for again, at the next
 // daemon, when no reply comes. Everything goes into the clients' log.
-#ifndef MOUNTFLOW_REHEARSAL_CLIENTS_HPP_
-#define MOUNTFLOW_REHEARSAL_CLIENTS_HPP_
+#ifndef MOUNTFLOW_TOOLS_CHAOS_WORKLOAD_HPP_
+#define MOUNTFLOW_TOOLS_CHAOS_WORKLOAD_HPP_
 
 #include <map>
 #include <memory>
@@ -10,17 +10,17 @@
 #include <string>
 #include <vector>
 
-#include "net/loop.hpp"
-#include "pbs/protocol.hpp"
-#include "rehearsal/day.hpp"
-#include "rehearsal/record.hpp"
+#include "event_loop/event_loop.hpp"
+#include "pbs_protocol/protocol.hpp"
+#include "tools/chaos/message_log.hpp"
+#include "tools/chaos/scenario.hpp"
 
-namespace mountflow::rehearsal {
+namespace mountflow::chaos {
 
-class Clients : public net::Handler {
+class Clients : public event_loop::Handler {
  public:
   // `daemons`: addresses of the client taps. `limits`: how long an owner waits, by queue.
-  Clients(net::Loop* loop, Recorder* recorder, std::vector<std::string> daemons,
+  Clients(event_loop::Loop* loop, Recorder* recorder, std::vector<std::string> daemons,
           std::map<std::string, Micros> limits, std::uint64_t seed);
 
   void Start(const std::vector<Load>& load, Micros until);
@@ -35,9 +35,9 @@
   std::uint64_t submitted() const { return submitted_; }
   const std::map<std::string, std::uint64_t>& answers() const { return answers_; }
 
-  void OnConnected(net::ConnId conn) override;
-  void OnReceived(net::ConnId conn, std::string_view bytes) override;
-  void OnClosed(net::ConnId conn, const std::string& reason) override;
+  void OnConnected(event_loop::ConnId conn) override;
+  void OnReceived(event_loop::ConnId conn, std::string_view bytes) override;
+  void OnClosed(event_loop::ConnId conn, const std::string& reason) override;
 
  private:
   enum class Step { kQueue, kCommit, kAnswer };
@@ -47,7 +47,7 @@
     std::size_t shape = 0;
     std::string service, key, life;
     std::size_t daemon = 0;
-    net::ConnId conn = 0;
+    event_loop::ConnId conn = 0;
     Step step = Step::kQueue;
     unsigned replies = 0;
     std::string id, input;
@@ -66,13 +66,13 @@
   void Submit(const Load& load, const std::string& service);
   void Try(Client& client);
   void AskForAnswer(Client& client);  // of a job that was committed, or may be
-  void Handle(Client& client, const pbs::Reply& reply);
+  void Handle(Client& client, const pbs_protocol::Reply& reply);
   void Finish(std::uint64_t number, const char* event, const std::string& answer, const std::string& text);
   void Retry(Client& client, const std::string& why);
   void Delete(std::size_t daemon, const std::string& id);
   void Log(const Client& client, const char* event, json more);
 
-  net::Loop* loop_;
+  event_loop::Loop* loop_;
   Recorder* recorder_;
   std::vector<std::string> daemons_;
   std::map<std::string, Micros> limits_;
@@ -81,12 +81,12 @@
   double rate_ = 1.0;
   std::uint64_t next_ = 0, submitted_ = 0;
   std::map<std::uint64_t, Client> jobs_;
-  std::map<net::ConnId, std::uint64_t> of_conn_;
+  std::map<event_loop::ConnId, std::uint64_t> of_conn_;
   std::vector<Running> running_;
   std::map<std::string, std::uint64_t> answers_;
   int to_cancel_ = 0;
 };
 
-}  // namespace mountflow::rehearsal
+}  // namespace mountflow::chaos
 
-#endif  // MOUNTFLOW_REHEARSAL_CLIENTS_HPP_
+#endif  // MOUNTFLOW_TOOLS_CHAOS_WORKLOAD_HPP_
--- a/fuzz/fuzz_main.cpp
+++ b/tools/fuzz/fuzz_main.cpp
@@ -2,7 +2,7 @@
 #include <cstddef>
 #include <cstdint>
 
-#include "fuzz/targets.hpp"
+#include "tools/fuzz/targets.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   mountflow::fuzz::MOUNTFLOW_FUZZ_TARGET(std::string_view(reinterpret_cast<const char*>(data), size));
--- a/fuzz/targets.cpp
+++ b/tools/fuzz/targets.cpp
@@ -1,17 +1,17 @@
-#include "fuzz/targets.hpp"
+#include "tools/fuzz/targets.hpp"
 
 #include <cstdio>
 #include <cstdlib>
 #include <string>
 
-#include "batch/front.hpp"
-#include "commands/directives.hpp"
+#include "cli/directives.hpp"
 #include "config/config.hpp"
+#include "discovery/entry.hpp"
 #include "http/message.hpp"
-#include "pbs/protocol.hpp"
-#include "platform/machine_wire.hpp"
-#include "platform/owner_wire.hpp"
-#include "registry/entry.hpp"
+#include "pbs_protocol/protocol.hpp"
+#include "pbs_server/pbs_server.hpp"
+#include "platform/client_codec.hpp"
+#include "platform/node_codec.hpp"
 
 namespace mountflow::fuzz {
 namespace {
@@ -25,38 +25,41 @@
 template <typename Message>
 void ReadAndWriteBack(std::string_view bytes) {
   Message read;
-  const pbs::Parsed parsed = pbs::Decode(bytes, &read);
-  if (parsed.state == pbs::DisState::kMore) Must(parsed.needs > bytes.size(), "more is needed than is there");
-  if (parsed.state == pbs::DisState::kBad) Must(!parsed.expected.empty(), "what was expected is named");
-  if (parsed.state != pbs::DisState::kOk) return;
+  const pbs_protocol::Parsed parsed = pbs_protocol::Decode(bytes, &read);
+  if (parsed.state == pbs_protocol::DisState::kMore)
+    Must(parsed.needs > bytes.size(), "more is needed than is there");
+  if (parsed.state == pbs_protocol::DisState::kBad)
+    Must(!parsed.expected.empty(), "what was expected is named");
+  if (parsed.state != pbs_protocol::DisState::kOk) return;
   Must(parsed.used <= bytes.size(), "no more was used than is there");
   std::string written;
-  pbs::Encode(read, &written);
+  pbs_protocol::Encode(read, &written);
   Message again;
-  Must(pbs::Decode(written, &again).state == pbs::DisState::kOk, "what was written can be read");
+  Must(pbs_protocol::Decode(written, &again).state == pbs_protocol::DisState::kOk,
+       "what was written can be read");
   Must(again == read, "and is the same");
 }
 
 }  // namespace
 
 void Dis(std::string_view bytes) {
-  ReadAndWriteBack<pbs::Request>(bytes);
-  ReadAndWriteBack<pbs::Reply>(bytes);
+  ReadAndWriteBack<pbs_protocol::Request>(bytes);
+  ReadAndWriteBack<pbs_protocol::Reply>(bytes);
 }
 
 void Front(std::string_view bytes) {
-  core::CoreOptions options;
+  job_manager::JobManagerOptions options;
   options.classes = {"a", "b"};
   options.hard_limits = {8'000'000, 8'000'000};
   options.settings.classes.resize(2);
-  options.settings.kinds = {{8.0, 8.0}};
+  options.settings.node_kinds = {{8.0, 8.0}};
   options.limits.jobs = 100;
-  core::Core core(options, 1, 1'000'000'000);
-  batch::FrontOptions front_options;
+  job_manager::JobManager core(options, 1, 1'000'000'000);
+  pbs_server::FrontOptions front_options;
   front_options.words.queues = options.classes;
   front_options.words.default_queue = "a";
   front_options.most_script = 1000;
-  batch::Front front(&core, front_options);
+  pbs_server::Front front(&core, front_options);
   front.Open(1, {});
   const std::size_t piece = bytes.empty() ? 1 : 1 + static_cast<unsigned char>(bytes[0]);
   std::size_t replied = 0;
@@ -69,8 +72,8 @@
   core.Tick(1'000'000'000 + 600'000'000);
   front.Tick(1'000'000'000 + 3'600'000'000);
   // Every job that was taken has its answer by now: there is no node.
-  core.ForEach(0, [](const core::Job& job) {
-    Must(job.answer != core::Answer::kNone || !job.spec->hold.empty() || job.spec->due != 0,
+  core.ForEach(0, [](const job_manager::Job& job) {
+    Must(job.answer != job_manager::Answer::kNone || !job.spec->hold.empty() || job.spec->due != 0,
          "a taken job is answered");
     return true;
   });
@@ -96,7 +99,7 @@
   const std::size_t line = bytes.find('\n');
   const std::string_view prefix = line == std::string_view::npos ? "#PBS" : bytes.substr(0, line);
   const auto read =
-      commands::ReadDirectives(line == std::string_view::npos ? bytes : bytes.substr(line + 1), prefix);
+      cli::ReadDirectives(line == std::string_view::npos ? bytes : bytes.substr(line + 1), prefix);
   Must(!prefix.empty() || read.arguments.empty(), "without a prefix there are no directives");
 }
 
@@ -107,16 +110,17 @@
 }
 
 void Entry(std::string_view bytes) {
-  core::ListedNode node, again;
+  job_manager::ListedNode node, again;
   std::string expected;
-  if (registry::ReadEntry(bytes, &node, &expected)) {
-    Must(registry::ReadEntry(registry::WriteEntry(node), &again, &expected), "what was written can be read");
+  if (discovery::ReadEntry(bytes, &node, &expected)) {
+    Must(discovery::ReadEntry(discovery::WriteEntry(node), &again, &expected),
+         "what was written can be read");
     Must(again.name == node.name && again.started == node.started, "and is the same");
   } else {
     Must(!expected.empty(), "what was expected is named");
   }
-  std::vector<registry::KeyValue> pairs;
-  if (!registry::ReadKv(bytes, &pairs, &expected)) Must(!expected.empty(), "what was expected is named");
+  std::vector<discovery::KeyValue> pairs;
+  if (!discovery::ReadKv(bytes, &pairs, &expected)) Must(!expected.empty(), "what was expected is named");
 }
 
 namespace {
--- a/fuzz/targets.hpp
+++ b/tools/fuzz/targets.hpp
@@ -1,6 +1,6 @@
 // The entry points that are fuzzed. Each takes any bytes, must not crash, and checks what must hold for them.
-#ifndef MOUNTFLOW_FUZZ_TARGETS_HPP_
-#define MOUNTFLOW_FUZZ_TARGETS_HPP_
+#ifndef MOUNTFLOW_TOOLS_FUZZ_TARGETS_HPP_
+#define MOUNTFLOW_TOOLS_FUZZ_TARGETS_HPP_
 
 #include <ostream>
 #include <string_view>
@@ -28,4 +28,4 @@
 
 }  // namespace mountflow::fuzz
 
-#endif  // MOUNTFLOW_FUZZ_TARGETS_HPP_
+#endif  // MOUNTFLOW_TOOLS_FUZZ_TARGETS_HPP_
--- a/loadtool/figures.cpp
+++ b/tools/load_generator/figures.cpp
@@ -1,10 +1,10 @@
-#include "loadtool/figures.hpp"
+#include "tools/load_generator/figures.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 
-namespace mountflow::loadtool {
+namespace mountflow::load_generator {
 namespace {
 
 constexpr std::size_t kMostSeconds = 100'000;
@@ -272,4 +272,4 @@
   return svg + "</svg>\n";
 }
 
-}  // namespace mountflow::loadtool
+}  // namespace mountflow::load_generator
--- a/loadtool/figures.hpp
+++ b/tools/load_generator/figures.hpp
@@ -3,8 +3,8 @@
 //
 // Delays are counted from when a job was due, and belong to the second in which it was
 // due. Histograms have 100 bins a factor of ten (a figure is within 2.4%), from 1 us.
-#ifndef MOUNTFLOW_LOADTOOL_FIGURES_HPP_
-#define MOUNTFLOW_LOADTOOL_FIGURES_HPP_
+#ifndef MOUNTFLOW_TOOLS_LOAD_GENERATOR_FIGURES_HPP_
+#define MOUNTFLOW_TOOLS_LOAD_GENERATOR_FIGURES_HPP_
 
 #include <boost/histogram.hpp>
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 #include "mountflow/scheduler.hpp"
 
-namespace mountflow::loadtool {
+namespace mountflow::load_generator {
 
 class Delays {
  public:
@@ -78,6 +78,6 @@
   std::map<std::string, double> cpu_;  // microseconds, at cpu_at_
 };
 
-}  // namespace mountflow::loadtool
+}  // namespace mountflow::load_generator
 
-#endif  // MOUNTFLOW_LOADTOOL_FIGURES_HPP_
+#endif  // MOUNTFLOW_TOOLS_LOAD_GENERATOR_FIGURES_HPP_
--- a/loadtool/main.cpp
+++ b/tools/load_generator/main.cpp
@@ -16,15 +16,15 @@
 #include <nlohmann/json.hpp>
 #include <queue>
 
-#include "loadtool/figures.hpp"
-#include "loadtool/plan.hpp"
-#include "net/loop.hpp"
-#include "pbs/protocol.hpp"
+#include "event_loop/event_loop.hpp"
+#include "pbs_protocol/protocol.hpp"
+#include "tools/load_generator/figures.hpp"
+#include "tools/load_generator/plan.hpp"
 
 namespace {
 
 using namespace mountflow;
-using loadtool::End;
+using load_generator::End;
 
 constexpr Micros kSecond = 1'000'000;
 constexpr std::size_t kMostWords = 16;    // of refusals, counted apart
@@ -34,7 +34,7 @@
 constexpr std::size_t kMostDue = 2'000'000;  // jobs due that wait for a connection; beyond: broken
 constexpr Micros kPatience = 30 * kSecond;   // after the end of the plan; what is open then is broken
 
-class Load : public net::Handler {
+class Load : public event_loop::Handler {
  public:
   std::vector<std::string> addresses;
   std::string queue = "batch", life = "0.001", ncpus = "0.01", mem = "1mb", again = "no";
@@ -46,7 +46,7 @@
   int Run() {
     std::string expected;
     if (rates.empty()) rates = std::to_string(rate) + "x" + std::to_string(seconds);
-    if (!loadtool::Plan::Parse(rates, &plan_, &expected)) {
+    if (!load_generator::Plan::Parse(rates, &plan_, &expected)) {
       std::fprintf(stderr, "mountflow-load: --rates: expected %s\n", expected.c_str());
       return 2;
     }
@@ -54,31 +54,32 @@
     begin_ = loop_.Now() + 200'000;
     end_ = begin_ + static_cast<Micros>(plan_.seconds() * 1e6);
     owner_ = static_cast<Micros>(owner_time * 1e6);
-    figures_ = std::make_unique<loadtool::Figures>(begin_);
+    figures_ = std::make_unique<load_generator::Figures>(begin_);
     loop_.SetAfterTurn([this] { Pump(); });
     loop_.SetMainTimer(begin_, [] {});
     loop_.Run();
     return Report() ? 0 : 1;
   }
 
-  void OnConnected(net::ConnId id) override {
+  void OnConnected(event_loop::ConnId id) override {
     conns_.at(id).open = true;
     free_.push_back(id);
   }
-  void OnReceived(net::ConnId id, std::string_view bytes) override {
+  void OnReceived(event_loop::ConnId id, std::string_view bytes) override {
     Conn& c = conns_.at(id);
     c.input.append(bytes);
     std::size_t used = 0;
     for (;;) {
-      pbs::Reply reply;
-      const pbs::Parsed parsed = pbs::Decode(std::string_view(c.input).substr(used), &reply);
-      if (parsed.state != pbs::DisState::kOk) break;
+      pbs_protocol::Reply reply;
+      const pbs_protocol::Parsed parsed =
+          pbs_protocol::Decode(std::string_view(c.input).substr(used), &reply);
+      if (parsed.state != pbs_protocol::DisState::kOk) break;
       used += parsed.used;
       Take(id, c, reply);
     }
     c.input.erase(0, used);
   }
-  void OnClosed(net::ConnId id, const std::string& reason) override {
+  void OnClosed(event_loop::ConnId id, const std::string& reason) override {
     Conn c = std::move(conns_.at(id));
     conns_.erase(id);
     std::erase(free_, id);
@@ -108,22 +109,22 @@
   };
 
   void Connect(std::size_t address) {
-    const net::ConnId id = loop_.NewId();
+    const event_loop::ConnId id = loop_.NewId();
     conns_[id].address = address;
     loop_.Connect(addresses[address], this, id);
   }
 
-  static void Put(pbs::RequestType type, const std::string& id, const std::string& extension,
+  static void Put(pbs_protocol::RequestType type, const std::string& id, const std::string& extension,
                   std::string* out) {
-    pbs::Request r;
+    pbs_protocol::Request r;
     r.type = type;
     r.user = "root";
     r.id = id;
     r.extension = extension;
-    pbs::Encode(r, out);
+    pbs_protocol::Encode(r, out);
   }
 
-  void Start(net::ConnId id, Owner job) {
+  void Start(event_loop::ConnId id, Owner job) {
     Conn& c = conns_.at(id);
     ++job.asks;
     c.job = job;
@@ -132,33 +133,34 @@
     c.step = 0;
     c.wait = 0;
     std::string bytes;
-    pbs::Request r;
-    r.type = pbs::RequestType::kQueueJob;
+    pbs_protocol::Request r;
+    r.type = pbs_protocol::RequestType::kQueueJob;
     r.user = "root";
     r.destination = queue;
-    r.attributes = {{"Job_Name", "", "load", pbs::Op::kSet},
-                    {"service", "", "load-" + std::to_string(named_++ % 100), pbs::Op::kSet},
-                    {"Resource_List", "ncpus", ncpus, pbs::Op::kSet},
-                    {"Resource_List", "mem", mem, pbs::Op::kSet},
-                    {"life", "", life, pbs::Op::kSet}};
+    r.attributes = {{"Job_Name", "", "load", pbs_protocol::Op::kSet},
+                    {"service", "", "load-" + std::to_string(named_++ % 100), pbs_protocol::Op::kSet},
+                    {"Resource_List", "ncpus", ncpus, pbs_protocol::Op::kSet},
+                    {"Resource_List", "mem", mem, pbs_protocol::Op::kSet},
+                    {"life", "", life, pbs_protocol::Op::kSet}};
     if (owner_ != 0) {
-      r.attributes.push_back({"owner_deadline", "", std::to_string(job.due + owner_), pbs::Op::kSet});
+      r.attributes.push_back(
+          {"owner_deadline", "", std::to_string(job.due + owner_), pbs_protocol::Op::kSet});
     }
-    if (held > 0) r.attributes.push_back({"Hold_Types", "", "u", pbs::Op::kSet});
-    pbs::Encode(r, &bytes);
+    if (held > 0) r.attributes.push_back({"Hold_Types", "", "u", pbs_protocol::Op::kSet});
+    pbs_protocol::Encode(r, &bytes);
     r = {};
-    r.type = pbs::RequestType::kJobScript;
+    r.type = pbs_protocol::RequestType::kJobScript;
     r.user = "root";
     r.script = "true\n";
-    pbs::Encode(r, &bytes);
-    Put(pbs::RequestType::kReadyToCommit, "", "", &bytes);
-    Put(pbs::RequestType::kCommit, "", "", &bytes);
+    pbs_protocol::Encode(r, &bytes);
+    Put(pbs_protocol::RequestType::kReadyToCommit, "", "", &bytes);
+    Put(pbs_protocol::RequestType::kCommit, "", "", &bytes);
     loop_.Send(id, bytes);
   }
 
-  void Take(net::ConnId id, Conn& c, const pbs::Reply& reply) {
+  void Take(event_loop::ConnId id, Conn& c, const pbs_protocol::Reply& reply) {
     ++c.step;
-    if (reply.code != pbs::Code::kNone && !c.refused) {
+    if (reply.code != pbs_protocol::Code::kNone && !c.refused) {
       c.refused = true;
       c.wait = reply.auxiliary > 0 ? static_cast<Micros>(reply.auxiliary) * 1000 : 0;
       const std::string words = reply.text.substr(0, reply.text.find(';'));
@@ -175,7 +177,7 @@
         return Free(id, c);
       }
       std::string bytes;
-      Put(pbs::RequestType::kStatusJob, c.id, "wait=answer", &bytes);
+      Put(pbs_protocol::RequestType::kStatusJob, c.id, "wait=answer", &bytes);
       return loop_.Send(id, bytes);
     }
     const Owner job = c.job;
@@ -183,12 +185,12 @@
     const Micros wait = c.wait;
     Free(id, c);
     if (refused) return AskAgain(job, wait);
-    const std::string answer(reply.objects.empty() ? ""
-                                                   : pbs::ValueOf(reply.objects[0].attributes, "answer"));
+    const std::string answer(
+        reply.objects.empty() ? "" : pbs_protocol::ValueOf(reply.objects[0].attributes, "answer"));
     Over(job, answer == "placed" ? End::kPlaced : answer == "refused" ? End::kRefused : End::kFailed);
   }
 
-  void Free(net::ConnId id, Conn& c) {
+  void Free(event_loop::ConnId id, Conn& c) {
     c.busy = false;
     free_.push_back(id);
   }
@@ -221,7 +223,7 @@
     Micros next = now + 100'000;
     if (held > 0 || window > 0) {
       while (!free_.empty() && (held > 0 ? started_ < held : now < end_ && started_ - over_ < window)) {
-        const net::ConnId id = free_.front();
+        const event_loop::ConnId id = free_.front();
         free_.pop_front();
         figures_->Offered(now);
         ++started_;
@@ -254,7 +256,7 @@
           continue;
         }
         if (free_.empty()) break;
-        const net::ConnId id = free_.front();
+        const event_loop::ConnId id = free_.front();
         free_.pop_front();
         Start(id, due_.front());
         due_.pop_front();
@@ -293,14 +295,14 @@
     return held > 0 || !j["ends"].contains("broken");
   }
 
-  net::Loop loop_;
-  loadtool::Plan plan_;
-  std::unique_ptr<loadtool::Figures> figures_;
-  std::map<net::ConnId, Conn> conns_;
-  std::deque<net::ConnId> free_;
+  event_loop::Loop loop_;
+  load_generator::Plan plan_;
+  std::unique_ptr<load_generator::Figures> figures_;
+  std::map<event_loop::ConnId, Conn> conns_;
+  std::deque<event_loop::ConnId> free_;
   std::deque<Owner> due_;  // wait for a connection
   std::priority_queue<Again, std::vector<Again>, std::greater<>> again_;
-  loadtool::Delays committed_;
+  load_generator::Delays committed_;
   std::map<std::string, std::uint64_t> refusals_;  // by their words
   std::uint64_t started_ = 0, over_ = 0, named_ = 0, closes_ = 0, random_ = 1;
   Micros begin_ = 0, end_ = 0, owner_ = 0;
--- a/loadtool/plan.cpp
+++ b/tools/load_generator/plan.cpp
@@ -1,9 +1,9 @@
-#include "loadtool/plan.hpp"
+#include "tools/load_generator/plan.hpp"
 
 #include <charconv>
 #include <cmath>
 
-namespace mountflow::loadtool {
+namespace mountflow::load_generator {
 namespace {
 
 constexpr std::size_t kMostSegments = 10'000;
@@ -69,4 +69,4 @@
   return 0.0;
 }
 
-}  // namespace mountflow::loadtool
+}  // namespace mountflow::load_generator
--- a/loadtool/plan.hpp
+++ b/tools/load_generator/plan.hpp
@@ -2,14 +2,14 @@
 //
 // A plan is written as segments joined by commas: RATExSECONDS, or FROM-TOxSECONDS for
 // a ramp, rates in jobs a second: "1000x60,1000-4000x30,4000x60".
-#ifndef MOUNTFLOW_LOADTOOL_PLAN_HPP_
-#define MOUNTFLOW_LOADTOOL_PLAN_HPP_
+#ifndef MOUNTFLOW_TOOLS_LOAD_GENERATOR_PLAN_HPP_
+#define MOUNTFLOW_TOOLS_LOAD_GENERATOR_PLAN_HPP_
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-namespace mountflow::loadtool {
+namespace mountflow::load_generator {
 
 class Plan {
  public:
@@ -34,6 +34,6 @@
   double jobs_before_ = 0.0;
 };
 
-}  // namespace mountflow::loadtool
+}  // namespace mountflow::load_generator
 
-#endif  // MOUNTFLOW_LOADTOOL_PLAN_HPP_
+#endif  // MOUNTFLOW_TOOLS_LOAD_GENERATOR_PLAN_HPP_
--- a/loadtool/module_bench.cpp
+++ b/tools/load_generator/scheduler_bench.cpp
@@ -36,15 +36,17 @@
     Settings s;
     s.classes.resize(3);
     for (std::size_t i = 0; i < 3; ++i) {
-      s.classes[i].effect = i == 0 ? Effect::kUnsafe : i == 1 ? Effect::kKeyed : Effect::kSafe;
-      s.classes[i].window = 60 * kSecond;
+      s.classes[i].idempotency = i == 0   ? Idempotency::kNotIdempotent
+                                 : i == 1 ? Idempotency::kWithKey
+                                          : Idempotency::kIdempotent;
+      s.classes[i].deduplication_window = 60 * kSecond;
       s.classes[i].priority = 2 - static_cast<int>(i);
     }
-    s.kinds = {{32.0, 64.0}};
+    s.node_kinds = {{32.0, 64.0}};
     s.group_size = 1;
     s.self_index = 0;
-    s.lists_free = true;
-    s.placed_at_running = false;
+    s.list_has_free_capacity = true;
+    s.started_means_running = false;
     s.may_cancel = true;
     s.max_attempts = 4;
     Scheduler scheduler(s, seed);
@@ -107,7 +109,7 @@
   };
   struct Out {
     unsigned attempt = 0;
-    MachineId machine = 0;
+    NodeId node = 0;
     bool refused = false;
   };
 
@@ -117,54 +119,54 @@
     const auto request = static_cast<RequestId>(due.id);
     switch (due.kind) {
       case kView: {
-        FleetView view;
+        NodeListUpdate view;
         for (unsigned i = 0; i < nodes; ++i) {
-          MachineEntry e;
-          e.machine = i + 1;
-          e.cell = i / 10;
+          NodeEntry e;
+          e.node = i + 1;
+          e.rack = i / 10;
           e.zone = i / 100;
           e.free_cores = free_[i];
           e.free_memory = 64.0;
-          view.machines.push_back(e);
+          view.nodes.push_back(e);
         }
         return view;
       }
       case kArrival: {
-        TaskArrival arrival;
+        TaskSubmitted arrival;
         arrival.task = {request, request % 3,        0,     due.at + 10 * kSecond,
                         request, request % services, cores, cores};
         return arrival;
       }
       case kPlacement:
-        return Placement{request, out_[request].attempt, out_[request].machine, 2'000};
+        return TaskStarted{request, out_[request].attempt, out_[request].node, 2'000};
       case kOutcome: {
-        Outcome o;
+        AttemptEnded o;
         o.request = request;
         o.attempt = out_[request].attempt;
-        o.machine = out_[request].machine;
-        o.closed = !out_[request].refused;
-        o.ending = out_[request].refused ? Ending::kRefused : Ending::kDone;
-        o.cause = out_[request].refused ? Cause::kNoCores : Cause::kUntold;
+        o.node = out_[request].node;
+        o.request_closed = !out_[request].refused;
+        o.result = out_[request].refused ? AttemptResult::kRejected : AttemptResult::kCompleted;
+        o.reason = out_[request].refused ? RejectionReason::kNoCores : RejectionReason::kUnspecified;
         return o;
       }
       case kAlarm:
         break;
     }
-    return Alarm{due.id};
+    return TimerFired{due.id};
   }
 
   void Do(Micros now, const Action& action) {
-    if (const auto* offer = std::get_if<Offer>(&action)) {
+    if (const auto* offer = std::get_if<StartAttempt>(&action)) {
       ++offers_;
       Digest(offer->request);
-      Digest(offer->machine);
+      Digest(offer->node);
       const bool refused = offers_ % 100 == 0;
-      out_[offer->request] = {offer->attempt, offer->machine, refused};
+      out_[offer->request] = {offer->attempt, offer->node, refused};
       if (!refused) Push(now + 2'000, kPlacement, offer->request);
       Push(now + 2'000 + (refused ? 0 : life), kOutcome, offer->request);
-    } else if (const auto* alarm = std::get_if<SetAlarm>(&action)) {
+    } else if (const auto* alarm = std::get_if<SetTimer>(&action)) {
       Push(alarm->at, kAlarm, alarm->token);
-    } else if (const auto* refusal = std::get_if<Refusal>(&action)) {
+    } else if (const auto* refusal = std::get_if<RejectTask>(&action)) {
       ++refusals_;
       Digest(refusal->request);
     }
--- a/registry/catalog.cpp
+++ b/tools/registry_standin/catalog.cpp
@@ -1,10 +1,10 @@
-#include "registry/catalog.hpp"
+#include "tools/registry_standin/catalog.hpp"
 
 #include <algorithm>
 #include <cstdlib>
 #include <utility>
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 namespace {
 
 using nlohmann::json;
@@ -213,4 +213,4 @@
 
 std::vector<Store::Ready> Catalog::Take() { return std::exchange(ready_, {}); }
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
--- a/registry/catalog.hpp
+++ b/tools/registry_standin/catalog.hpp
@@ -1,8 +1,8 @@
 // A stand-in for a Consul agent's services and their health, sans-I/O: register
 // with a TTL check, pass, maintenance, blocking reads of /v1/health/service and
 // /v1/catalog/service. Names in bodies are taken in any case, as Consul does.
-#ifndef MOUNTFLOW_REGISTRY_CATALOG_HPP_
-#define MOUNTFLOW_REGISTRY_CATALOG_HPP_
+#ifndef MOUNTFLOW_TOOLS_REGISTRY_STANDIN_CATALOG_HPP_
+#define MOUNTFLOW_TOOLS_REGISTRY_STANDIN_CATALOG_HPP_
 
 #include <cstdint>
 #include <map>
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "http/message.hpp"
-#include "registry/store.hpp"
+#include "tools/registry_standin/store.hpp"
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 
 class Catalog {
  public:
@@ -55,6 +55,6 @@
   std::vector<Store::Ready> ready_;
 };
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
 
-#endif  // MOUNTFLOW_REGISTRY_CATALOG_HPP_
+#endif  // MOUNTFLOW_TOOLS_REGISTRY_STANDIN_CATALOG_HPP_
--- a/registry/etcd_store.cpp
+++ b/tools/registry_standin/etcd_store.cpp
@@ -1,14 +1,14 @@
-#include "registry/etcd_store.hpp"
+#include "tools/registry_standin/etcd_store.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "registry/entry.hpp"
-#include "registry/etcd.hpp"
+#include "discovery/entry.hpp"
+#include "discovery/etcd.hpp"
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 namespace {
 
 using nlohmann::json;
@@ -379,4 +379,4 @@
 
 std::vector<EtcdStore::Sent> EtcdStore::Take() { return std::exchange(sent_, {}); }
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
--- a/registry/etcd_store.hpp
+++ b/tools/registry_standin/etcd_store.hpp
@@ -2,8 +2,8 @@
 // range, put, deleterange, watch, lease grant and keep-alive, compaction,
 // authentication. It keeps its whole history, so that a test can compare a
 // client's view with the state at any revision. Scripted breaks: see Break.
-#ifndef MOUNTFLOW_REGISTRY_ETCD_STORE_HPP_
-#define MOUNTFLOW_REGISTRY_ETCD_STORE_HPP_
+#ifndef MOUNTFLOW_TOOLS_REGISTRY_STANDIN_ETCD_STORE_HPP_
+#define MOUNTFLOW_TOOLS_REGISTRY_STANDIN_ETCD_STORE_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -14,11 +14,11 @@
 #include <string>
 #include <vector>
 
+#include "discovery/state.hpp"
 #include "http/message.hpp"
 #include "mountflow/scheduler.hpp"
-#include "registry/state.hpp"
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 
 class EtcdStore {
  public:
@@ -108,6 +108,6 @@
   std::vector<Sent> sent_;
 };
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
 
-#endif  // MOUNTFLOW_REGISTRY_ETCD_STORE_HPP_
+#endif  // MOUNTFLOW_TOOLS_REGISTRY_STANDIN_ETCD_STORE_HPP_
--- a/registry/list_main.cpp
+++ b/tools/registry_standin/list_main.cpp
@@ -4,7 +4,7 @@
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
-#include "registry/list_server.hpp"
+#include "tools/registry_standin/list_server.hpp"
 
 int main(int argc, char** argv) {
   CLI::App app{
@@ -21,8 +21,8 @@
   app.add_option("--tls-key", tls.key, "PEM file: its key");
   app.add_option("--tls-ca", tls.ca, "PEM file: clients must show a certificate by this CA");
   CLI11_PARSE(app, argc, argv);
-  mountflow::net::Loop loop;
-  mountflow::registry::ListServer server(&loop, etcd);
+  mountflow::event_loop::Loop loop;
+  mountflow::discovery::ListServer server(&loop, etcd);
   std::string error;
   if (!server.Start(listen, static_cast<mountflow::Micros>(delay * 1e6), tls, &error)) {
     std::fprintf(stderr, "mountflow-list: %s\n", error.c_str());
--- a/registry/list_server.cpp
+++ b/tools/registry_standin/list_server.cpp
@@ -1,16 +1,16 @@
-#include "registry/list_server.hpp"
+#include "tools/registry_standin/list_server.hpp"
 
 #include <algorithm>
 #include <cstdlib>
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 
 bool ListServer::Start(const std::string& address, Micros delay, const tls::Options& tls,
                        std::string* error) {
   store_.SetDelay(delay);
   keys_ = std::make_unique<tls::Keys>(tls, tls::Side::kServer);
   if (!keys_->Start(loop_->Now(), error)) return false;
-  net::Loop::Filters filters;
+  event_loop::Loop::Filters filters;
   if (keys_->on()) {
     filters = [this] {
       keys_->Poll(loop_->Now());
@@ -21,11 +21,11 @@
   return listener_ != 0;
 }
 
-void ListServer::OnAccepted(net::ListenerId, net::ConnId conn, const net::PeerInfo&) {
+void ListServer::OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) {
   readers_.emplace(conn, http::Reader(http::Reader::Side::kRequests, 1 << 20));
 }
 
-void ListServer::OnReceived(net::ConnId conn, std::string_view bytes) {
+void ListServer::OnReceived(event_loop::ConnId conn, std::string_view bytes) {
   const auto it = readers_.find(conn);
   if (it == readers_.end()) return;
   const bool good = it->second.Feed(bytes);
@@ -70,9 +70,9 @@
   }
   constexpr std::uint64_t kFloodKeys = 50, kMostFlood = 100'000;
   const std::uint64_t flood = std::min<std::uint64_t>(number("flood"), kMostFlood);
-  core::ListedNode node;
+  job_manager::ListedNode node;
   node.address = "127.0.0.1:9", node.rack = "rack-0", node.room = "room-a", node.kind = "small";
-  node.state = MachineState::kDraining;
+  node.state = NodeState::kDraining;
   for (std::uint64_t i = 0; i < flood; ++i) {
     node.name = "flood-" + std::to_string(i % kFloodKeys);
     node.free_cores = static_cast<double>(i);
@@ -84,7 +84,7 @@
   return http::WriteReply(200, {}, "", request.keep_alive);
 }
 
-void ListServer::OnClosed(net::ConnId conn, const std::string&) {
+void ListServer::OnClosed(event_loop::ConnId conn, const std::string&) {
   readers_.erase(conn);
   store_.Forget(conn);
   catalog_.Forget(conn);
@@ -112,4 +112,4 @@
   }
 }
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
--- a/registry/store.cpp
+++ b/tools/registry_standin/store.cpp
@@ -1,11 +1,11 @@
-#include "registry/store.hpp"
+#include "tools/registry_standin/store.hpp"
 
 #include <algorithm>
 #include <cstdlib>
 #include <nlohmann/json.hpp>
 #include <utility>
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 namespace {
 
 constexpr Micros kLongestWait = 600'000'000;
@@ -209,4 +209,4 @@
 
 std::vector<Store::Ready> Store::Take() { return std::exchange(ready_, {}); }
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
--- a/registry/store.hpp
+++ b/tools/registry_standin/store.hpp
@@ -1,7 +1,7 @@
 // A stand-in for Consul's key-value store, sans-I/O: keys with indices, blocking
 // reads, and a stated delay with which readers see changes.
-#ifndef MOUNTFLOW_REGISTRY_STORE_HPP_
-#define MOUNTFLOW_REGISTRY_STORE_HPP_
+#ifndef MOUNTFLOW_TOOLS_REGISTRY_STANDIN_STORE_HPP_
+#define MOUNTFLOW_TOOLS_REGISTRY_STANDIN_STORE_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
+#include "discovery/entry.hpp"
 #include "http/message.hpp"
 #include "mountflow/scheduler.hpp"
-#include "registry/entry.hpp"
 
-namespace mountflow::registry {
+namespace mountflow::discovery {
 
 // Consul's durations: 10s, 500ms, 5m. 0 for what is none.
 Micros Duration(const std::string& text);
@@ -81,6 +81,6 @@
   std::vector<Ready> ready_;
 };
 
-}  // namespace mountflow::registry
+}  // namespace mountflow::discovery
 
-#endif  // MOUNTFLOW_REGISTRY_STORE_HPP_
+#endif  // MOUNTFLOW_TOOLS_REGISTRY_STANDIN_STORE_HPP_
