--- a/src/platform/client_codec.cpp
+++ b/src/platform/client_codec.cpp
@@ -10,17 +10,18 @@
 
 using nlohmann::json;
 
-constexpr std::array<std::pair<const char*, OwnerKind>, 9> kKinds = {{{"launch", OwnerKind::kSetUp},
-                                                                      {"staging", OwnerKind::kProgress},
-                                                                      {"running", OwnerKind::kAnswer},
-                                                                      {"stop", OwnerKind::kStop},
-                                                                      {"stopped", OwnerKind::kStopped},
-                                                                      {"check", OwnerKind::kTest},
-                                                                      {"checked", OwnerKind::kTested},
-                                                                      {"update", OwnerKind::kNote},
-                                                                      {"migrate", OwnerKind::kMove}}};
+constexpr std::array<std::pair<const char*, ClientMessageKind>, 9> kKinds = {
+    {{"launch", ClientMessageKind::kLaunch},
+     {"staging", ClientMessageKind::kProgress},
+     {"running", ClientMessageKind::kAnswer},
+     {"stop", ClientMessageKind::kStop},
+     {"stopped", ClientMessageKind::kStopped},
+     {"check", ClientMessageKind::kHealthCheck},
+     {"checked", ClientMessageKind::kHealthCheckReply},
+     {"update", ClientMessageKind::kNote},
+     {"migrate", ClientMessageKind::kMigrate}}};
 
-const char* NameOf(OwnerKind kind) {
+const char* NameOf(ClientMessageKind kind) {
   for (const auto& [name, one] : kKinds) {
     if (one == kind) return name;
   }
@@ -72,7 +73,7 @@
   return true;
 }
 
-void OwnerReader::Feed(std::string_view bytes) {
+void ClientMessageReader::Feed(std::string_view bytes) {
   if (broken_) return;
   if (at_ > 0) {
     bytes_.erase(0, at_);
@@ -82,7 +83,7 @@
   bytes_.append(bytes);
 }
 
-OwnerReader::State OwnerReader::Break(std::string why) {
+ClientMessageReader::State ClientMessageReader::Break(std::string why) {
   error_ = std::move(why);
   broken_ = true;
   std::string().swap(bytes_);
@@ -90,15 +91,15 @@
   return State::kBroken;
 }
 
-OwnerReader::State OwnerReader::Next(OwnerMessage* message) {
+ClientMessageReader::State ClientMessageReader::Next(ClientMessage* message) {
   if (broken_) return State::kBroken;
   const std::size_t end = bytes_.find('\n', searched_);
   const std::size_t size = (end == std::string::npos ? bytes_.size() : end + 1) - at_;
-  if (size > kMostMessage) return Break("a message of over 16 KiB");
+  if (size > kMaxMessageBytes) return Break("a message of over 16 KiB");
   if (end == std::string::npos) {
     searched_ = bytes_.size();
     if (at_ == bytes_.size()) {  // a large buffer is given back
-      if (bytes_.capacity() > kMostMessage) std::string().swap(bytes_);
+      if (bytes_.capacity() > kMaxMessageBytes) std::string().swap(bytes_);
       bytes_.clear();
       at_ = searched_ = 0;
     }
@@ -109,7 +110,7 @@
   return Read(line, message);
 }
 
-OwnerReader::State OwnerReader::Read(std::string_view line, OwnerMessage* message) {
+ClientMessageReader::State ClientMessageReader::Read(std::string_view line, ClientMessage* message) {
   // The parser throws nothing here; what is no JSON or no UTF-8 is discarded.
   const json read = json::parse(line.begin(), line.end(), nullptr, false);
   if (!read.is_object()) return Break("a line that is no JSON object");
@@ -134,7 +135,7 @@
   }
   if (!known) return unusable("kind: expected a message of the protocol");
   if (const auto meta = read.find("meta"); meta != read.end()) {
-    if (!meta->is_object() || meta->size() > kMostFields)
+    if (!meta->is_object() || meta->size() > kMaxFields)
       return unusable("meta: expected an object of fields");
     for (const auto& [name, value] : meta->items()) {
       if (value.is_string()) {
@@ -159,7 +160,7 @@
   return State::kMessage;
 }
 
-std::string WriteOwnerLine(const OwnerMessage& message) {
+std::string EncodeClientMessage(const ClientMessage& message) {
   json line = {{"kind", NameOf(message.kind)}, {"uid", WriteHex(message.uid)}, {"meta", json::object()}};
   for (const auto& [name, value] : message.fields) line["meta"][name] = value;
   if (message.cause) line["reason"] = *message.cause;
--- a/src/platform/client_codec.hpp
+++ b/src/platform/client_codec.hpp
@@ -15,32 +15,42 @@
 
 namespace mountflow::platform {
 
-inline constexpr std::size_t kMostFields = 32;
+inline constexpr std::size_t kMaxFields = 32;
 
-enum class OwnerKind { kSetUp, kProgress, kAnswer, kStop, kStopped, kTest, kTested, kNote, kMove };
+enum class ClientMessageKind {
+  kLaunch,
+  kProgress,
+  kAnswer,
+  kStop,
+  kStopped,
+  kHealthCheck,
+  kHealthCheckReply,
+  kNote,
+  kMigrate
+};
 
-struct OwnerMessage {
-  OwnerKind kind = OwnerKind::kSetUp;
-  Uid uid = 0;
+struct ClientMessage {
+  ClientMessageKind kind = ClientMessageKind::kLaunch;
+  RequestUid uid = 0;
   std::map<std::string, std::string> fields;  // numbers as their text
   std::optional<int> cause;                   // 0 to 255
   std::string description;                    // UTF-8, byte for byte as its JSON string says
-  bool operator==(const OwnerMessage&) const = default;
+  bool operator==(const ClientMessage&) const = default;
 };
 
-class OwnerReader {
+class ClientMessageReader {
  public:
   enum class State { kMore, kMessage, kUnusable, kBroken };
 
   void Feed(std::string_view bytes);
   // kMessage: `message` is whole. kUnusable: only its uid is; error() says why. kBroken: nothing more can be
   // read, ever.
-  State Next(OwnerMessage* message);
+  State Next(ClientMessage* message);
   bool within_message() const { return at_ < bytes_.size(); }  // bytes are there that Next() has not taken
   const std::string& error() const { return error_; }
 
  private:
-  State Read(std::string_view line, OwnerMessage* message);
+  State Read(std::string_view line, ClientMessage* message);
   State Break(std::string why);
 
   std::string bytes_;
@@ -50,7 +60,7 @@
 };
 
 // One line. The description must be valid UTF-8: see IsUtf8.
-std::string WriteOwnerLine(const OwnerMessage& message);
+std::string EncodeClientMessage(const ClientMessage& message);
 bool IsUtf8(std::string_view text);
 // 1 to 16 lower-case hex digits, exactly `digits` of them.
 bool ReadHex(std::string_view text, std::size_t digits, std::uint64_t* value);
--- a/src/platform/client_connections.cpp
+++ b/src/platform/client_connections.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-void Owners::Accept(Micros now, ConnId conn, const std::string& address) {
+void ClientConnections::Accept(Micros now, ConnId conn, const std::string& address) {
   if (conns_.size() >= most_) {
     // First one that said nothing, the oldest; then the one whose last word is longest ago and that waits for
     // nothing: some ask once and keep their connection for good, and new ones must still come in. One whose
@@ -48,37 +48,37 @@
   c.since = now;
 }
 
-void Owners::OnBytes(Micros now, ConnId conn, std::string_view bytes) {
+void ClientConnections::OnBytes(Micros now, ConnId conn, std::string_view bytes) {
   const auto it = conns_.find(conn);
   if (it == conns_.end()) return;
   it->second.reader.Feed(bytes);
   Take(now, conn);
 }
 
-bool Owners::Full(ConnId conn) const {
+bool ClientConnections::Full(ConnId conn) const {
   const auto it = conns_.find(conn);
   return it != conns_.end() && it->second.waits;
 }
 
-void Owners::Take(Micros now, ConnId conn) {
-  OwnerMessage message;
+void ClientConnections::Take(Micros now, ConnId conn) {
+  ClientMessage message;
   for (std::size_t i = 0; i < kMessagesTurn; ++i) {
     const auto it = conns_.find(conn);
     if (it == conns_.end()) return;
     Conn& c = it->second;
     switch (c.reader.Next(&message)) {
-      case OwnerReader::State::kMore:
+      case ClientMessageReader::State::kMore:
         c.partial_at = !c.reader.within_message() ? 0 : c.partial_at != 0 ? c.partial_at : now;
         c.waits = false;
         waiting_.erase(conn);
         return;
-      case OwnerReader::State::kBroken:
+      case ClientMessageReader::State::kBroken:
         return Cut(now, conn, c.reader.error());
-      case OwnerReader::State::kUnusable: {
+      case ClientMessageReader::State::kUnusable: {
         c.spoke = now;
         c.partial_at = 0;
-        OwnerMessage stop;
-        stop.kind = OwnerKind::kStop;
+        ClientMessage stop;
+        stop.kind = ClientMessageKind::kStop;
         stop.uid = message.uid;
         stop.cause = kCauseBad;
         // An id that is in use keeps its own answer; a second one for it would break that.
@@ -86,7 +86,7 @@
         Send(conn, stop);
         break;
       }
-      case OwnerReader::State::kMessage:
+      case ClientMessageReader::State::kMessage:
         c.spoke = now;
         c.partial_at = 0;
         if (!One(now, conn, c, message)) return;
@@ -99,26 +99,26 @@
   waiting_.insert(conn);
 }
 
-bool Owners::One(Micros now, ConnId conn, Conn& c, const OwnerMessage& message) {
+bool ClientConnections::One(Micros now, ConnId conn, Conn& c, const ClientMessage& message) {
   switch (message.kind) {
-    case OwnerKind::kSetUp: {
-      const Tasks::Took took = tasks_->SetUp(now, conn, c.host, message);
-      if (took == Tasks::Took::kTwice) {
+    case ClientMessageKind::kLaunch: {
+      const Dispatcher::Took took = tasks_->SetUp(now, conn, c.host, message);
+      if (took == Dispatcher::Took::kTwice) {
         // An answer to the second would be taken for one to the first.
         Cut(now, conn, "a second set-up under an id in use");
         return false;
       }
-      if (took == Tasks::Took::kRunning) Prove(conn, c);
+      if (took == Dispatcher::Took::kRunning) Prove(conn, c);
       Deliver(now);
       return conns_.count(conn) > 0;
     }
-    case OwnerKind::kStop:
+    case ClientMessageKind::kStop:
       tasks_->Stop(now, conn, message.uid);
       Deliver(now);
       return conns_.count(conn) > 0;
-    case OwnerKind::kTest: {
-      OwnerMessage tested;
-      tested.kind = OwnerKind::kTested;
+    case ClientMessageKind::kHealthCheck: {
+      ClientMessage tested;
+      tested.kind = ClientMessageKind::kHealthCheckReply;
       tested.uid = message.uid;
       tested.cause = ready_ ? 1 : 0;
       Send(conn, tested);
@@ -129,15 +129,17 @@
   }
 }
 
-void Owners::Send(ConnId conn, const OwnerMessage& message) { port_->Send(conn, WriteOwnerLine(message)); }
+void ClientConnections::Send(ConnId conn, const ClientMessage& message) {
+  port_->Send(conn, EncodeClientMessage(message));
+}
 
-void Owners::Cut(Micros now, ConnId conn, const std::string& why) {
+void ClientConnections::Cut(Micros now, ConnId conn, const std::string& why) {
   port_->Log("owner's connection closed: " + why);
   port_->Close(conn, true);
   OnClosed(now, conn);
 }
 
-void Owners::OnClosed(Micros now, ConnId conn) {
+void ClientConnections::OnClosed(Micros now, ConnId conn) {
   const auto it = conns_.find(conn);
   if (it == conns_.end()) return;
   if (trace_) trace_(now, "owner " + std::to_string(conn) + " left");
@@ -147,7 +149,7 @@
   Deliver(now);
 }
 
-std::vector<ConnId> Owners::Work(Micros now) {
+std::vector<ConnId> ClientConnections::Work(Micros now) {
   const std::vector<ConnId> waiting(waiting_.begin(), waiting_.end());
   std::vector<ConnId> taken;
   for (const ConnId conn : waiting) {
@@ -157,7 +159,7 @@
   return taken;
 }
 
-bool Owners::Owes() const {
+bool ClientConnections::Owes() const {
   return !waiting_.empty() || !owed_.empty() ||
          std::any_of(conns_.begin(), conns_.end(), [this](const auto& c) {
            return !port_->AllWritten(c.first) && !port_->HungUp(c.first);
@@ -168,7 +170,7 @@
 // goes there too, else on the newest one from the same host on which something was placed; 0: nowhere. What
 // is written to a connection whose owner has just closed it is lost, and the task would stand for ever: such
 // a one is none.
-ConnId Owners::WayTo(const OwnerOut& out) const {
+ConnId ClientConnections::WayTo(const ClientNotification& out) const {
   if (conns_.count(out.conn) > 0 && (!out.anywhere || !port_->HungUp(out.conn))) return out.conn;
   for (auto it = conns_.rbegin(); out.anywhere && it != conns_.rend(); ++it) {
     if (it->second.proven && it->second.host == out.host && !port_->HungUp(it->first)) return it->first;
@@ -176,9 +178,9 @@
   return 0;
 }
 
-void Owners::Deliver(Micros now) {
-  for (std::vector<OwnerOut> outs = tasks_->Take(); !outs.empty(); outs = tasks_->Take()) {
-    for (OwnerOut& out : outs) {
+void ClientConnections::Deliver(Micros now) {
+  for (std::vector<ClientNotification> outs = tasks_->Take(); !outs.empty(); outs = tasks_->Take()) {
+    for (ClientNotification& out : outs) {
       const ConnId to = WayTo(out);
       if (trace_ && out.anywhere) {
         trace_(now, "word of " + WriteHex(out.message.uid) +
@@ -188,7 +190,7 @@
       }
       if (to != 0) {
         Send(to, out.message);
-        if (out.message.kind == OwnerKind::kAnswer) Prove(to, conns_.at(to));
+        if (out.message.kind == ClientMessageKind::kAnswer) Prove(to, conns_.at(to));
       } else if (out.anywhere && owed_.size() < kMostOwedWord) {
         owed_.push_back({now + kOwedWord, out.host, std::move(out.message)});
       } else if (out.anywhere) {
@@ -199,7 +201,7 @@
 }
 
 // Word that waited for a connection of this host goes here now.
-void Owners::Prove(ConnId conn, Conn& c) {
+void ClientConnections::Prove(ConnId conn, Conn& c) {
   c.proven = true;
   std::deque<Owed> rest;
   for (Owed& one : owed_) {
@@ -212,18 +214,18 @@
   owed_.swap(rest);
 }
 
-Micros Owners::DueOf(const Conn& c) const {
+Micros ClientConnections::DueOf(const Conn& c) const {
   if (c.spoke == 0) return c.since + kFirstWait;
   return c.partial_at != 0 ? c.partial_at + kLineWait : kNever;
 }
 
-Micros Owners::NextDue() const {
+Micros ClientConnections::NextDue() const {
   Micros due = owed_.empty() ? kNever : owed_.front().until;
   for (const auto& [id, c] : conns_) due = std::min(due, DueOf(c));
   return due;
 }
 
-void Owners::Tick(Micros now) {
+void ClientConnections::Tick(Micros now) {
   std::vector<ConnId> due;
   for (const auto& [id, c] : conns_) {
     if (DueOf(c) <= now) due.push_back(id);
--- a/src/platform/client_connections.hpp
+++ b/src/platform/client_connections.hpp
@@ -34,9 +34,9 @@
 inline constexpr std::size_t kMostOwedWord = 4096;
 inline constexpr Micros kOwedWord = 8'000'000;
 
-class Owners {
+class ClientConnections {
  public:
-  Owners(std::size_t most_connections, Tasks* tasks, Port* port)
+  ClientConnections(std::size_t most_connections, Dispatcher* tasks, Transport* port)
       : most_(most_connections), tasks_(tasks), port_(port) {
     tasks_->AskWhoLeft([port](ConnId conn) { return port->HungUp(conn); });
   }
@@ -67,7 +67,7 @@
  private:
   struct Conn {
     Host host = 0;
-    OwnerReader reader;
+    ClientMessageReader reader;
     Micros since = 0;       // when it came
     Micros spoke = 0;       // its last whole message; 0: none
     Micros partial_at = 0;  // a message began then and has not ended
@@ -76,22 +76,22 @@
   };
 
   void Take(Micros now, ConnId conn);
-  bool One(Micros now, ConnId conn, Conn& c, const OwnerMessage& message);
+  bool One(Micros now, ConnId conn, Conn& c, const ClientMessage& message);
   void Cut(Micros now, ConnId conn, const std::string& why);
-  void Send(ConnId conn, const OwnerMessage& message);
+  void Send(ConnId conn, const ClientMessage& message);
   Micros DueOf(const Conn& c) const;
-  ConnId WayTo(const OwnerOut& out) const;
+  ConnId WayTo(const ClientNotification& out) const;
   void Prove(ConnId conn, Conn& c);
 
   struct Owed {
     Micros until;
     Host host;
-    OwnerMessage message;
+    ClientMessage message;
   };
 
   std::size_t most_;
-  Tasks* tasks_;
-  Port* port_;
+  Dispatcher* tasks_;
+  Transport* port_;
   bool ready_ = true;
   std::function<void(Micros, const std::string&)> trace_;
   std::map<ConnId, Conn> conns_;
--- a/src/platform/message_mapping.cpp
+++ b/src/platform/message_mapping.cpp
@@ -86,8 +86,8 @@
                        : AttemptResult::kLost;
 }
 
-const char* ReadSetUp(const OwnerMessage& message, const settings::WireSettings& wire, Micros now, Task* task,
-                      std::string* machine) {
+const char* ReadSetUp(const ClientMessage& message, const settings::WireSettings& wire, Micros now,
+                      Task* task, std::string* machine) {
   const auto field = [&](const char* name) -> std::string_view {
     const auto it = message.fields.find(name);
     return it == message.fields.end() ? std::string_view() : std::string_view(it->second);
@@ -127,7 +127,7 @@
   return nullptr;
 }
 
-LoadReport ReadReport(const MachineMessage& message) {
+LoadReport ReadReport(const NodeMessage& message) {
   LoadReport report;
   ForPairs(message.Text(kReport), [&](std::string_view name, std::string_view value) {
     double figure = 0.0;
--- a/src/platform/message_mapping.hpp
+++ b/src/platform/message_mapping.hpp
@@ -19,9 +19,9 @@
 inline constexpr Micros kLongestWait = 600'000'000;  // an owner's wait beyond this is out of range
 
 // Null, or what was expected where. `machine` is the one that runs the task already, else empty.
-const char* ReadSetUp(const OwnerMessage& message, const settings::WireSettings& wire, Micros now, Task* task,
-                      std::string* machine);
-LoadReport ReadReport(const MachineMessage& message);
+const char* ReadSetUp(const ClientMessage& message, const settings::WireSettings& wire, Micros now,
+                      Task* task, std::string* machine);
+LoadReport ReadReport(const NodeMessage& message);
 bool ReadReported(std::string_view text, double* value);
 int IndexOf(const std::vector<std::string>& names, const std::string& name);  // -1: not among them
 RejectionReason CauseOf(const std::string& said);
--- a/src/platform/node_codec.cpp
+++ b/src/platform/node_codec.cpp
@@ -8,16 +8,16 @@
 constexpr std::size_t kHead = 2 + 1 + 8;
 
 bool Known(std::uint8_t type) {
-  switch (static_cast<MachineKind>(type)) {
-    case MachineKind::kSetUp:
-    case MachineKind::kProgress:
-    case MachineKind::kAnswer:
-    case MachineKind::kStop:
-    case MachineKind::kStopped:
-    case MachineKind::kNote:
-    case MachineKind::kMove:
-    case MachineKind::kTest:
-    case MachineKind::kTested:
+  switch (static_cast<NodeMessageKind>(type)) {
+    case NodeMessageKind::kLaunch:
+    case NodeMessageKind::kProgress:
+    case NodeMessageKind::kAnswer:
+    case NodeMessageKind::kStop:
+    case NodeMessageKind::kStopped:
+    case NodeMessageKind::kNote:
+    case NodeMessageKind::kMigrate:
+    case NodeMessageKind::kHealthCheck:
+    case NodeMessageKind::kHealthCheckReply:
       return true;
   }
   return false;
@@ -30,13 +30,13 @@
 
 }  // namespace
 
-const std::string& MachineMessage::Text(std::uint8_t code) const {
+const std::string& NodeMessage::Text(std::uint8_t code) const {
   static const std::string none;
   const auto it = params.find(code);
   return it == params.end() ? none : it->second;
 }
 
-void MachineReader::Feed(std::string_view bytes) {
+void NodeMessageReader::Feed(std::string_view bytes) {
   if (broken_) return;
   if (at_ > 0) {
     bytes_.erase(0, at_);
@@ -45,7 +45,7 @@
   bytes_.append(bytes);
 }
 
-MachineReader::State MachineReader::Break(const char* why) {
+NodeMessageReader::State NodeMessageReader::Break(const char* why) {
   error_ = why;
   broken_ = true;
   std::string().swap(bytes_);
@@ -53,24 +53,24 @@
   return State::kBroken;
 }
 
-MachineReader::State MachineReader::Next(MachineMessage* message) {
+NodeMessageReader::State NodeMessageReader::Next(NodeMessage* message) {
   if (broken_) return State::kBroken;
   const auto byte = [&](std::size_t i) { return static_cast<std::uint8_t>(bytes_[at_ + i]); };
   const std::size_t there = bytes_.size() - at_;
   // What is wrong is told as soon as the bytes that are there show it: more may never come.
   const std::size_t size = there >= 2 ? 2 + (static_cast<std::size_t>(byte(0)) << 8 | byte(1)) : 0;
-  if (there >= 2 && (size < kHead || size > kMostMessage)) return Break("a length that cannot be");
+  if (there >= 2 && (size < kHead || size > kMaxMessageBytes)) return Break("a length that cannot be");
   if (there >= 3 && !Known(byte(2))) return Break("an unknown type of message");
   if (there < 2 || there < size) {
     if (there == 0 && at_ > 0) {  // a large buffer is given back
-      if (bytes_.capacity() > kMostMessage) std::string().swap(bytes_);
+      if (bytes_.capacity() > kMaxMessageBytes) std::string().swap(bytes_);
       bytes_.clear();
       at_ = 0;
     }
     return State::kMore;
   }
   *message = {};
-  message->kind = static_cast<MachineKind>(byte(2));
+  message->kind = static_cast<NodeMessageKind>(byte(2));
   for (std::size_t i = 3; i < kHead; ++i) message->uid = message->uid << 8 | byte(i);
   for (std::size_t at = kHead; at < size;) {
     if (size - at < 3) return Break("a parameter that is cut off");
@@ -90,7 +90,7 @@
   return State::kMessage;
 }
 
-std::string WriteMachineMessage(const MachineMessage& message) {
+std::string EncodeNodeMessage(const NodeMessage& message) {
   std::string rest(1, static_cast<char>(message.kind));
   for (int shift = 56; shift >= 0; shift -= 8) rest.push_back(static_cast<char>(message.uid >> shift & 255));
   const auto put = [&](std::uint8_t code, std::string_view value) {
@@ -99,11 +99,11 @@
     rest.append(value);
   };
   for (const auto& [code, value] : message.params) {
-    if (value.size() > kMostMessage) return {};
+    if (value.size() > kMaxMessageBytes) return {};
     put(code, value);
   }
   if (message.cause) put(kCauseCode, std::string(1, static_cast<char>(*message.cause)));
-  if (rest.size() + 2 > kMostMessage) return {};
+  if (rest.size() + 2 > kMaxMessageBytes) return {};
   std::string bytes;
   Put16(rest.size(), &bytes);
   return bytes + rest;
--- a/src/platform/node_codec.hpp
+++ b/src/platform/node_codec.hpp
@@ -18,19 +18,19 @@
 
 namespace mountflow::platform {
 
-enum class MachineKind : std::uint8_t {
-  kSetUp = 1,
+enum class NodeMessageKind : std::uint8_t {
+  kLaunch = 1,
   kProgress = 6,
   kAnswer = 9,
   kStop = 12,
   kStopped = 16,
   kNote = 44,
-  kMove = 51,
-  kTest = 52,
-  kTested = 53
+  kMigrate = 51,
+  kHealthCheck = 52,
+  kHealthCheckReply = 53
 };
 
-enum Param : std::uint8_t {
+enum NodeParameter : std::uint8_t {
   kClass = 129,
   kWait = 132,  // milliseconds that the scheduler will wait
   kTaskName = 141,
@@ -42,22 +42,22 @@
   kDescription = 174
 };
 
-struct MachineMessage {
-  MachineKind kind = MachineKind::kSetUp;
-  Uid uid = 0;
+struct NodeMessage {
+  NodeMessageKind kind = NodeMessageKind::kLaunch;
+  RequestUid uid = 0;
   std::map<std::uint8_t, std::string> params;  // without the cause
   std::optional<std::uint8_t> cause;
-  bool operator==(const MachineMessage&) const = default;
+  bool operator==(const NodeMessage&) const = default;
 
   const std::string& Text(std::uint8_t code) const;  // empty: absent
 };
 
-class MachineReader {
+class NodeMessageReader {
  public:
   enum class State { kMore, kMessage, kBroken };
 
   void Feed(std::string_view bytes);
-  State Next(MachineMessage* message);
+  State Next(NodeMessage* message);
   bool within_message() const { return at_ < bytes_.size(); }
   const std::string& error() const { return error_; }
 
@@ -71,7 +71,7 @@
 };
 
 // Empty when it is over kMostMessage.
-std::string WriteMachineMessage(const MachineMessage& message);
+std::string EncodeNodeMessage(const NodeMessage& message);
 
 }  // namespace mountflow::platform
 
--- a/src/platform/node_connections.cpp
+++ b/src/platform/node_connections.cpp
@@ -11,27 +11,27 @@
 constexpr std::uint8_t kGivenUp = 16;
 }
 
-MachineLinks::Link& MachineLinks::Of(NodeId machine) {
+NodeConnections::Link& NodeConnections::Of(NodeId machine) {
   Link& link = links_[machine];
   link.node = machine;
   return link;
 }
 
-void MachineLinks::Emit(LinkEvent::Kind kind, const Link& link, Uid uid) {
-  LinkEvent event;
+void NodeConnections::Emit(NodeConnectionEvent::Kind kind, const Link& link, RequestUid uid) {
+  NodeConnectionEvent event;
   event.kind = kind;
   event.node = link.node;
   event.uid = uid;
   events_.push_back(std::move(event));
 }
 
-std::vector<LinkEvent> MachineLinks::Take() { return std::exchange(events_, {}); }
+std::vector<NodeConnectionEvent> NodeConnections::Take() { return std::exchange(events_, {}); }
 
-bool MachineLinks::Needed(const Link& link) const {
+bool NodeConnections::Needed(const Link& link) const {
   return !link.flights.empty() || link.standing > 0 || !link.owed.empty();
 }
 
-void MachineLinks::Know(Micros now, NodeId machine, const std::string& address) {
+void NodeConnections::Know(Micros now, NodeId machine, const std::string& address) {
   // A new machine at the address of an old one: a connection made there reaches the new one, and what stood
   // at the old one is cut, as two processes cannot share an address. The new one would pass every test and
   // never say so.
@@ -55,7 +55,7 @@
   if (link.conn != 0) Cut(now, link, "its address changed", link.up);
 }
 
-void MachineLinks::Gone(Micros now, NodeId machine) {
+void NodeConnections::Gone(Micros now, NodeId machine) {
   const auto it = links_.find(machine);
   if (it == links_.end()) return;
   Link& link = it->second;
@@ -68,18 +68,18 @@
   Forget(machine);
 }
 
-void MachineLinks::Forget(NodeId machine) {
+void NodeConnections::Forget(NodeId machine) {
   const auto it = links_.find(machine);
   if (it == links_.end() || it->second.listed || it->second.conn != 0 || Needed(it->second)) return;
   links_.erase(it);
 }
 
-void MachineLinks::Lose(Link& link) {
+void NodeConnections::Lose(Link& link) {
   link.owed.clear();
-  if (link.standing > 0) Emit(LinkEvent::Kind::kMachineLost, link, 0);
+  if (link.standing > 0) Emit(NodeConnectionEvent::Kind::kMachineLost, link, 0);
 }
 
-bool MachineLinks::MakeRoom(Micros now, bool for_set_up) {
+bool NodeConnections::MakeRoom(Micros now, bool for_set_up) {
   if (by_conn_.size() < options_.most_connections) return true;
   // Without a set-up in flight: first one that nothing needs, then one that has told how its tasks are,
   // unused for longest; it is asked again in its turn. One that was not heard yet gives way to a set-up
@@ -101,7 +101,7 @@
   return true;
 }
 
-void MachineLinks::Connect(Micros now, Link& link, bool for_set_up) {
+void NodeConnections::Connect(Micros now, Link& link, bool for_set_up) {
   if (link.conn != 0 || link.address.empty()) return;
   if (!MakeRoom(now, for_set_up)) {
     link.retry_at = now + kRoomWait;
@@ -117,22 +117,22 @@
   if (link.heard == 0) link.heard = now;
 }
 
-void MachineLinks::SetUp(Micros now, NodeId machine, Uid uid, std::string message) {
+void NodeConnections::SetUp(Micros now, NodeId machine, RequestUid uid, std::string message) {
   Link& link = Of(machine);
   link.used = now;
   if (link.address.empty() && link.conn == 0) {
-    Emit(LinkEvent::Kind::kNeverRan, link, uid);
+    Emit(NodeConnectionEvent::Kind::kNeverRan, link, uid);
     return Forget(machine);
   }
-  if (link.flights.size() >= kMostInFlight) return Emit(LinkEvent::Kind::kNeverRan, link, uid);
+  if (link.flights.size() >= kMostInFlight) return Emit(NodeConnectionEvent::Kind::kNeverRan, link, uid);
   if (link.conn == 0) Connect(now, link, true);
-  if (link.conn == 0) return Emit(LinkEvent::Kind::kNeverRan, link, uid);
+  if (link.conn == 0) return Emit(NodeConnectionEvent::Kind::kNeverRan, link, uid);
   link.flights[uid].message = std::move(message);
   link.line.push_back(uid);
   if (link.up) SendLine(now, link);
 }
 
-void MachineLinks::SendLine(Micros now, Link& link) {
+void NodeConnections::SendLine(Micros now, Link& link) {
   while (!link.line.empty() && port_->AllWritten(link.conn)) {
     Flight& flight = link.flights.at(link.line.front());
     link.line.pop_front();
@@ -143,13 +143,13 @@
 }
 
 // Any send may take along what earlier ones left with the port.
-void MachineLinks::Send(Link& link, const std::string& bytes) {
+void NodeConnections::Send(Link& link, const std::string& bytes) {
   port_->Send(link.conn, bytes);
   if (!port_->AllWritten(link.conn)) return;
   for (auto& [uid, flight] : link.flights) flight.written |= flight.sent;
 }
 
-void MachineLinks::OnWritten(Micros now, ConnId conn) {
+void NodeConnections::OnWritten(Micros now, ConnId conn) {
   const auto it = by_conn_.find(conn);
   if (it == by_conn_.end()) return;
   Link& link = links_.at(it->second);
@@ -157,24 +157,24 @@
   if (link.up) SendLine(now, link);
 }
 
-void MachineLinks::SendStop(Link& link, Uid uid) {
-  MachineMessage stop;
-  stop.kind = MachineKind::kStop;
+void NodeConnections::SendStop(Link& link, RequestUid uid) {
+  NodeMessage stop;
+  stop.kind = NodeMessageKind::kStop;
   stop.uid = uid;
   stop.cause = kGivenUp;
-  Send(link, WriteMachineMessage(stop));
+  Send(link, EncodeNodeMessage(stop));
 }
 
-void MachineLinks::SendTest(Micros now, Link& link) {
-  MachineMessage test;
-  test.kind = MachineKind::kTest;
+void NodeConnections::SendTest(Micros now, Link& link) {
+  NodeMessage test;
+  test.kind = NodeMessageKind::kHealthCheck;
   test.uid = ++tests_;
   test.cause = 0;
   link.tested = now;
-  Send(link, WriteMachineMessage(test));
+  Send(link, EncodeNodeMessage(test));
 }
 
-void MachineLinks::GiveUp(Micros now, NodeId machine, Uid uid) {
+void NodeConnections::GiveUp(Micros now, NodeId machine, RequestUid uid) {
   const auto it = links_.find(machine);
   if (it == links_.end()) return;
   Link& link = it->second;
@@ -195,7 +195,7 @@
   }
 }
 
-void MachineLinks::Release(Micros now, NodeId machine, Uid uid) {
+void NodeConnections::Release(Micros now, NodeId machine, RequestUid uid) {
   const auto it = links_.find(machine);
   if (it == links_.end()) return;
   Link& link = it->second;
@@ -206,21 +206,21 @@
   if (now >= link.retry_at) Connect(now, link);
 }
 
-void MachineLinks::Stand(Micros now, NodeId machine, bool before) {
+void NodeConnections::Stand(Micros now, NodeId machine, bool before) {
   Link& link = Of(machine);
   link.reopened |= before;
   if (link.standing++ == 0 && link.conn == 0) link.heard = now;
   if (link.conn == 0 && now >= link.retry_at) Connect(now, link);
 }
 
-void MachineLinks::Unstand(NodeId machine) {
+void NodeConnections::Unstand(NodeId machine) {
   const auto it = links_.find(machine);
   if (it == links_.end()) return;
   if (it->second.standing > 0 && --it->second.standing == 0) it->second.reopened = false;
   Forget(machine);
 }
 
-void MachineLinks::OnConnected(Micros now, ConnId conn) {
+void NodeConnections::OnConnected(Micros now, ConnId conn) {
   const auto it = by_conn_.find(conn);
   if (it == by_conn_.end()) return;
   Link& link = links_.at(it->second);
@@ -228,14 +228,14 @@
   link.connect_by = kNever;
   link.retry_wait = 0;
   link.used = now;
-  for (const Uid uid : std::exchange(link.owed, {})) SendStop(link, uid);
+  for (const RequestUid uid : std::exchange(link.owed, {})) SendStop(link, uid);
   // A machine learns who connected from the first message, and tells how tasks that stood have ended only
   // then: without one, releases came as late as the first test.
   if (link.standing > 0 && link.flights.empty()) SendTest(now, link);
   SendLine(now, link);
 }
 
-void MachineLinks::OnBytes(Micros now, ConnId conn, std::string_view bytes) {
+void NodeConnections::OnBytes(Micros now, ConnId conn, std::string_view bytes) {
   const auto it = by_conn_.find(conn);
   if (it == by_conn_.end()) return;
   Link& link = links_.at(it->second);
@@ -243,13 +243,13 @@
   link.spoke = true;
   link.tested = 0;
   link.reader.Feed(bytes);
-  MachineMessage message;
+  NodeMessage message;
   for (;;) {
     const auto state = link.reader.Next(&message);
-    if (state == MachineReader::State::kMore) break;
+    if (state == NodeMessageReader::State::kMore) break;
     // A stream that cannot be read is of no further use, for the other set-ups on it either.
-    if (state == MachineReader::State::kBroken) return Cut(now, link, link.reader.error().c_str(), true);
-    if (message.kind == MachineKind::kAnswer && !IsUtf8(message.Text(kDescription))) {
+    if (state == NodeMessageReader::State::kBroken) return Cut(now, link, link.reader.error().c_str(), true);
+    if (message.kind == NodeMessageKind::kAnswer && !IsUtf8(message.Text(kDescription))) {
       return Cut(now, link, "a description that is no UTF-8", true);
     }
     Read(now, link, message);
@@ -257,27 +257,27 @@
   link.partial_at = !link.reader.within_message() ? 0 : link.partial_at != 0 ? link.partial_at : now;
 }
 
-void MachineLinks::Read(Micros now, Link& link, const MachineMessage& message) {
-  LinkEvent event;
+void NodeConnections::Read(Micros now, Link& link, const NodeMessage& message) {
+  NodeConnectionEvent event;
   event.node = link.node;
   event.uid = message.uid;
   // Word under the id of a set-up that still waits in line is of an earlier one, and leaves it there.
   const auto flight = link.flights.find(message.uid);
   const bool ours = flight != link.flights.end() && flight->second.sent;
   switch (message.kind) {
-    case MachineKind::kAnswer:
+    case NodeMessageKind::kAnswer:
       // One that is not in flight here is a second copy, or of an attempt that was given up.
       if (!ours) return;
       link.flights.erase(flight);
-      event.kind = LinkEvent::Kind::kAnswered;
+      event.kind = NodeConnectionEvent::Kind::kAnswered;
       break;
-    case MachineKind::kStop:
-      event.kind = LinkEvent::Kind::kEnded;
+    case NodeMessageKind::kStop:
+      event.kind = NodeConnectionEvent::Kind::kEnded;
       event.standing = !ours;
       if (ours) link.flights.erase(flight);
       break;
-    case MachineKind::kNote:
-      event.kind = LinkEvent::Kind::kNoted;
+    case NodeMessageKind::kNote:
+      event.kind = NodeConnectionEvent::Kind::kNoted;
       break;
     default:
       return;
@@ -287,13 +287,13 @@
   events_.push_back(std::move(event));
 }
 
-void MachineLinks::Cut(Micros now, Link& link, const char* why, bool was_up) {
+void NodeConnections::Cut(Micros now, Link& link, const char* why, bool was_up) {
   port_->Log("machine at " + link.address + ": connection closed: " + why);
   port_->Close(link.conn, false);
   Drop(now, link, was_up);
 }
 
-void MachineLinks::Drop(Micros now, Link& link, bool was_up) {
+void NodeConnections::Drop(Micros now, Link& link, bool was_up) {
   by_conn_.erase(link.conn);
   link.conn = 0;
   link.up = false;
@@ -303,14 +303,16 @@
   link.reopened = link.standing > 0;
   link.line.clear();
   for (auto& [uid, flight] : std::exchange(link.flights, {})) {
-    Emit(was_up && flight.written ? LinkEvent::Kind::kMayHaveRun : LinkEvent::Kind::kNeverRan, link, uid);
+    Emit(was_up && flight.written ? NodeConnectionEvent::Kind::kMayHaveRun
+                                  : NodeConnectionEvent::Kind::kNeverRan,
+         link, uid);
   }
   link.retry_at = now + link.retry_wait;  // at once, then ever later
   link.retry_wait = std::min(kReconnectMost, std::max(kReconnectFirst, link.retry_wait * 2));
   if (!link.listed) Lose(link);
 }
 
-void MachineLinks::OnClosed(Micros now, ConnId conn, bool refused) {
+void NodeConnections::OnClosed(Micros now, ConnId conn, bool refused) {
   const auto it = by_conn_.find(conn);
   if (it == by_conn_.end()) return;
   Link& link = links_.at(it->second);
@@ -321,7 +323,7 @@
   Forget(machine);
 }
 
-Micros MachineLinks::DueOf(const Link& link) const {
+Micros NodeConnections::DueOf(const Link& link) const {
   if (link.conn == 0) {
     if (!Needed(link)) return kNever;
     return std::min(link.address.empty() ? kNever : link.retry_at,
@@ -334,13 +336,13 @@
                   Needed(link) ? kNever : (link.listed ? link.used + options_.idle : 0));
 }
 
-Micros MachineLinks::NextDue() const {
+Micros NodeConnections::NextDue() const {
   Micros due = kNever;
   for (const auto& [machine, link] : links_) due = std::min(due, DueOf(link));
   return due;
 }
 
-void MachineLinks::Tick(Micros now) {
+void NodeConnections::Tick(Micros now) {
   std::vector<std::pair<Micros, NodeId>> due;  // those not heard for longest first
   for (const auto& [machine, link] : links_) {
     if (DueOf(link) <= now) due.emplace_back(link.heard, machine);
--- a/src/platform/node_connections.hpp
+++ b/src/platform/node_connections.hpp
@@ -53,7 +53,7 @@
 inline constexpr Micros kReconnectFirst = 50'000;
 inline constexpr Micros kReconnectMost = 500'000;
 
-struct LinkEvent {
+struct NodeConnectionEvent {
   enum class Kind {
     kAnswered,     // the set-up stands
     kEnded,        // the set-up or the task ended by the machine's word
@@ -64,28 +64,28 @@
   };
   Kind kind = Kind::kAnswered;
   NodeId node = 0;
-  Uid uid = 0;
+  RequestUid uid = 0;
   bool standing = false;  // kEnded: of no set-up in flight here
-  MachineMessage message;
+  NodeMessage message;
 };
 
-struct LinkOptions {
+struct NodeConnectionOptions {
   std::size_t most_connections = 64;
   Micros connect_timeout = 250'000;
   Micros idle = 10'000'000;  // closed before the machine does
 };
 
-class MachineLinks {
+class NodeConnections {
  public:
-  MachineLinks(const LinkOptions& options, Port* port) : options_(options), port_(port) {}
+  NodeConnections(const NodeConnectionOptions& options, Transport* port) : options_(options), port_(port) {}
 
   // As the change log has it. An address that another machine takes over is lost to the one before.
   void Know(Micros now, NodeId machine, const std::string& address);
   void Gone(Micros now, NodeId machine);
 
-  void SetUp(Micros now, NodeId machine, Uid uid, std::string message);
-  void GiveUp(Micros now, NodeId machine, Uid uid);   // no event comes for it any more
-  void Release(Micros now, NodeId machine, Uid uid);  // cuts a task that stands
+  void SetUp(Micros now, NodeId machine, RequestUid uid, std::string message);
+  void GiveUp(Micros now, NodeId machine, RequestUid uid);   // no event comes for it any more
+  void Release(Micros now, NodeId machine, RequestUid uid);  // cuts a task that stands
   // Tasks that stand at a machine: word of them must be able to come.
   // `before`: they were placed before any connection of ours.
   void Stand(Micros now, NodeId machine, bool before = false);
@@ -99,7 +99,7 @@
 
   void Tick(Micros now);
   Micros NextDue() const;
-  std::vector<LinkEvent> Take();
+  std::vector<NodeConnectionEvent> Take();
 
   std::size_t connections() const { return by_conn_.size(); }
   std::size_t machines() const { return links_.size(); }
@@ -126,10 +126,10 @@
     Micros used = 0;
     Micros retry_at = 0, retry_wait = 0;
     std::size_t standing = 0;
-    MachineReader reader;
-    std::map<Uid, Flight> flights;
-    std::deque<Uid> line;  // flights that are not sent yet, in their order
-    std::deque<Uid> owed;
+    NodeMessageReader reader;
+    std::map<RequestUid, Flight> flights;
+    std::deque<RequestUid> line;  // flights that are not sent yet, in their order
+    std::deque<RequestUid> owed;
   };
 
   Link& Of(NodeId machine);
@@ -138,22 +138,22 @@
   bool MakeRoom(Micros now, bool for_set_up);
   void SendLine(Micros now, Link& link);
   void Send(Link& link, const std::string& bytes);
-  void SendStop(Link& link, Uid uid);
+  void SendStop(Link& link, RequestUid uid);
   void SendTest(Micros now, Link& link);
-  void Read(Micros now, Link& link, const MachineMessage& message);
+  void Read(Micros now, Link& link, const NodeMessage& message);
   // The connection is no more: what was on it gets its event.
   void Drop(Micros now, Link& link, bool was_up);
   void Cut(Micros now, Link& link, const char* why, bool was_up);
   void Lose(Link& link);
   void Forget(NodeId machine);
   Micros DueOf(const Link& link) const;
-  void Emit(LinkEvent::Kind kind, const Link& link, Uid uid);
+  void Emit(NodeConnectionEvent::Kind kind, const Link& link, RequestUid uid);
 
-  LinkOptions options_;
-  Port* port_;
+  NodeConnectionOptions options_;
+  Transport* port_;
   std::map<NodeId, Link> links_;
   std::unordered_map<ConnId, NodeId> by_conn_;
-  std::vector<LinkEvent> events_;
+  std::vector<NodeConnectionEvent> events_;
   std::uint64_t tests_ = 0;
 };
 
--- a/src/platform/node_watch.cpp
+++ b/src/platform/node_watch.cpp
@@ -25,7 +25,7 @@
 }
 
 // An entry that lacks its name or state says nothing; the rest may be absent where a machine has gone.
-bool ReadEntry(const json& entry, ListedMachine* machine) {
+bool ReadEntry(const json& entry, ListedNode* machine) {
   if (!entry.is_object() || !Text(entry, "name", &machine->name) || machine->name.empty()) return false;
   if (!Text(entry, "status", &machine->status)) return false;
   Text(entry, "address", &machine->address);
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-bool ReadChanges(const json& reply, std::uint64_t since, std::vector<FleetChange>* changes,
+bool ReadChanges(const json& reply, std::uint64_t since, std::vector<NodeListChange>* changes,
                  std::uint64_t* last, bool* gap) {
   *last = since;
   *gap = false;
@@ -55,7 +55,7 @@
   const auto results = reply.find("results");
   if (results == reply.end() || !results->is_array()) return false;
   for (const json& event : *results) {
-    FleetChange change;
+    NodeListChange change;
     if (!event.is_object() || !Whole(event, "seq", &change.number)) return false;
     if (change.number <= *last) continue;
     const auto fleet = event.find("fleet");
@@ -64,9 +64,9 @@
       const auto whole = fleet->find("snapshot");
       change.whole = whole != fleet->end() && whole->is_boolean() && whole->get<bool>();
       const auto entries = fleet->find("endpoints");
-      if (entries == fleet->end() || !entries->is_array() || entries->size() > kMostMachines) return false;
+      if (entries == fleet->end() || !entries->is_array() || entries->size() > kMaxNodes) return false;
       for (const json& entry : *entries) {
-        ListedMachine machine;
+        ListedNode machine;
         if (ReadEntry(entry, &machine)) change.nodes.push_back(std::move(machine));
       }
     }
@@ -80,36 +80,36 @@
   return true;
 }
 
-std::vector<FleetChange> ChangeLog::Take() { return std::exchange(changes_, {}); }
+std::vector<NodeListChange> NodeWatch::Take() { return std::exchange(changes_, {}); }
 
-void ChangeLog::Follow(Micros now, const std::string& address) {
+void NodeWatch::Follow(Micros now, const std::string& address) {
   address_ = address;
   if (conn_ != 0) port_->Close(std::exchange(conn_, 0), false);
   wait_ = 0;
   Connect(now);
 }
 
-void ChangeLog::Connect(Micros now) {
+void NodeWatch::Connect(Micros now) {
   up_ = false;
-  reader_.emplace(http::Reader::Side::kReplies, kMostReply);
+  reader_.emplace(http::Reader::Side::kReplies, kMaxReplyBytes);
   conn_ = port_->Connect(address_);
   due_ = now + kConnectWait;
 }
 
-void ChangeLog::Ask(Micros now) {
+void NodeWatch::Ask(Micros now) {
   const std::string target =
       "/changes?since=" + std::to_string(last_) + "&timeout=" + std::to_string(kAskedWait / 1000);
   port_->Send(conn_, http::WriteRequest("GET", target, {{"Host", address_}}, ""));
   due_ = now + kAskedWait + kLate;
 }
 
-void ChangeLog::OnConnected(Micros now, ConnId conn) {
+void NodeWatch::OnConnected(Micros now, ConnId conn) {
   if (!Owns(conn)) return;
   up_ = true;
   Ask(now);
 }
 
-void ChangeLog::Break(Micros now, const std::string& why) {
+void NodeWatch::Break(Micros now, const std::string& why) {
   port_->Log("change log at " + address_ + ": asked again after " + std::to_string(last_) + ": " + why);
   if (conn_ != 0) port_->Close(std::exchange(conn_, 0), false);
   up_ = false;
@@ -117,11 +117,11 @@
   wait_ = std::min(kAskMost, std::max(kAskFirst, wait_ * 2));
 }
 
-bool ChangeLog::TakeReply(Micros now, const http::Message& reply) {
+bool NodeWatch::TakeReply(Micros now, const http::Message& reply) {
   const json read = reply.status == 200 ? json::parse(reply.body, nullptr, false) : json();
   std::uint64_t last = last_;
   bool gap = false;
-  std::vector<FleetChange> changes;
+  std::vector<NodeListChange> changes;
   if (!ReadChanges(read, last_, &changes, &last, &gap)) {
     Break(now, "a reply that cannot be used, status " + std::to_string(reply.status));
     return false;
@@ -139,7 +139,7 @@
   return true;
 }
 
-void ChangeLog::OnBytes(Micros now, ConnId conn, std::string_view bytes) {
+void NodeWatch::OnBytes(Micros now, ConnId conn, std::string_view bytes) {
   if (!Owns(conn)) return;
   const bool good = reader_->Feed(bytes);
   bool keep = true;
@@ -154,7 +154,7 @@
   if (!keep) Break(now, "closed after its reply");
 }
 
-void ChangeLog::OnClosed(Micros now, ConnId conn) {
+void NodeWatch::OnClosed(Micros now, ConnId conn) {
   if (!Owns(conn)) return;
   conn_ = 0;
   // A body that runs to the end of the connection is only now whole; what is no JSON was cut off.
@@ -166,7 +166,7 @@
   Break(now, up_ ? "the connection ended" : "no connection");
 }
 
-void ChangeLog::Tick(Micros now) {
+void NodeWatch::Tick(Micros now) {
   if (now < due_) return;
   if (conn_ != 0) return Break(now, up_ ? "no reply in time" : "no connection in time");
   Connect(now);
--- a/src/platform/node_watch.hpp
+++ b/src/platform/node_watch.hpp
@@ -21,8 +21,8 @@
 
 namespace mountflow::platform {
 
-inline constexpr std::size_t kMostReply = 2 << 20;
-inline constexpr std::size_t kMostMachines = 4096;
+inline constexpr std::size_t kMaxReplyBytes = 2 << 20;
+inline constexpr std::size_t kMaxNodes = 4096;
 // Short, so that what a silent change log would have told is known soon after it counts as told.
 inline constexpr Micros kAskedWait = 1'000'000;
 inline constexpr Micros kLate = 600'000;
@@ -32,28 +32,28 @@
 inline constexpr int kGapTries = 3;
 
 // One entry, as the change log words it.
-struct ListedMachine {
+struct ListedNode {
   std::string name, address, zone, kind, status;
   unsigned rack = 0;
   Micros started_at = 0;
   double free_cores = 0.0, free_memory = 0.0;
 };
 
-struct FleetChange {
+struct NodeListChange {
   std::uint64_t number = 0;
   bool whole = false;  // the whole list, not what has changed
-  std::vector<ListedMachine> nodes;
+  std::vector<ListedNode> nodes;
 };
 
 // Reads what a reply and `known` hold. False: it has not this form. Events after `since` are appended, in
 // order; `last` is the number of the last whole one; `gap`: one was missing, and nothing after it was taken.
-bool ReadChanges(const nlohmann::json& reply, std::uint64_t since, std::vector<FleetChange>* changes,
+bool ReadChanges(const nlohmann::json& reply, std::uint64_t since, std::vector<NodeListChange>* changes,
                  std::uint64_t* last, bool* gap);
 
-class ChangeLog {
+class NodeWatch {
  public:
   // `since`: the number of the last event that is known.
-  ChangeLog(std::string address, std::uint64_t since, Port* port)
+  NodeWatch(std::string address, std::uint64_t since, Transport* port)
       : address_(std::move(address)), last_(since), port_(port) {}
 
   void Follow(Micros now, const std::string& address);  // from now on, at once
@@ -65,7 +65,7 @@
 
   void Tick(Micros now);
   Micros NextDue() const { return due_; }
-  std::vector<FleetChange> Take();
+  std::vector<NodeListChange> Take();
   std::uint64_t last() const { return last_; }
 
  private:
@@ -76,14 +76,14 @@
 
   std::string address_;
   std::uint64_t last_;
-  Port* port_;
+  Transport* port_;
   ConnId conn_ = 0;
   bool up_ = false;
   Micros due_ = 0;  // to connect, or to give up the connection
   Micros wait_ = 0;
   int gaps_ = 0;
   std::optional<http::Reader> reader_;
-  std::vector<FleetChange> changes_;
+  std::vector<NodeListChange> changes_;
 };
 
 }  // namespace mountflow::platform
--- a/src/platform/platform_config.cpp
+++ b/src/platform/platform_config.cpp
@@ -69,7 +69,7 @@
 PlatformConfig ReadPlatformConfig(std::string_view text, const char* name, const char* listen) {
   PlatformConfig config;
   const auto bad = [&](const std::string& what) { config.errors.push_back(what); };
-  if (text.size() > kMostConfig) {
+  if (text.size() > kMaxConfigBytes) {
     bad("LB_CONFIG: expected at most 8 MiB");
     return config;
   }
@@ -139,7 +139,7 @@
 }
 
 std::string ReadChangeLogAddress(std::string_view text, std::string* error) {
-  const json read = text.size() > kMostConfig ? json() : json::parse(text, nullptr, false);
+  const json read = text.size() > kMaxConfigBytes ? json() : json::parse(text, nullptr, false);
   const auto it = read.is_object() ? read.find("changelog") : read.end();
   if (!read.is_object()) {
     *error = "expected a JSON object of at most 8 MiB";
--- a/src/platform/platform_config.hpp
+++ b/src/platform/platform_config.hpp
@@ -16,7 +16,7 @@
 
 namespace mountflow::platform {
 
-inline constexpr std::size_t kMostConfig = 8 << 20;
+inline constexpr std::size_t kMaxConfigBytes = 8 << 20;
 
 // Of all descriptors the process may hold. Owners hold at most a third by right; the rest of their part, an
 // eighth of all and at least kSilentOwners (as many as a turn accepts), is for what connects and says
@@ -33,7 +33,7 @@
   std::string name, listen, change_log;
   std::uint64_t seed = 0;
   std::size_t memory_mb = 32, sockets = 256;
-  std::vector<FleetChange> known;
+  std::vector<NodeListChange> known;
   std::uint64_t known_last = 0;
   settings::WireSettings wire;
   std::vector<std::string> errors;  // each names the key and what was expected
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -19,8 +19,8 @@
 constexpr std::size_t kMostClosing = 4;  // out of the descriptors that are for the program itself
 constexpr unsigned kLinesASecond = 20;
 
-platform::LinkOptions LinksOf(const platform::PlatformConfig& config) {
-  platform::LinkOptions options;
+platform::NodeConnectionOptions LinksOf(const platform::PlatformConfig& config) {
+  platform::NodeConnectionOptions options;
   options.most_connections = platform::SplitDescriptors(config.sockets).machines;
   if (config.wire.connect_timeout > 0) options.connect_timeout = config.wire.connect_timeout;
   // Well before the machine closes it: a set-up that crosses its close may have run.
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-void FoldedLog::Put(const std::string& line) {
+void RateLimitedLog::Put(const std::string& line) {
   // A full pipe must not stop the scheduler; a write of up to PIPE_BUF bytes to a writable one does not
   // block.
   pollfd out{STDERR_FILENO, POLLOUT, 0};
@@ -47,7 +47,7 @@
   }
 }
 
-void FoldedLog::Write(Micros now, const std::string& line) {
+void RateLimitedLog::Write(Micros now, const std::string& line) {
   if (now / 1'000'000 != second_) {
     if (left_out_ > 0) Put("(" + std::to_string(left_out_) + " more in that second)");
     second_ = now / 1'000'000;
@@ -62,8 +62,8 @@
   }
 }
 
-PlatformShell::PlatformShell(event_loop::Loop* loop, const platform::PlatformConfig& config,
-                             std::string config_file)
+PlatformServer::PlatformServer(event_loop::Loop* loop, const platform::PlatformConfig& config,
+                               std::string config_file)
     : loop_(loop),
       config_(config),
       config_file_(std::move(config_file)),
@@ -72,13 +72,13 @@
       owners_(platform::SplitDescriptors(config.sockets).owners, &tasks_, this),
       changes_(config.change_log, config.known_last, this) {}
 
-bool PlatformShell::Start(std::string* error) {
+bool PlatformServer::Start(std::string* error) {
   loop_->SetMostUnsent(config_.memory_mb * (1 << 20) / 512);  // of one connection
   loop_->SetMostClosing(kMostClosing);
   loop_->SetMostRead(kMostRead);
   loop_->SetTellPeers(false);
   tasks_.Start(loop_->Now(), config_.known);
-  std::vector<platform::FleetChange>().swap(config_.known);
+  std::vector<platform::NodeListChange>().swap(config_.known);
   listener_ = loop_->Listen(config_.listen, this, error);
   if (listener_ == 0) return false;
   loop_->SetAfterTurn([this] { AfterTurn(); });
@@ -86,7 +86,7 @@
   return true;
 }
 
-void PlatformShell::Trace(std::FILE* to) {
+void PlatformServer::Trace(std::FILE* to) {
   const auto write = [to](Micros at, const std::string& line) {
     std::fprintf(to, "%llu %s\n", static_cast<unsigned long long>(at), line.c_str());
     std::fflush(to);
@@ -95,25 +95,25 @@
   owners_.Trace(write);
 }
 
-void PlatformShell::OnAccepted(event_loop::ListenerId, event_loop::ConnId conn,
-                               const event_loop::PeerInfo& peer) {
+void PlatformServer::OnAccepted(event_loop::ListenerId, event_loop::ConnId conn,
+                                const event_loop::PeerInfo& peer) {
   last_new_ = loop_->Now();
   owners_.Accept(loop_->Now(), conn, peer.address);
 }
 
-void PlatformShell::OnConnected(event_loop::ConnId conn) {
+void PlatformServer::OnConnected(event_loop::ConnId conn) {
   if (changes_.Owns(conn)) return changes_.OnConnected(loop_->Now(), conn);
   links_.OnConnected(loop_->Now(), conn);
 }
 
-void PlatformShell::OnReceived(event_loop::ConnId conn, std::string_view bytes) {
+void PlatformServer::OnReceived(event_loop::ConnId conn, std::string_view bytes) {
   const Micros now = loop_->Now();
   if (owners_.Owns(conn)) {
     owners_.OnBytes(now, conn, bytes);
     if (owners_.Full(conn)) loop_->PauseReading(conn, true);
   } else if (changes_.Owns(conn)) {
     changes_.OnBytes(now, conn, bytes);
-    for (const platform::FleetChange& change : changes_.Take()) tasks_.Fleet(now, change);
+    for (const platform::NodeListChange& change : changes_.Take()) tasks_.Fleet(now, change);
   } else if (links_.Owns(conn)) {
     links_.OnBytes(now, conn, bytes);
     tasks_.FromLinks(now);
@@ -121,15 +121,15 @@
   owners_.Deliver(now);
 }
 
-void PlatformShell::OnSent(event_loop::ConnId conn) { links_.OnWritten(loop_->Now(), conn); }
+void PlatformServer::OnSent(event_loop::ConnId conn) { links_.OnWritten(loop_->Now(), conn); }
 
-void PlatformShell::OnClosed(event_loop::ConnId conn, const std::string& reason) {
+void PlatformServer::OnClosed(event_loop::ConnId conn, const std::string& reason) {
   const Micros now = loop_->Now();
   if (owners_.Owns(conn)) {
     owners_.OnClosed(now, conn);
   } else if (changes_.Owns(conn)) {
     changes_.OnClosed(now, conn);
-    for (const platform::FleetChange& change : changes_.Take()) tasks_.Fleet(now, change);
+    for (const platform::NodeListChange& change : changes_.Take()) tasks_.Fleet(now, change);
   } else {
     links_.OnClosed(now, conn, event_loop::Loop::Refused(reason));
     tasks_.FromLinks(now);
@@ -137,18 +137,18 @@
   owners_.Deliver(now);
 }
 
-void PlatformShell::OnTimer() {
+void PlatformServer::OnTimer() {
   const Micros now = loop_->Now();
   tasks_.Tick(now);
   links_.Tick(now);
   tasks_.FromLinks(now);
   changes_.Tick(now);
-  for (const platform::FleetChange& change : changes_.Take()) tasks_.Fleet(now, change);
+  for (const platform::NodeListChange& change : changes_.Take()) tasks_.Fleet(now, change);
   owners_.Tick(now);
   owners_.Deliver(now);
 }
 
-void PlatformShell::AfterTurn() {
+void PlatformServer::AfterTurn() {
   const Micros now = loop_->Now();
   bool more = false;
   if (owners_.waiting()) {
@@ -166,7 +166,7 @@
   loop_->SetMainTimer(more ? now : due, {});
 }
 
-void PlatformShell::Reload() {
+void PlatformServer::Reload() {
   std::string text, error;
   std::string address;
   if (!ReadFile(config_file_, &text)) {
@@ -179,14 +179,14 @@
   changes_.Follow(loop_->Now(), address);
 }
 
-void PlatformShell::Leave() {
+void PlatformServer::Leave() {
   if (leaving_ != 0) return;
   leaving_ = loop_->Now();
   owners_.SetReady(false);
   Log("leaving: tests fail from now on; what is open is answered");
 }
 
-void PlatformShell::MaybeLeave(Micros now) {
+void PlatformServer::MaybeLeave(Micros now) {
   if (leaving_ == 0 || now < leaving_ + kLeaveAfter) return;
   const Micros last = leaving_ + std::min(kLeaveLongest, config_.wire.longest_deadline) + kLeaveMargin;
   if (now < last &&
@@ -204,17 +204,17 @@
   loop_->Stop();
 }
 
-platform::ConnId PlatformShell::Connect(const std::string& address) { return loop_->Connect(address, this); }
-void PlatformShell::Send(platform::ConnId conn, std::string_view bytes) { loop_->Send(conn, bytes); }
-bool PlatformShell::AllWritten(platform::ConnId conn) const { return loop_->AllWritten(conn); }
-bool PlatformShell::HungUp(platform::ConnId conn) const { return loop_->HungUp(conn); }
-void PlatformShell::Close(platform::ConnId conn, bool flush) { loop_->Close(conn, flush); }
-void PlatformShell::Log(const std::string& line) { log_.Write(loop_->Now(), line); }
+platform::ConnId PlatformServer::Connect(const std::string& address) { return loop_->Connect(address, this); }
+void PlatformServer::Send(platform::ConnId conn, std::string_view bytes) { loop_->Send(conn, bytes); }
+bool PlatformServer::AllWritten(platform::ConnId conn) const { return loop_->AllWritten(conn); }
+bool PlatformServer::HungUp(platform::ConnId conn) const { return loop_->HungUp(conn); }
+void PlatformServer::Close(platform::ConnId conn, bool flush) { loop_->Close(conn, flush); }
+void PlatformServer::Log(const std::string& line) { log_.Write(loop_->Now(), line); }
 
 int RunPlatform(const std::string& trace) {
   // Before anything else: until then SIGHUP and SIGTERM end the program where it stands.
   event_loop::Loop loop;
-  PlatformShell* told = nullptr;
+  PlatformServer* told = nullptr;
   loop.OnSignal(SIGTERM, [&told] { told->Leave(); });
   loop.OnSignal(SIGINT, [&told] { told->Leave(); });
   loop.OnSignal(SIGHUP, [&told] { told->Reload(); });
@@ -230,7 +230,7 @@
   std::string().swap(text);
   for (const std::string& error : config.errors) std::fprintf(stderr, "mountflowd: %s\n", error.c_str());
   if (!config.ok()) return 1;
-  PlatformShell shell(&loop, config, file);
+  PlatformServer shell(&loop, config, file);
   if (!trace.empty()) {
     std::FILE* to = std::fopen(trace.c_str(), "w");
     if (to == nullptr) {
--- a/src/platform/platform_server.hpp
+++ b/src/platform/platform_server.hpp
@@ -28,7 +28,7 @@
 
 // Equal lines once a second, kLinesASecond in all; what is left out is counted. Never waits for whoever reads
 // the other end.
-class FoldedLog {
+class RateLimitedLog {
  public:
   void Write(Micros now, const std::string& line);
 
@@ -39,9 +39,9 @@
   std::set<std::string> said_;  // in this second
 };
 
-class PlatformShell : public event_loop::Handler, public platform::Port {
+class PlatformServer : public event_loop::Handler, public platform::Transport {
  public:
-  PlatformShell(event_loop::Loop* loop, const platform::PlatformConfig& config, std::string config_file);
+  PlatformServer(event_loop::Loop* loop, const platform::PlatformConfig& config, std::string config_file);
   bool Start(std::string* error);
   void Trace(std::FILE* to);  // what the module is told and does
   void Reload();
@@ -68,11 +68,11 @@
   event_loop::Loop* loop_;
   platform::PlatformConfig config_;
   std::string config_file_;
-  FoldedLog log_;
-  platform::MachineLinks links_;
-  platform::Tasks tasks_;
-  platform::Owners owners_;
-  platform::ChangeLog changes_;
+  RateLimitedLog log_;
+  platform::NodeConnections links_;
+  platform::Dispatcher tasks_;
+  platform::ClientConnections owners_;
+  platform::NodeWatch changes_;
   event_loop::ListenerId listener_ = 0;
   Micros leaving_ = 0, last_new_ = 0;
   bool looked_ = false;  // nothing was owed at the end of the turn before
--- a/src/platform/request_table.cpp
+++ b/src/platform/request_table.cpp
@@ -12,17 +12,17 @@
 constexpr std::size_t kMostLog = 100;  // lines a turn
 }  // namespace
 
-Tasks::Tasks(const settings::WireSettings& wire, std::uint64_t seed, MachineLinks* links,
-             std::size_t most_held)
+Dispatcher::Dispatcher(const settings::WireSettings& wire, std::uint64_t seed, NodeConnections* links,
+                       std::size_t most_held)
     : wire_(wire), links_(links), scheduler_(wire.settings, seed), most_held_(most_held) {}
 
-std::vector<OwnerOut> Tasks::Take() { return std::exchange(outs_, {}); }
-std::vector<std::string> Tasks::TakeLog() { return std::exchange(log_, {}); }
+std::vector<ClientNotification> Dispatcher::Take() { return std::exchange(outs_, {}); }
+std::vector<std::string> Dispatcher::TakeLog() { return std::exchange(log_, {}); }
 
 // ---- The fleet ----
 
 // Equal at all schedulers and after a restart: the module agrees on homes of services by this number.
-NodeId Tasks::IdOf(const std::string& name) {
+NodeId Dispatcher::IdOf(const std::string& name) {
   if (const auto it = ids_.find(name); it != ids_.end()) return it->second;
   std::uint32_t hash = 2166136261u;
   for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 16777619u;
@@ -32,7 +32,7 @@
   return hash;
 }
 
-NodeEntry Tasks::EntryOf(const ListedMachine& machine) {
+NodeEntry Dispatcher::EntryOf(const ListedNode& machine) {
   NodeEntry entry;
   entry.node = IdOf(machine.name);
   entry.rack = machine.rack;
@@ -47,27 +47,27 @@
   return entry;
 }
 
-void Tasks::Start(Micros now, const std::vector<FleetChange>& known) {
+void Dispatcher::Start(Micros now, const std::vector<NodeListChange>& known) {
   // Laid over each other first: the module starts with one list, as it was remembered.
-  std::map<std::string, ListedMachine> list;
-  for (const FleetChange& change : known) {
+  std::map<std::string, ListedNode> list;
+  for (const NodeListChange& change : known) {
     if (change.whole) list.clear();
-    for (const ListedMachine& machine : change.nodes) list[machine.name] = machine;
+    for (const ListedNode& machine : change.nodes) list[machine.name] = machine;
   }
-  FleetChange all;
+  NodeListChange all;
   all.whole = true;
   for (auto& [name, machine] : list) all.nodes.push_back(std::move(machine));
   Fleet(now, all, true);
 }
 
-void Tasks::Fleet(Micros now, const FleetChange& change, bool remembered) {
+void Dispatcher::Fleet(Micros now, const NodeListChange& change, bool remembered) {
   now_ = now;
   NodeListUpdate view;
   view.kind = remembered     ? NodeListKind::kCached
               : change.whole ? NodeListKind::kSnapshot
                              : NodeListKind::kDelta;
   std::set<std::string> named;
-  for (const ListedMachine& machine : change.nodes) {
+  for (const ListedNode& machine : change.nodes) {
     named.insert(machine.name);
     view.nodes.push_back(EntryOf(machine));
     const NodeEntry& entry = view.nodes.back();
@@ -97,7 +97,7 @@
 }
 
 // Names that come once must not add up for ever. What still holds tasks keeps its number.
-void Tasks::ForgetName(NodeId id) {
+void Dispatcher::ForgetName(NodeId id) {
   const auto it = names_.find(id);
   if (it == names_.end() || listed_.count(id) > 0 || standing_.count(id) > 0) return;
   ids_.erase(it->second);
@@ -106,17 +106,17 @@
 
 // ---- Set-ups ----
 
-void Tasks::Refuse(ConnId conn, Uid uid, int cause) {
-  OwnerOut out;
+void Dispatcher::Refuse(ConnId conn, RequestUid uid, int cause) {
+  ClientNotification out;
   out.conn = conn;
   out.answer = true;
-  out.message.kind = OwnerKind::kStop;
+  out.message.kind = ClientMessageKind::kStop;
   out.message.uid = uid;
   out.message.cause = cause;
   outs_.push_back(std::move(out));
 }
 
-Tasks::Took Tasks::SetUp(Micros now, ConnId conn, Host host, const OwnerMessage& message) {
+Dispatcher::Took Dispatcher::SetUp(Micros now, ConnId conn, Host host, const ClientMessage& message) {
   now_ = now;
   Task task;
   std::string at;
@@ -179,7 +179,7 @@
   return Took::kAsked;
 }
 
-void Tasks::Offered(const StartAttempt& offer) {
+void Dispatcher::Offered(const StartAttempt& offer) {
   const auto it = tasks_.find(offer.request);
   if (it == tasks_.end()) return;
   One& one = it->second;
@@ -196,22 +196,22 @@
   }
   const Micros until = offer.deadline == 0 ? one.deadline : std::min(offer.deadline, one.deadline);
   Due(offer.request, one, until);
-  MachineMessage message;
-  message.kind = MachineKind::kSetUp;
+  NodeMessage message;
+  message.kind = NodeMessageKind::kLaunch;
   message.uid = one.uid;
   message.params[kClass] = one.task_class;
   message.params[kWait] = std::to_string(std::max<Micros>(1, until > now_ ? (until - now_) / 1000 : 0));
   message.params[kTaskName] = one.name;
   if (!one.idem.empty()) message.params[kIdem] = one.idem;
   if (!one.description.empty()) message.params[kDescription] = one.description;
-  std::string bytes = WriteMachineMessage(message);
+  std::string bytes = EncodeNodeMessage(message);
   // Too long for this wire: no machine can get it, so it never ran.
   if (bytes.empty())
     return End(one, offer.request, AttemptResult::kNotSent, RejectionReason::kUnspecified, {}, false);
   links_->SetUp(now_, offer.node, one.uid, std::move(bytes));
 }
 
-void Tasks::Due(RequestId id, One& one, Micros at) {
+void Dispatcher::Due(RequestId id, One& one, Micros at) {
   if (one.until != kNever) due_.erase({one.until, id});
   one.until = at;
   if (at != kNever) due_.insert({at, id});
@@ -220,8 +220,8 @@
 // ---- Outcomes ----
 
 // The one place that tells the module how an attempt or a task ended.
-void Tasks::End(One& one, RequestId id, AttemptResult ending, RejectionReason cause, LoadReport report,
-                bool closed) {
+void Dispatcher::End(One& one, RequestId id, AttemptResult ending, RejectionReason cause, LoadReport report,
+                     bool closed) {
   if (!one.out) return;
   one.out = false;
   Due(id, one, kNever);
@@ -250,13 +250,13 @@
   Run();
 }
 
-void Tasks::CountStanding(ConnId conn, int change) {
+void Dispatcher::CountStanding(ConnId conn, int change) {
   std::size_t& count = standing_on_[conn];
   count += static_cast<std::size_t>(change);
   if (count == 0) standing_on_.erase(conn);
 }
 
-void Tasks::Drop(RequestId id) {
+void Dispatcher::Drop(RequestId id) {
   const auto it = tasks_.find(id);
   if (it == tasks_.end()) return;
   Due(id, it->second, kNever);
@@ -265,7 +265,7 @@
   tasks_.erase(it);
 }
 
-void Tasks::Answered(One& one) {
+void Dispatcher::Answered(One& one) {
   if (one.answered) return;
   one.answered = true;
   --open_;
@@ -275,9 +275,9 @@
   if (it->second.empty()) open_on_.erase(it);
 }
 
-void Tasks::Answer(One& one, OwnerMessage message) {
+void Dispatcher::Answer(One& one, ClientMessage message) {
   if (one.answered) return;
-  OwnerOut out;
+  ClientNotification out;
   out.conn = one.conn;
   out.answer = true;
   message.uid = one.uid;
@@ -286,28 +286,28 @@
   Answered(one);
 }
 
-void Tasks::Tell(const One& one, OwnerKind kind, int cause) {
-  OwnerOut out;
+void Dispatcher::Tell(const One& one, ClientMessageKind kind, int cause) {
+  ClientNotification out;
   out.conn = one.conn;
   out.host = one.host;
   out.anywhere = true;
   out.message.kind = kind;
   out.message.uid = one.uid;
-  if (kind == OwnerKind::kStop) out.message.cause = cause;
+  if (kind == ClientMessageKind::kStop) out.message.cause = cause;
   outs_.push_back(std::move(out));
 }
 
-void Tasks::FromLinks(Micros now) {
+void Dispatcher::FromLinks(Micros now) {
   now_ = now;
-  for (std::vector<LinkEvent> events = links_->Take(); !events.empty(); events = links_->Take()) {
-    for (LinkEvent& event : events) {
-      if (event.kind == LinkEvent::Kind::kMachineLost) {
+  for (std::vector<NodeConnectionEvent> events = links_->Take(); !events.empty(); events = links_->Take()) {
+    for (NodeConnectionEvent& event : events) {
+      if (event.kind == NodeConnectionEvent::Kind::kMachineLost) {
         const auto there = standing_.find(event.node);
         if (there == standing_.end()) continue;
         const std::set<RequestId> lost = there->second;
         for (const RequestId id : lost) {
           One& one = tasks_.at(id);
-          if (!one.ended) Tell(one, OwnerKind::kStop, kCauseFailed);
+          if (!one.ended) Tell(one, ClientMessageKind::kStop, kCauseFailed);
           End(one, id, one.ended ? AttemptResult::kCancelled : AttemptResult::kLost,
               RejectionReason::kUnspecified, {}, true);
         }
@@ -322,9 +322,9 @@
       One& one = tasks_.at(id);
       // One id goes to several machines: word of another attempt than the one that is out is not taken.
       if (!one.out || one.node != event.node) continue;
-      const MachineMessage& message = event.message;
+      const NodeMessage& message = event.message;
       switch (event.kind) {
-        case LinkEvent::Kind::kAnswered: {
+        case NodeConnectionEvent::Kind::kAnswered: {
           if (one.placed) break;
           one.placed = true;
           Due(id, one, kNever);
@@ -332,8 +332,8 @@
           CountStanding(one.conn, 1);
           links_->Stand(now, one.node);
           events_.push_back(TaskStarted{id, one.attempt, one.node, now > one.sent ? now - one.sent : 0});
-          OwnerMessage answer;
-          answer.kind = OwnerKind::kAnswer;
+          ClientMessage answer;
+          answer.kind = ClientMessageKind::kAnswer;
           answer.description = message.Text(kDescription);
           Answer(one, std::move(answer));
           held_ -= one.description.size();
@@ -343,23 +343,23 @@
           Run();
           break;
         }
-        case LinkEvent::Kind::kEnded: {
+        case NodeConnectionEvent::Kind::kEnded: {
           if (event.standing != one.placed) break;
           const int cause = message.cause.value_or(kCauseFailed);
           const AttemptResult ending = EndingOf(cause, one.placed);
           // Moved, or ended by its owner: no release is owed.
           if (one.placed && !one.ended && ending != AttemptResult::kCancelled)
-            Tell(one, OwnerKind::kStop, cause);
+            Tell(one, ClientMessageKind::kStop, cause);
           End(one, id, ending, CauseOf(message.Text(kSaid)), ReadReport(message), one.placed);
           break;
         }
-        case LinkEvent::Kind::kNeverRan:
+        case NodeConnectionEvent::Kind::kNeverRan:
           End(one, id, AttemptResult::kUnreachable, RejectionReason::kUnspecified, {}, false);
           break;
-        case LinkEvent::Kind::kMayHaveRun:
+        case NodeConnectionEvent::Kind::kMayHaveRun:
           End(one, id, AttemptResult::kLost, RejectionReason::kUnspecified, {}, false);
           break;
-        case LinkEvent::Kind::kNoted: {
+        case NodeConnectionEvent::Kind::kNoted: {
           TaskProgress note{id, one.attempt, one.node, ProgressKind::kRunning, 0.0};
           if (!ReadNoteKind(message.Text(kSaid), &note.kind)) break;
           ReadReported(message.Text(kFigure), &note.value);
@@ -367,7 +367,7 @@
           Run();
           break;
         }
-        case LinkEvent::Kind::kMachineLost:
+        case NodeConnectionEvent::Kind::kMachineLost:
           break;
       }
     }
@@ -376,7 +376,7 @@
 
 // ---- What owners say later ----
 
-void Tasks::Stop(Micros now, ConnId, Uid uid) {
+void Dispatcher::Stop(Micros now, ConnId, RequestUid uid) {
   now_ = now;
   const auto by_uid = by_uid_.find(uid);
   if (by_uid == by_uid_.end()) return;
@@ -402,7 +402,7 @@
   FromLinks(now);
 }
 
-void Tasks::OwnerLeft(Micros now, ConnId conn) {
+void Dispatcher::OwnerLeft(Micros now, ConnId conn) {
   const auto it = open_on_.find(conn);
   if (it == open_on_.end()) return;
   const std::set<RequestId> left = it->second;
@@ -411,17 +411,17 @@
   }
 }
 
-void Tasks::FailOpen(Micros now) {
+void Dispatcher::FailOpen(Micros now) {
   now_ = now;
   std::vector<RequestId> open;
   for (const auto& [conn, ids] : open_on_) open.insert(open.end(), ids.begin(), ids.end());
   for (const RequestId id : open) {
     const auto it = tasks_.find(id);
     if (it == tasks_.end() || it->second.answered) continue;
-    OwnerMessage failed;
-    failed.kind = OwnerKind::kStop;
+    ClientMessage failed;
+    failed.kind = ClientMessageKind::kStop;
     failed.cause = kCauseFailed;
-    const Uid uid = it->second.uid;
+    const RequestUid uid = it->second.uid;
     Answer(it->second, std::move(failed));
     Stop(now, 0, uid);
   }
@@ -429,7 +429,7 @@
 
 // ---- The module ----
 
-void Tasks::Run() {
+void Dispatcher::Run() {
   if (running_) return;  // an action's outcome waits its turn
   running_ = true;
   std::vector<Action> actions;
@@ -444,7 +444,7 @@
   running_ = false;
 }
 
-void Tasks::TraceTurn(const Event& event, const std::vector<Action>& actions) {
+void Dispatcher::TraceTurn(const Event& event, const std::vector<Action>& actions) {
   std::string told = Describe(event);
   if (const auto* running = std::get_if<TaskRecovered>(&event)) {
     told += " uid " + WriteHex(tasks_.at(running->task.request).uid);
@@ -456,7 +456,7 @@
   }
 }
 
-void Tasks::Act(const Action& action) {
+void Dispatcher::Act(const Action& action) {
   if (const auto* offer = std::get_if<StartAttempt>(&action)) return Offered(*offer);
   if (const auto* alarm = std::get_if<SetTimer>(&action)) {
     alarms_.insert({alarm->at, alarm->token});
@@ -477,16 +477,16 @@
   if (it == tasks_.end()) return;
   One& one = it->second;
   if (const auto* refusal = std::get_if<RejectTask>(&action)) {
-    OwnerMessage message;
-    message.kind = OwnerKind::kStop;
+    ClientMessage message;
+    message.kind = ClientMessageKind::kStop;
     message.cause = kCauseRefused;
     if (refusal->retry_after > 0)
       message.fields["wait"] = std::to_string((refusal->retry_after + 999) / 1000);
     Answer(one, std::move(message));
     if (!one.out) Drop(id);
   } else if (std::holds_alternative<FailTask>(action)) {
-    OwnerMessage message;
-    message.kind = OwnerKind::kStop;
+    ClientMessage message;
+    message.kind = ClientMessageKind::kStop;
     message.cause = kCauseFailed;
     Answer(one, std::move(message));
     if (!one.out) Drop(id);
@@ -497,18 +497,18 @@
   } else if (std::holds_alternative<MigrateTask>(action)) {
     if (!one.placed || one.ended) return;
     one.ended = true;
-    Tell(one, OwnerKind::kMove, 0);
+    Tell(one, ClientMessageKind::kMigrate, 0);
     links_->Release(now_, one.node, one.uid);
     Due(id, one, now_ + kReleaseWait);
   }
 }
 
-Micros Tasks::NextDue() const {
+Micros Dispatcher::NextDue() const {
   const Micros due = due_.empty() ? kNever : due_.begin()->first;
   return alarms_.empty() ? due : std::min(due, alarms_.begin()->first);
 }
 
-void Tasks::Tick(Micros now) {
+void Dispatcher::Tick(Micros now) {
   now_ = now;
   while (!alarms_.empty() && alarms_.begin()->first <= now) {
     const std::uint64_t token = alarms_.begin()->second;
--- a/src/platform/request_table.hpp
+++ b/src/platform/request_table.hpp
@@ -43,29 +43,29 @@
 // stands finds its way.
 using Host = std::uint32_t;  // of an owner, its IPv4 address
 
-struct OwnerOut {
+struct ClientNotification {
   ConnId conn = 0;
   Host host = 0;
   bool anywhere = false;  // another connection of that owner does as well
   bool answer = false;    // the final answer of a set-up
-  OwnerMessage message;
+  ClientMessage message;
 };
 
-class Tasks {
+class Dispatcher {
  public:
-  Tasks(const settings::WireSettings& wire, std::uint64_t seed, MachineLinks* links,
-        std::size_t most_held = 2 << 20);
+  Dispatcher(const settings::WireSettings& wire, std::uint64_t seed, NodeConnections* links,
+             std::size_t most_held = 2 << 20);
 
-  void Start(Micros now, const std::vector<FleetChange>& known);
-  void Fleet(Micros now, const FleetChange& change, bool remembered = false);
+  void Start(Micros now, const std::vector<NodeListChange>& known);
+  void Fleet(Micros now, const NodeListChange& change, bool remembered = false);
   // A set-up, from the connection it came on.
   enum class Took {
     kAsked,    // an answer is owed, or was given
     kRunning,  // it runs already, at the machine it names
     kTwice     // its id is open or stands already
   };
-  Took SetUp(Micros now, ConnId conn, Host host, const OwnerMessage& message);
-  void Stop(Micros now, ConnId conn, Uid uid);
+  Took SetUp(Micros now, ConnId conn, Host host, const ClientMessage& message);
+  void Stop(Micros now, ConnId conn, RequestUid uid);
   // The connection is no more: nobody waits for the answers of its open set-ups.
   void OwnerLeft(Micros now, ConnId conn);
   void FromLinks(Micros now);
@@ -79,7 +79,7 @@
   // Every event and action, as it happens, to `trace`.
   void Trace(std::function<void(Micros, const std::string&)> trace) { trace_ = std::move(trace); }
 
-  std::vector<OwnerOut> Take();
+  std::vector<ClientNotification> Take();
   std::vector<std::string> TakeLog();
   std::size_t open() const { return open_; }
   Micros last_asked() const { return last_asked_; }  // when the last set-up came that wants an answer
@@ -95,11 +95,11 @@
     const auto it = standing_on_.find(conn);
     return it == standing_on_.end() ? 0 : it->second;
   }
-  bool Holds(Uid uid) const { return by_uid_.count(uid) > 0; }
+  bool Holds(RequestUid uid) const { return by_uid_.count(uid) > 0; }
 
  private:
   struct One {
-    Uid uid = 0;
+    RequestUid uid = 0;
     ConnId conn = 0;
     Host host = 0;
     bool answered = false;  // its final answer is given, or no longer owed
@@ -121,25 +121,25 @@
   void Offered(const StartAttempt& offer);
   void End(One& one, RequestId id, AttemptResult ending, RejectionReason cause, LoadReport report,
            bool closed);
-  void Answer(One& one, OwnerMessage message);
+  void Answer(One& one, ClientMessage message);
   void Answered(One& one);
-  void Tell(const One& one, OwnerKind kind, int cause);
-  void Refuse(ConnId conn, Uid uid, int cause);
+  void Tell(const One& one, ClientMessageKind kind, int cause);
+  void Refuse(ConnId conn, RequestUid uid, int cause);
   void Due(RequestId id, One& one, Micros at);
   void Drop(RequestId id);
   void CountStanding(ConnId conn, int change);
   NodeId IdOf(const std::string& name);
   void ForgetName(NodeId id);
-  NodeEntry EntryOf(const ListedMachine& machine);
+  NodeEntry EntryOf(const ListedNode& machine);
 
   settings::WireSettings wire_;
-  MachineLinks* links_;
+  NodeConnections* links_;
   Scheduler scheduler_;
   Micros now_ = 0, last_asked_ = 0;
   RequestId next_ = 0;
   std::size_t open_ = 0, held_ = 0, most_held_;
   std::unordered_map<RequestId, One> tasks_;
-  std::unordered_map<Uid, RequestId> by_uid_;
+  std::unordered_map<RequestUid, RequestId> by_uid_;
   std::unordered_map<ConnId, std::set<RequestId>> open_on_;
   std::map<NodeId, std::set<RequestId>> standing_;
   std::unordered_map<ConnId, std::size_t> standing_on_;
@@ -150,7 +150,7 @@
   std::set<NodeId> listed_;
   std::deque<Event> events_;
   bool running_ = false;
-  std::vector<OwnerOut> outs_;
+  std::vector<ClientNotification> outs_;
   std::vector<std::string> log_;
   std::function<bool(ConnId)> has_left_;
   std::function<void(Micros, const std::string&)> trace_;
--- a/src/platform/transport.hpp
+++ b/src/platform/transport.hpp
@@ -12,14 +12,14 @@
 
 namespace mountflow::platform {
 
-using ConnId = std::uint64_t;  // 0: none
-using Uid = std::uint64_t;     // the 16 hex digits that name a set-up
+using ConnId = std::uint64_t;      // 0: none
+using RequestUid = std::uint64_t;  // the 16 hex digits that name a set-up
 inline constexpr Micros kNever = ~Micros{0};
-inline constexpr std::size_t kMostMessage = 16 << 10;  // bytes of one message, on either wire
+inline constexpr std::size_t kMaxMessageBytes = 16 << 10;  // bytes of one message, on either wire
 
-class Port {
+class Transport {
  public:
-  virtual ~Port() = default;
+  virtual ~Transport() = default;
   // The part that asked is told later that the connection stands, or that it is closed.
   virtual ConnId Connect(const std::string& address) = 0;
   virtual void Send(ConnId conn, std::string_view bytes) = 0;
--- a/tests/daemon/wire_golden_test.cpp
+++ b/tests/daemon/wire_golden_test.cpp
@@ -79,39 +79,39 @@
 
 void AddClientMessages(GoldenFile* golden) {
   for (int kind = 0; kind < 9; ++kind) {
-    platform::OwnerMessage message;
-    message.kind = static_cast<platform::OwnerKind>(kind);
+    platform::ClientMessage message;
+    message.kind = static_cast<platform::ClientMessageKind>(kind);
     message.uid = 0x9b1f03aa5c7e2d41u;
     message.fields = {{"class", "service"}, {"left", "2000"}};
     if (kind % 2 == 1) message.cause = 16;
     message.description = "a\r\nb \xc3\xa9 \"q\"";
-    const std::string line = platform::WriteOwnerLine(message);
+    const std::string line = platform::EncodeClientMessage(message);
     golden->AddBytes("client." + std::to_string(kind), line);
-    platform::OwnerReader reader;
+    platform::ClientMessageReader reader;
     reader.Feed(line);
-    platform::OwnerMessage read;
-    EXPECT_EQ(reader.Next(&read), platform::OwnerReader::State::kMessage) << kind;
+    platform::ClientMessage read;
+    EXPECT_EQ(reader.Next(&read), platform::ClientMessageReader::State::kMessage) << kind;
     EXPECT_EQ(read, message) << kind;
   }
 }
 
 void AddNodeMessages(GoldenFile* golden) {
   for (const int kind : {1, 6, 9, 12, 16, 44, 51, 52, 53}) {
-    platform::MachineMessage message;
-    message.kind = static_cast<platform::MachineKind>(kind);
+    platform::NodeMessage message;
+    message.kind = static_cast<platform::NodeMessageKind>(kind);
     message.uid = 0x9b1f03aa5c7e2d41u;
-    for (const platform::Param param :
+    for (const platform::NodeParameter param :
          {platform::kClass, platform::kWait, platform::kTaskName, platform::kSaid, platform::kReport,
           platform::kFigure, platform::kIdem, platform::kDescription}) {
       message.params[param] = "value " + std::to_string(message.params.size());
     }
     message.cause = 41;
-    const std::string bytes = platform::WriteMachineMessage(message);
+    const std::string bytes = platform::EncodeNodeMessage(message);
     golden->AddBytes("node." + std::to_string(kind), bytes);
-    platform::MachineReader reader;
+    platform::NodeMessageReader reader;
     reader.Feed(bytes);
-    platform::MachineMessage read;
-    if (reader.Next(&read) == platform::MachineReader::State::kMessage) {
+    platform::NodeMessage read;
+    if (reader.Next(&read) == platform::NodeMessageReader::State::kMessage) {
       EXPECT_EQ(read, message) << kind;
     } else {
       ADD_FAILURE() << kind << ": " << reader.error();
@@ -203,16 +203,16 @@
       EXPECT_EQ(pbs_protocol::Decode(bytes, &reply).state, pbs_protocol::DisState::kOk) << name;
       EXPECT_EQ("pbs.reply." + std::to_string(static_cast<unsigned>(reply.choice)), name);
     } else if (name.rfind("client.", 0) == 0) {
-      platform::OwnerReader reader;
+      platform::ClientMessageReader reader;
       reader.Feed(bytes);
-      platform::OwnerMessage message;
-      EXPECT_EQ(reader.Next(&message), platform::OwnerReader::State::kMessage) << name;
+      platform::ClientMessage message;
+      EXPECT_EQ(reader.Next(&message), platform::ClientMessageReader::State::kMessage) << name;
       EXPECT_EQ("client." + std::to_string(static_cast<int>(message.kind)), name);
     } else if (name.rfind("node.", 0) == 0) {
-      platform::MachineReader reader;
+      platform::NodeMessageReader reader;
       reader.Feed(bytes);
-      platform::MachineMessage message;
-      EXPECT_EQ(reader.Next(&message), platform::MachineReader::State::kMessage) << name;
+      platform::NodeMessage message;
+      EXPECT_EQ(reader.Next(&message), platform::NodeMessageReader::State::kMessage) << name;
       EXPECT_EQ("node." + std::to_string(static_cast<int>(message.kind)), name);
     } else {
       continue;
--- a/tests/platform/platform_codec_test.cpp
+++ b/tests/platform/platform_codec_test.cpp
@@ -8,8 +8,8 @@
 namespace mountflow::testing {
 namespace {
 
-using OState = OwnerReader::State;
-using MState = MachineReader::State;
+using OState = ClientMessageReader::State;
+using MState = NodeMessageReader::State;
 
 template <typename Reader, typename Message>
 std::vector<Message> ReadInPieces(const std::string& bytes, std::size_t piece, bool* broken) {
@@ -48,51 +48,53 @@
 
 TEST(OwnerWire, RoundTripsInAnySplit) {
   EXPECT_TRUE(rc::check([] {
-    std::vector<OwnerMessage> written;
+    std::vector<ClientMessage> written;
     std::string bytes;
     for (int i = *rc::gen::inRange(1, 5); i > 0; --i) {
-      OwnerMessage m;
-      m.kind = static_cast<OwnerKind>(*rc::gen::inRange(0, 9));
+      ClientMessage m;
+      m.kind = static_cast<ClientMessageKind>(*rc::gen::inRange(0, 9));
       m.uid = *rc::gen::arbitrary<std::uint64_t>();
       for (int f = *rc::gen::inRange(0, 4); f > 0; --f) m.fields["f" + std::to_string(f)] = AnyText(40);
       if (*rc::gen::arbitrary<bool>()) m.cause = *rc::gen::inRange(0, 256);
       m.description = AnyText(200);
-      bytes += WriteOwnerLine(m);
+      bytes += EncodeClientMessage(m);
       written.push_back(m);
     }
     bool broken = false;
     const std::size_t piece = *rc::gen::inRange<std::size_t>(1, bytes.size() + 1);
-    RC_ASSERT((ReadInPieces<OwnerReader, OwnerMessage>(bytes, piece, &broken) == written));
+    RC_ASSERT((ReadInPieces<ClientMessageReader, ClientMessage>(bytes, piece, &broken) == written));
     RC_ASSERT(!broken);
   }));
 }
 
 TEST(MachineWire, RoundTripsInAnySplitWithAnyBytes) {
   EXPECT_TRUE(rc::check([] {
-    const std::vector<MachineKind> kinds = {MachineKind::kSetUp, MachineKind::kAnswer, MachineKind::kStop,
-                                            MachineKind::kNote,  MachineKind::kTest,   MachineKind::kTested};
-    std::vector<MachineMessage> written;
+    const std::vector<NodeMessageKind> kinds = {
+        NodeMessageKind::kLaunch, NodeMessageKind::kAnswer,      NodeMessageKind::kStop,
+        NodeMessageKind::kNote,   NodeMessageKind::kHealthCheck, NodeMessageKind::kHealthCheckReply};
+    std::vector<NodeMessage> written;
     std::string bytes;
     for (int i = *rc::gen::inRange(1, 5); i > 0; --i) {
-      MachineMessage m;
+      NodeMessage m;
       m.kind = *rc::gen::elementOf(kinds);
       m.uid = *rc::gen::arbitrary<std::uint64_t>();
       if (*rc::gen::arbitrary<bool>()) m.cause = *rc::gen::arbitrary<std::uint8_t>();
       for (const std::uint8_t code : {kClass, kWait, kReport, kDescription}) {
         if (*rc::gen::arbitrary<bool>()) m.params[code] = *rc::gen::arbitrary<std::string>();
       }
-      bytes += WriteMachineMessage(m);
+      bytes += EncodeNodeMessage(m);
       written.push_back(m);
     }
     bool broken = false;
     const std::size_t piece = *rc::gen::inRange<std::size_t>(1, bytes.size() + 1);
-    RC_ASSERT((ReadInPieces<MachineReader, MachineMessage>(bytes, piece, &broken) == written));
+    RC_ASSERT((ReadInPieces<NodeMessageReader, NodeMessage>(bytes, piece, &broken) == written));
     RC_ASSERT(!broken);
   }));
 }
 
 TEST(MachineWire, WritesAsThePagesSay) {
-  const std::string bytes = MachineBytes(MachineKind::kStop, 0x9b1f03aa5c7e2d41u, 16, {{kClass, "batch"}});
+  const std::string bytes =
+      MachineBytes(NodeMessageKind::kStop, 0x9b1f03aa5c7e2d41u, 16, {{kClass, "batch"}});
   EXPECT_EQ(bytes, std::string("\x00\x15\x0c\x9b\x1f\x03\xaa\x5c\x7e\x2d\x41\x81\x00\x05"
                                "batch\xab\x00\x01\x10",
                                23));
@@ -104,7 +106,7 @@
 };
 
 TEST(MachineWire, WhatCannotBeReadIsBrokenAtOnce) {
-  const std::string good = MachineBytes(MachineKind::kAnswer, 7, -1, {{kDescription, "yes"}});
+  const std::string good = MachineBytes(NodeMessageKind::kAnswer, 7, -1, {{kDescription, "yes"}});
   const auto changed = [&](std::size_t at, char to) {
     std::string bytes = good;
     bytes[at] = to;
@@ -123,14 +125,14 @@
        std::string("\x00\x0f\x09", 3) + std::string(8, 'i') + std::string("\xae\x00\x00\xae\x00\x00", 6)},
   };
   for (const BadBytes& row : rows) {
-    MachineReader reader;
-    MachineMessage message;
+    NodeMessageReader reader;
+    NodeMessage message;
     reader.Feed(row.bytes);
     EXPECT_EQ(reader.Next(&message), MState::kBroken) << row.name;
     reader.Feed(good);
     EXPECT_EQ(reader.Next(&message), MState::kBroken) << row.name << ": and stays so";
   }
-  EXPECT_EQ(MachineBytes(MachineKind::kSetUp, 1, -1, {{kDescription, std::string(16 << 10, 'x')}}), "");
+  EXPECT_EQ(MachineBytes(NodeMessageKind::kLaunch, 1, -1, {{kDescription, std::string(16 << 10, 'x')}}), "");
 }
 
 TEST(OwnerWire, BadInputIsAValue) {
@@ -156,8 +158,8 @@
       {"{\"kind\":\"launch\",\"uid\":\"9b1f03aa5c7e2d41\",\"meta\":{\"left\":1500}}\n", OState::kMessage},
   };
   for (const auto& [bytes, expected] : rows) {
-    OwnerReader reader;
-    OwnerMessage message;
+    ClientMessageReader reader;
+    ClientMessage message;
     reader.Feed(bytes);
     EXPECT_EQ(reader.Next(&message), expected) << bytes.substr(0, 80);
     if (expected == OState::kUnusable) {
@@ -254,7 +256,7 @@
 struct LogRig {
   FakePort port;
   Micros now = kSec;
-  ChangeLog log{"a:1", 4, &port};
+  NodeWatch log{"a:1", 4, &port};
   ConnId Up(const std::string& address = "a:1") {
     log.Tick(now);
     const ConnId conn = port.ConnTo(address);
@@ -268,7 +270,7 @@
 };
 
 // The danger: an event taken in part, or one lost between two connections.
-TEST(ChangeLog, ACutAtEveryByteLosesNothingAndTakesNoHalf) {
+TEST(NodeWatch, ACutAtEveryByteLosesNothingAndTakesNoHalf) {
   const std::string reply = Reply(Event(5, "x") + "," + Event(6, "y"), 6);
   for (std::size_t cut = 0; cut <= reply.size(); ++cut) {
     LogRig rig;
@@ -290,7 +292,7 @@
   }
 }
 
-TEST(ChangeLog, SilenceIsABreakAfterTheAskedWait) {
+TEST(NodeWatch, SilenceIsABreakAfterTheAskedWait) {
   LogRig rig;
   const ConnId conn = rig.Up();
   rig.log.OnBytes(rig.now, conn, Reply("", 4).substr(0, 30));
@@ -303,7 +305,7 @@
   EXPECT_NE(rig.Up(), 0u);
 }
 
-TEST(ChangeLog, NumbersThatRepeatOrSkip) {
+TEST(NodeWatch, NumbersThatRepeatOrSkip) {
   LogRig rig;
   ConnId conn = rig.Up();
   rig.log.OnBytes(rig.now, conn, Reply(Event(3, "old") + "," + Event(5, "x") + "," + Event(5, "x"), 5));
@@ -323,7 +325,7 @@
   EXPECT_EQ(rig.log.last(), 9u);
 }
 
-TEST(ChangeLog, ANewAddressIsFollowedAtOnceAndTheOldOneIsNotHeard) {
+TEST(NodeWatch, ANewAddressIsFollowedAtOnceAndTheOldOneIsNotHeard) {
   LogRig rig;
   const ConnId old = rig.Up();
   rig.log.Follow(rig.now, "b:2");
@@ -335,7 +337,7 @@
   EXPECT_EQ(rig.Asked(conn), "GET /changes?since=4&timeout=1000");  // the numbering goes on
 }
 
-TEST(ChangeLog, WhatCannotBeUsedIsAskedForAgainEverLater) {
+TEST(NodeWatch, WhatCannotBeUsedIsAskedForAgainEverLater) {
   LogRig rig;
   for (const std::string& bad :
        {http::WriteReply(500, {}, "no", true), http::WriteReply(200, {}, "{\"results\":7}", true),
--- a/tests/platform/platform_process_test.cpp
+++ b/tests/platform/platform_process_test.cpp
@@ -7,24 +7,24 @@
 TEST_F(PlatformWhole, ACalmPath) {
   Start();
   StandOwner& owner = Owner();
-  for (Uid uid = 1; uid <= 200; ++uid) owner.Ask(uid, uid % 20 == 0 ? "batch" : "service", 2000);
+  for (RequestUid uid = 1; uid <= 200; ++uid) owner.Ask(uid, uid % 20 == 0 ? "batch" : "service", 2000);
   Until([&] { return owner.final.size() == 200; });
   std::size_t placed = 0;
   for (const auto& m : machines) {
-    for (const Uid uid : m->standing) {
+    for (const RequestUid uid : m->standing) {
       ++placed;
       EXPECT_EQ(owner.final[uid].description, "yes from " + m->name);  // the machine's own, unchanged
     }
-    for (const MachineMessage& s : m->set_ups) EXPECT_EQ(s.Text(kDescription), "asked by " + WriteHex(s.uid));
+    for (const NodeMessage& s : m->set_ups) EXPECT_EQ(s.Text(kDescription), "asked by " + WriteHex(s.uid));
   }
   EXPECT_GT(placed, 60u);
   // Ends, from either side.
   StandMachine& first = *machines[0];
-  const Uid ended = *first.standing.begin();
+  const RequestUid ended = *first.standing.begin();
   first.End(ended, 16);
   Until([&] { return owner.released.count(ended) > 0; });
   EXPECT_EQ(owner.released[ended].size(), 1u);
-  const Uid stopped = *first.standing.begin();
+  const RequestUid stopped = *first.standing.begin();
   owner.Stop(stopped);
   Until([&] { return first.standing.count(stopped) == 0; });
   Kept();
@@ -37,7 +37,7 @@
   unsigned n = 0;
   for (auto& m : machines) {
     StandMachine* machine = m.get();
-    machine->reply = [machine, &n](const MachineMessage& s) -> std::string {
+    machine->reply = [machine, &n](const NodeMessage& s) -> std::string {
       switch (++n % 60) {
         case 0:
           return "reset";
@@ -62,18 +62,18 @@
     machine->reset_new = 1;
   }
   StandOwner& owner = Owner();
-  for (Uid uid = 1; uid <= 300; ++uid) {
+  for (RequestUid uid = 1; uid <= 300; ++uid) {
     owner.Ask(uid, uid % 10 == 0 ? "batch" : "service", 2500, WriteHex(uid % 7));
     if (uid % 5 != 0) continue;
     Until([&] { return owner.final.size() == uid; });
     for (auto& m : machines) {
-      for (const Uid standing : std::set<Uid>(m->standing)) m->End(standing, 16);
+      for (const RequestUid standing : std::set<RequestUid>(m->standing)) m->End(standing, 16);
     }
   }
   Until([&] { return owner.final.size() == 300; });
   EXPECT_FALSE(owner.closed);
   std::size_t placed = 0;
-  for (const auto& [uid, m] : owner.final) placed += m.kind == OwnerKind::kAnswer;
+  for (const auto& [uid, m] : owner.final) placed += m.kind == ClientMessageKind::kAnswer;
   EXPECT_GT(placed, 50u);
   Kept();
 }
@@ -81,13 +81,13 @@
 TEST_F(PlatformWhole, AMachinesDeathAndADrain) {
   Start();
   StandOwner& owner = Owner();
-  for (Uid uid = 1; uid <= 40; ++uid) owner.Ask(uid, "service", 2000, WriteHex(uid));
+  for (RequestUid uid = 1; uid <= 40; ++uid) owner.Ask(uid, "service", 2000, WriteHex(uid));
   Until([&] { return owner.final.size() == 40; });
-  const std::set<Uid> lost = machines[1]->standing;
-  for (const Uid uid : lost) record.push_back({loop.Now(), Passed::What::kLeft, uid, "m-1"});
+  const std::set<RequestUid> lost = machines[1]->standing;
+  for (const RequestUid uid : lost) record.push_back({loop.Now(), Passed::What::kLeft, uid, "m-1"});
   machines[1]->Die();
   Until([&] {
-    for (const Uid uid : lost) {
+    for (const RequestUid uid : lost) {
       if (owner.released.count(uid) == 0) return false;
     }
     return true;
@@ -96,7 +96,7 @@
   Told(*machines[2], 1);
   Until([&] { return !log.asked.empty() && log.asked.back() == 2; });
   const std::size_t before = machines[2]->set_ups.size();
-  for (Uid uid = 101; uid <= 160; ++uid) owner.Ask(uid, "service", 2000, WriteHex(uid));
+  for (RequestUid uid = 101; uid <= 160; ++uid) owner.Ask(uid, "service", 2000, WriteHex(uid));
   Until([&] { return owner.final.size() == 100; });
   EXPECT_EQ(machines[2]->set_ups.size(), before);
   Kept();
@@ -120,7 +120,7 @@
     refused.back()->Raw("{\"kind\":\"launch\",\"uid\":\"00000000000000aa\",\"meta\":{\"class\":\"" +
                         std::string(task_class) + "\",\"left\":\"1\"},\"body\":\"\"}\n");
   }
-  for (Uid uid = 1; uid <= 100; ++uid) usual.Ask(uid, "service", 2000, WriteHex(uid));
+  for (RequestUid uid = 1; uid <= 100; ++uid) usual.Ask(uid, "service", 2000, WriteHex(uid));
   Until([&] { return usual.final.size() == 100; });
   const Micros from = loop.Now();
   Until([&] {
@@ -133,7 +133,7 @@
     return true;
   });
   EXPECT_LT(loop.Now() - from, 6'000'000u);
-  for (StandOwner* o : refused) EXPECT_NE(o->final.begin()->second.kind, OwnerKind::kAnswer);
+  for (StandOwner* o : refused) EXPECT_NE(o->final.begin()->second.kind, ClientMessageKind::kAnswer);
   std::erase_if(record, [](const Passed& p) { return p.uid == 0xaa; });
   Kept();
 }
@@ -158,7 +158,7 @@
   Told(*machines[0], 2);
   Until([&] { return other.asked.back() == 3; });
   StandOwner& owner = Owner();
-  for (Uid uid = 1; uid <= 50; ++uid) owner.Ask(uid, "service", 2000, WriteHex(uid));
+  for (RequestUid uid = 1; uid <= 50; ++uid) owner.Ask(uid, "service", 2000, WriteHex(uid));
   Until([&] { return owner.final.size() == 50; });
   EXPECT_TRUE(machines[0]->set_ups.empty());
   Kept();
@@ -167,15 +167,15 @@
 TEST_F(PlatformWhole, LeavingAnswersAllThatComesAndEndsWithZero) {
   Start();
   StandOwner& owner = Owner();
-  std::vector<std::pair<StandMachine*, MachineMessage>> held;
+  std::vector<std::pair<StandMachine*, NodeMessage>> held;
   for (auto& m : machines) {
     StandMachine* machine = m.get();
-    machine->reply = [machine, &held](const MachineMessage& s) {
+    machine->reply = [machine, &held](const NodeMessage& s) {
       held.emplace_back(machine, s);
       return std::string();
     };
   }
-  for (Uid uid = 1; uid <= 20; ++uid) owner.Ask(uid, "service", 2500, WriteHex(uid));
+  for (RequestUid uid = 1; uid <= 20; ++uid) owner.Ask(uid, "service", 2500, WriteHex(uid));
   Until([&] { return held.size() == 20; });
   daemon->Signal(SIGTERM);
   daemon->Signal(SIGTERM);  // a second one changes nothing
@@ -187,7 +187,7 @@
   Until([&] { return held.size() == 21; });
   for (auto& [machine, s] : held) machine->Say(machine->Yes(s.uid));
   Until([&] { return owner.final.size() == 20 && late.final.size() == 1; });
-  for (const auto& [uid, m] : owner.final) EXPECT_EQ(m.kind, OwnerKind::kAnswer);
+  for (const auto& [uid, m] : owner.final) EXPECT_EQ(m.kind, ClientMessageKind::kAnswer);
   EXPECT_EQ(daemon->Wait(), 0);
   Kept();
 }
@@ -202,7 +202,8 @@
 // The judge must be able to see: a doctored breach of each rule.
 TEST(PlatformJudge, CatchesABreachOfEachRule) {
   using What = Passed::What;
-  const auto passed = [](Micros at, What what, Uid uid, const std::string& machine = "", int cause = -1) {
+  const auto passed = [](Micros at, What what, RequestUid uid, const std::string& machine = "",
+                         int cause = -1) {
     Passed p{at, what, uid, machine, cause};
     p.task_class = "service";
     p.left = 1'000'000;
@@ -275,7 +276,7 @@
   cold.started_at = 1;
   r = {cold};
   Record spread = {told1};
-  for (Uid uid = 1; uid <= 13; ++uid) {
+  for (RequestUid uid = 1; uid <= 13; ++uid) {
     for (Record* to : {&r, &spread}) {
       to->push_back(passed(2, What::kAsked, uid));
       to->push_back(passed(3, What::kOut, uid, "a"));
--- a/tests/platform/platform_races_test.cpp
+++ b/tests/platform/platform_races_test.cpp
@@ -5,13 +5,13 @@
 namespace mountflow::testing {
 namespace {
 
-constexpr Uid kUid = 0x9b1f03aa5c7e2d41u;
-constexpr Uid kNext = kUid + 0x100;
+constexpr RequestUid kUid = 0x9b1f03aa5c7e2d41u;
+constexpr RequestUid kNext = kUid + 0x100;
 
-std::string Ends(Uid uid, int cause) { return MachineBytes(MachineKind::kStop, uid, cause); }
+std::string Ends(RequestUid uid, int cause) { return MachineBytes(NodeMessageKind::kStop, uid, cause); }
 
-ListedMachine Listed(const std::string& name, const std::string& address, unsigned cell = 0) {
-  ListedMachine machine;
+ListedNode Listed(const std::string& name, const std::string& address, unsigned cell = 0) {
+  ListedNode machine;
   machine.name = name, machine.address = address, machine.zone = "left", machine.kind = "big";
   machine.status = "ready", machine.rack = cell, machine.free_cores = 32, machine.free_memory = 64;
   return machine;
@@ -85,11 +85,11 @@
   rig.port.writes = false;
   rig.links.SetUp(rig.now, 1, 11, "");
   rig.links.Know(rig.now, 1, "10.0.0.1:1");
-  for (const Uid uid : {14u, 12u, 13u})
-    rig.links.SetUp(rig.now, 1, uid, MachineBytes(MachineKind::kSetUp, uid));
+  for (const RequestUid uid : {14u, 12u, 13u})
+    rig.links.SetUp(rig.now, 1, uid, MachineBytes(NodeMessageKind::kLaunch, uid));
   const ConnId conn = rig.port.ConnTo("10.0.0.1:1");
   rig.links.OnConnected(rig.now, conn);
-  std::vector<Uid> order;
+  std::vector<RequestUid> order;
   for (int i = 0; i < 3; ++i) {
     const auto sent = rig.port.Machine(conn);
     ASSERT_EQ(sent.size(), 1u) << "one that the kernel has not taken, at most";
@@ -97,29 +97,30 @@
     rig.port.behind.erase(conn);
     rig.links.OnWritten(rig.now, conn);
   }
-  EXPECT_EQ(order, (std::vector<Uid>{14, 12, 13}));
+  EXPECT_EQ(order, (std::vector<RequestUid>{14, 12, 13}));
 }
 
 // The danger: word under the id of a set-up in line took it from the flights and left it in the line: the
 // next send threw.
 TEST(PlatformCrossings, WordUnderTheIdOfASetUpInLineIsNotItsOwn) {
-  for (const MachineKind kind : {MachineKind::kAnswer, MachineKind::kStop}) {
+  for (const NodeMessageKind kind : {NodeMessageKind::kAnswer, NodeMessageKind::kStop}) {
     FakePort port;
-    MachineLinks links(LinkOptions{}, &port);
+    NodeConnections links(NodeConnectionOptions{}, &port);
     const Micros now = kSec;
     links.Know(now, 1, "10.0.0.1:1");
     port.writes = false;
-    for (const Uid uid : {11u, 12u}) links.SetUp(now, 1, uid, MachineBytes(MachineKind::kSetUp, uid));
+    for (const RequestUid uid : {11u, 12u})
+      links.SetUp(now, 1, uid, MachineBytes(NodeMessageKind::kLaunch, uid));
     const ConnId conn = port.ConnTo("10.0.0.1:1");
     links.OnConnected(now, conn);
-    links.OnBytes(now, conn, MachineBytes(kind, 12, kind == MachineKind::kStop ? 34 : -1));
-    for (const LinkEvent& event : links.Take()) EXPECT_TRUE(event.standing);
+    links.OnBytes(now, conn, MachineBytes(kind, 12, kind == NodeMessageKind::kStop ? 34 : -1));
+    for (const NodeConnectionEvent& event : links.Take()) EXPECT_TRUE(event.standing);
     port.behind.clear();
     links.OnWritten(now, conn);
     const auto sent = port.Machine(conn);
     ASSERT_EQ(sent.size(), 2u);
     EXPECT_EQ(sent[1].uid, 12u);
-    links.OnBytes(now, conn, MachineBytes(MachineKind::kAnswer, 12));
+    links.OnBytes(now, conn, MachineBytes(NodeMessageKind::kAnswer, 12));
     EXPECT_EQ(links.Take().size(), 1u);
   }
 }
@@ -132,7 +133,7 @@
   const ConnId conn = rig.Placing(kUid);
   rig.port.writes = true;
   rig.Pass(kTestAfter);
-  ASSERT_EQ(rig.port.Machine(conn).at(0).kind, MachineKind::kTest);
+  ASSERT_EQ(rig.port.Machine(conn).at(0).kind, NodeMessageKind::kHealthCheck);
   rig.Ended(conn);
   const auto said = rig.port.Owner(rig.owner);
   ASSERT_EQ(said.size(), 1u);
@@ -194,7 +195,7 @@
       }
       const std::string address = name == "m-1" ? "10.0.0.1:1" : "10.0.0.2:1";
       if (how == How::kReopened) rig.Up(rig.port.ConnTo(address));
-      FleetChange gone, fresh;
+      NodeListChange gone, fresh;
       gone.nodes = {Listed(name, address)};
       gone.nodes[0].status = "gone";
       fresh.nodes = {Listed("m-9", address)};
@@ -213,7 +214,7 @@
 TEST(PlatformCrossings, AConnectionFromBeforeStaysWithTheOldProcess) {
   PlatformRig rig;
   const ConnId conn = rig.Standing(kUid);
-  FleetChange fresh;
+  NodeListChange fresh;
   fresh.nodes = {Listed("m-9", rig.port.to.at(conn))};
   rig.tasks.Fleet(rig.now, fresh);
   EXPECT_EQ(rig.tasks.size(), 1u);
@@ -227,13 +228,13 @@
 TEST(PlatformCrossings, AWholeListWithoutAMachineEndsWhatStandsThere) {
   for (const bool connected : {false, true}) {
     PlatformRig rig;
-    for (Uid uid = kUid; uid < kUid + 2; ++uid) {
+    for (RequestUid uid = kUid; uid < kUid + 2; ++uid) {
       rig.Say(PlatformRig::Launch(uid, "service", 0, ";at:m-" + std::to_string(uid - kUid + 1)));
     }
     const ConnId first = rig.port.ConnTo("10.0.0.1:1"), second = rig.port.ConnTo("10.0.0.2:1");
     rig.Up(second);
     if (connected) rig.Up(first);
-    FleetChange whole;
+    NodeListChange whole;
     whole.whole = true;
     whole.nodes = {Listed("m-2", "10.0.0.2:1", 1)};
     rig.tasks.Fleet(rig.now, whole);
@@ -257,9 +258,9 @@
 TEST(PlatformCrossings, EveryEndIsHeardInTimeWithMoreMachinesThanDescriptors) {
   constexpr unsigned kMachines = 400;
   FakePort port;
-  LinkOptions options;
+  NodeConnectionOptions options;
   options.most_connections = 80;
-  MachineLinks links(options, &port);
+  NodeConnections links(options, &port);
   Micros now = 1'800'000'000 * kSec;
   for (NodeId m = 1; m <= kMachines; ++m) links.Know(now, m, "10.1.0." + std::to_string(m) + ":1");
   for (NodeId m = 1; m <= kMachines; ++m) links.Stand(now, m);
@@ -289,14 +290,15 @@
       const NodeId m = static_cast<NodeId>(std::stoul(address.substr(7, address.find(':') - 7)));
       links.OnConnected(now, conn);
       if (!port.Machine(conn).empty()) {  // only now a machine tells what it has
-        links.OnBytes(now, conn, MachineBytes(MachineKind::kTested, 1, 1));
+        links.OnBytes(now, conn, MachineBytes(NodeMessageKind::kHealthCheckReply, 1, 1));
         worst[m] = std::max(worst[m], now - last[m]);
         last[m] = now;
         ++opened;
       }
     }
     links.Tick(now);
-    for (const LinkEvent& event : links.Take()) EXPECT_NE(event.kind, LinkEvent::Kind::kMachineLost);
+    for (const NodeConnectionEvent& event : links.Take())
+      EXPECT_NE(event.kind, NodeConnectionEvent::Kind::kMachineLost);
     ASSERT_LE(port.to.size(), 80u);
   }
   Micros most = 0;
--- a/tests/platform/platform_search_test.cpp
+++ b/tests/platform/platform_search_test.cpp
@@ -71,7 +71,7 @@
   static std::string WhatPassed(const Record& record, const std::string& breach) {
     static const char* const kWords[] = {"asked", "given up", "gone", "final",   "out",
                                          "back",  "told",     "left", "released"};
-    Uid uid = 0;
+    RequestUid uid = 0;
     std::string text;
     if (breach.size() < 24 || !ReadHex(breach.substr(8, 16), 16, &uid)) return text;
     for (const Passed& p : record) {
@@ -90,22 +90,22 @@
   struct Node {
     std::unique_ptr<FakePort> port;
     PlatformConfig config;
-    std::unique_ptr<MachineLinks> links;
-    std::unique_ptr<Tasks> tasks;
-    std::unique_ptr<Owners> owners;
+    std::unique_ptr<NodeConnections> links;
+    std::unique_ptr<Dispatcher> tasks;
+    std::unique_ptr<ClientConnections> owners;
     unsigned life = 0;
     Micros tick_at = kNever;
     ConnId seen = kFirstMachineConn, next_owner = 0;
-    std::vector<ConnId> open;             // owners' connections
-    std::map<ConnId, OwnerReader> heard;  // by owners
-    std::set<std::string> knows;          // machines, by name
+    std::vector<ConnId> open;                     // owners' connections
+    std::map<ConnId, ClientMessageReader> heard;  // by owners
+    std::set<std::string> knows;                  // machines, by name
     Record record;
   };
   struct Wire {  // an open connection to a machine
     unsigned node, life;
     std::size_t machine;
-    MachineReader reader;
-    std::set<Uid> out;  // set-ups without an answer
+    NodeMessageReader reader;
+    std::set<RequestUid> out;  // set-ups without an answer
     bool spoke = false;
   };
   struct Machine {
@@ -132,8 +132,8 @@
     machines_.push_back(m);
     Tell(machines_.size() - 1);
   }
-  ListedMachine Entry(const Machine& m) const {
-    ListedMachine e;
+  ListedNode Entry(const Machine& m) const {
+    ListedNode e;
     e.name = m.name, e.address = m.address, e.zone = "left", e.kind = "big", e.status = m.status,
     e.rack = m.cell;
     e.started_at = m.started_at, e.free_cores = 24, e.free_memory = 48;
@@ -142,7 +142,7 @@
   // The change log tells; each scheduler hears it up to 1.5 s later, in order.
   void Tell(std::size_t which) {
     const Machine m = machines_[which];
-    FleetChange change;
+    NodeListChange change;
     change.nodes = {Entry(m)};
     Passed p{now_, What::kTold, 0, m.name};
     p.cause = m.status == "ready" ? 0 : m.status == "draining" ? 1 : 2;
@@ -177,15 +177,15 @@
     put("\"together_max\":[0,3]", "\"together_max\":[0,3]");
     node.port = std::make_unique<FakePort>();
     node.port->digest = &digest;
-    LinkOptions options;
+    NodeConnectionOptions options;
     if (group_ % 2 == 0) options.most_connections = 4;   // fewer than machines
     node.seen = node.port->next += 100'000 * node.life;  // no number comes again
     node.config = ReadPlatformConfig(text, nullptr, nullptr);
     ASSERT_TRUE(node.config.ok()) << node.config.errors[0];
-    node.links = std::make_unique<MachineLinks>(options, node.port.get());
-    node.tasks = std::make_unique<Tasks>(node.config.wire, random_(), node.links.get());
-    node.owners = std::make_unique<Owners>(40, node.tasks.get(), node.port.get());
-    FleetChange known;
+    node.links = std::make_unique<NodeConnections>(options, node.port.get());
+    node.tasks = std::make_unique<Dispatcher>(node.config.wire, random_(), node.links.get());
+    node.owners = std::make_unique<ClientConnections>(40, node.tasks.get(), node.port.get());
+    NodeListChange known;
     known.whole = true;
     for (const Machine& m : machines_) {
       Passed p{now_, What::kTold, 0, m.name};
@@ -223,14 +223,14 @@
     node.tick_at = kNever;
     At(now_ + 300 * kMilli, [this, n] { Begin(n); });
   }
-  void Gone(Uid uid, Job& job) {
+  void Gone(RequestUid uid, Job& job) {
     job.answered = true;
     nodes_[job.node]->record.push_back({now_, What::kGone, uid});
   }
   void GiveUpAll(Wire& wire) {
-    for (const Uid uid : std::exchange(wire.out, {})) Back(wire, uid, 41);
+    for (const RequestUid uid : std::exchange(wire.out, {})) Back(wire, uid, 41);
   }
-  void Back(const Wire& wire, Uid uid, int cause) {
+  void Back(const Wire& wire, RequestUid uid, int cause) {
     Passed p{now_, What::kBack, uid, was_out_[uid]};
     p.cause = cause;
     nodes_[wire.node]->record.push_back(p);
@@ -259,10 +259,11 @@
       }
       const auto wire = wires_.find({n, conn});
       if (wire == wires_.end()) continue;
-      MachineReader sent;  // an attempt is out until its end is written
+      NodeMessageReader sent;  // an attempt is out until its end is written
       sent.Feed(text);
-      for (MachineMessage m; sent.Next(&m) == MachineReader::State::kMessage;) {
-        if (m.kind == MachineKind::kStop && wire->second.out.erase(m.uid) > 0) Back(wire->second, m.uid, 41);
+      for (NodeMessage m; sent.Next(&m) == NodeMessageReader::State::kMessage;) {
+        if (m.kind == NodeMessageKind::kStop && wire->second.out.erase(m.uid) > 0)
+          Back(wire->second, m.uid, 41);
       }
       wire_at_[{n, conn}] = std::max(wire_at_[{n, conn}] + 1, now_ + 100 + Draw(900));
       At(wire_at_[{n, conn}], [this, n, life, conn = conn, text] { ToMachine(n, life, conn, text); });
@@ -328,16 +329,16 @@
       At(awake, [this, n, conn] { TellAgain(n, conn); });
     }
     wire.reader.Feed(text);
-    for (MachineMessage m; wire.reader.Next(&m) == MachineReader::State::kMessage;) {
-      if (m.kind == MachineKind::kTest) {
-        Say(n, conn, MachineBytes(MachineKind::kTested, m.uid, 1));
-      } else if (m.kind == MachineKind::kStop) {
+    for (NodeMessage m; wire.reader.Next(&m) == NodeMessageReader::State::kMessage;) {
+      if (m.kind == NodeMessageKind::kHealthCheck) {
+        Say(n, conn, MachineBytes(NodeMessageKind::kHealthCheckReply, m.uid, 1));
+      } else if (m.kind == NodeMessageKind::kStop) {
         if (wire.out.erase(m.uid) > 0) Back(wire, m.uid, 41);
         Job& job = jobs_[m.uid];
         if (!job.stands || job.machine != wire.machine) continue;
         Over(m.uid, job, 31);
-        Say(n, conn, MachineBytes(MachineKind::kStop, m.uid, 31));
-      } else if (m.kind == MachineKind::kSetUp) {
+        Say(n, conn, MachineBytes(NodeMessageKind::kStop, m.uid, 31));
+      } else if (m.kind == NodeMessageKind::kLaunch) {
         Passed out{now_, What::kOut, m.uid, KnownAs(n, wire.machine)};
         out.task_class = m.Text(kClass);
         nodes_[n]->record.push_back(out);
@@ -349,7 +350,7 @@
       }
     }
   }
-  void Answer(unsigned n, ConnId conn, Uid uid, Micros roll) {
+  void Answer(unsigned n, ConnId conn, RequestUid uid, Micros roll) {
     const auto at = wires_.find({n, conn});
     if (at == wires_.end() || at->second.out.count(uid) == 0) return;  // given up
     Wire& wire = at->second;
@@ -358,26 +359,26 @@
     wire.out.erase(uid);
     if (roll < 15) {
       Back(wire, uid, 34);
-      return Say(n, conn, MachineBytes(MachineKind::kStop, uid, 34, {{kSaid, "no_cores"}}));
+      return Say(n, conn, MachineBytes(NodeMessageKind::kStop, uid, 34, {{kSaid, "no_cores"}}));
     }
     Back(wire, uid, 0);
     Job& job = jobs_[uid];
     job.stands = true, job.machine = wire.machine, job.wire = conn;
-    Say(n, conn, MachineBytes(MachineKind::kAnswer, uid, -1, {{kDescription, "yes"}}));
+    Say(n, conn, MachineBytes(NodeMessageKind::kAnswer, uid, -1, {{kDescription, "yes"}}));
     At(now_ + 300 * kMilli + Draw(6 * kSec), [this, uid, machine = wire.machine] {
       Job& ends = jobs_[uid];
       if (!ends.stands || ends.machine != machine) return;
       Over(uid, ends, 16);
       again_[{ends.node, machine}].insert(uid);
       if (wires_.count({ends.node, ends.wire}) > 0)
-        return Say(ends.node, ends.wire, MachineBytes(MachineKind::kStop, uid, 16));
+        return Say(ends.node, ends.wire, MachineBytes(NodeMessageKind::kStop, uid, 16));
       for (const auto& [key, open] : wires_) {
         if (key.first == ends.node && open.machine == machine)
-          return Say(key.first, key.second, MachineBytes(MachineKind::kStop, uid, 16));
+          return Say(key.first, key.second, MachineBytes(NodeMessageKind::kStop, uid, 16));
       }
     });
   }
-  void Over(Uid uid, Job& job, int cause) {
+  void Over(RequestUid uid, Job& job, int cause) {
     job.stands = false;
     Passed p{now_, What::kLeft, uid, machines_[job.machine].name};
     p.cause = job.over ? 31 : cause;  // no word is owed to an owner who has ended it
@@ -389,10 +390,10 @@
     say_at_[{n, conn}] = std::max(say_at_[{n, conn}] + 1, awake + 100 + Draw(900));
     At(say_at_[{n, conn}], [this, n, life, conn, bytes, machine = wires_.at({n, conn}).machine] {
       if (nodes_[n]->life != life || wires_.count({n, conn}) == 0) {  // it knows that this was not taken
-        MachineReader lost;
+        NodeMessageReader lost;
         lost.Feed(bytes);
-        for (MachineMessage m; lost.Next(&m) == MachineReader::State::kMessage;) {
-          if (m.kind != MachineKind::kStop || m.cause != 16) continue;
+        for (NodeMessage m; lost.Next(&m) == NodeMessageReader::State::kMessage;) {
+          if (m.kind != NodeMessageKind::kStop || m.cause != 16) continue;
           again_[{n, machine}].insert(m.uid);
           for (const auto& [key, open] : wires_) {
             if (key.first != n || open.machine != machine) continue;
@@ -408,8 +409,8 @@
   void TellAgain(unsigned n, ConnId conn) {
     const auto open = wires_.find({n, conn});
     if (open == wires_.end()) return;
-    for (const Uid uid : std::exchange(again_[{n, open->second.machine}], {}))
-      Say(n, conn, MachineBytes(MachineKind::kStop, uid, 16));
+    for (const RequestUid uid : std::exchange(again_[{n, open->second.machine}], {}))
+      Say(n, conn, MachineBytes(NodeMessageKind::kStop, uid, 16));
   }
   void Reset(unsigned n, ConnId conn) {
     const auto at = wires_.find({n, conn});
@@ -437,7 +438,7 @@
     if (!node.owners) return;
     if (node.open.size() < 3) Connect(n);
     const ConnId conn = node.open[Draw(node.open.size())];
-    const Uid uid = ++next_uid_ << 8 | 1;
+    const RequestUid uid = ++next_uid_ << 8 | 1;
     const bool batch = Chance(10);
     const int left = 300 + static_cast<int>(Draw(2500));
     jobs_[uid] = {n, conn, false, false, false, false, 0, 0};
@@ -459,7 +460,7 @@
     }
     if (Chance(3)) Leave(n, conn, Draw(300'000));
   }
-  void Withdraw(unsigned n, unsigned life, ConnId conn, Uid uid) {
+  void Withdraw(unsigned n, unsigned life, ConnId conn, RequestUid uid) {
     Job& job = jobs_[uid];
     if (nodes_[n]->life != life || !nodes_[n]->owners->Owns(conn) || job.over) return;
     nodes_[n]->record.push_back({now_, What::kGone, uid});
@@ -490,10 +491,10 @@
     Node& node = *nodes_[n];
     if (node.life != life) return;
     const bool closed = std::count(node.open.begin(), node.open.end(), conn) == 0;
-    OwnerReader crossed, &reader = closed ? crossed : node.heard[conn];
+    ClientMessageReader crossed, &reader = closed ? crossed : node.heard[conn];
     reader.Feed(text);
-    for (OwnerMessage m; reader.Next(&m) == OwnerReader::State::kMessage;) {
-      if (m.kind == OwnerKind::kTested) continue;
+    for (ClientMessage m; reader.Next(&m) == ClientMessageReader::State::kMessage;) {
+      if (m.kind == ClientMessageKind::kHealthCheckReply) continue;
       Job& job = jobs_[m.uid];
       if (closed) {  // the owner closed under this word: on the wire they cannot see each other
         if (job.running && !told) job.running = false, node.record.push_back({now_, What::kGone, m.uid});
@@ -501,12 +502,12 @@
       }
       if (!job.answered) {
         job.answered = true;
-        job.running = m.kind == OwnerKind::kAnswer;
+        job.running = m.kind == ClientMessageKind::kAnswer;
         placed += job.running;
         Passed p{now_, What::kFinal, m.uid};
         p.cause = job.running ? 0 : m.cause.value_or(-1);
         node.record.push_back(p);
-      } else if (job.running && m.kind == OwnerKind::kStop) {
+      } else if (job.running && m.kind == ClientMessageKind::kStop) {
         // Its machine may have told the end while this was under way; what stands and is released is cut.
         if (job.stands) Over(m.uid, job, 16);
         job.running = false, job.over = true;
@@ -558,15 +559,15 @@
   std::mt19937_64 random_;
   unsigned group_;
   Micros now_ = 1'800'000'000 * kSec, heard_at_ = 0;
-  Uid next_uid_ = 0;
+  RequestUid next_uid_ = 0;
   std::multimap<Micros, std::function<void()>> queue_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<Machine> machines_;
   std::map<std::pair<unsigned, ConnId>, Wire> wires_;
   std::map<std::pair<unsigned, ConnId>, Micros> wire_at_, say_at_;  // bytes of a connection keep their order
-  std::map<std::pair<unsigned, std::size_t>, std::set<Uid>> again_;
-  std::map<Uid, Job> jobs_;
-  std::map<Uid, std::string> was_out_;  // where, as its scheduler names it
+  std::map<std::pair<unsigned, std::size_t>, std::set<RequestUid>> again_;
+  std::map<RequestUid, Job> jobs_;
+  std::map<RequestUid, std::string> was_out_;  // where, as its scheduler names it
 };
 
 // It is a guard too: a digest of all bytes sent over twelve seeds. A change of names or structure must leave
--- a/tests/platform/platform_shutdown_test.cpp
+++ b/tests/platform/platform_shutdown_test.cpp
@@ -16,10 +16,10 @@
     loop.At(until, [&due] { due = true; });
     Until([&due] { return due; });
   }
-  std::size_t SentOn(const std::set<Uid>& uids) const {
+  std::size_t SentOn(const std::set<RequestUid>& uids) const {
     std::size_t sent = 0;
     for (const auto& m : machines) {
-      for (const MachineMessage& s : m->set_ups) sent += uids.count(s.uid);
+      for (const NodeMessage& s : m->set_ups) sent += uids.count(s.uid);
     }
     return sent;
   }
@@ -62,20 +62,20 @@
   std::size_t answered = 0;
   for (auto& m : machines) {
     StandMachine* machine = m.get();
-    machine->reply = [machine, &answered](const MachineMessage& s) {
+    machine->reply = [machine, &answered](const NodeMessage& s) {
       ++answered;
       machine->Yes(s.uid);
-      MachineMessage yes;
-      yes.kind = MachineKind::kAnswer;
+      NodeMessage yes;
+      yes.kind = NodeMessageKind::kAnswer;
       yes.uid = s.uid;
       yes.params[kDescription] = std::string(15'000, 'y');
-      return WriteMachineMessage(yes);
+      return EncodeNodeMessage(yes);
     };
   }
   constexpr std::size_t kAsks = 500;  // 7.5 MB: more than the kernel takes for one that does not read
   StandOwner& owner = Owner();
   loop.PauseReading(owner.conn, true);
-  for (Uid uid = 1; uid <= kAsks; ++uid) {
+  for (RequestUid uid = 1; uid <= kAsks; ++uid) {
     owner.Ask(uid, "service", 3000, WriteHex(uid));
     if (uid % 100 == 0) Until([&] { return answered == uid; });
   }
@@ -115,7 +115,7 @@
 TEST_F(PlatformEndings, WhatIsOpenIsAnsweredBeforeTheKillThatDoesNotWaitForIt) {
   Start();
   for (auto& m : machines) {
-    m->reply = [](const MachineMessage&) { return std::string(); };
+    m->reply = [](const NodeMessage&) { return std::string(); };
   }
   StandOwner& owner = Owner();
   owner.Test();
@@ -165,7 +165,7 @@
   other.first = 2;
   other.Add(Entry(*machines[0], "draining"));
   StandOwner& owner = Owner();
-  for (Uid uid = 1; uid <= 20; ++uid) owner.Ask(uid, "service", 2000, WriteHex(uid));
+  for (RequestUid uid = 1; uid <= 20; ++uid) owner.Ask(uid, "service", 2000, WriteHex(uid));
   Until([&] { return owner.final.size() == 20; });
   daemon->Halt();
   Configure(other.address);
@@ -175,7 +175,7 @@
   Until([&] { return !other.asked.empty() && other.asked.back() == 2; });
   Told(*machines[0], 1);
   const std::size_t before = machines[0]->set_ups.size();
-  for (Uid uid = 101; uid <= 140; ++uid) owner.Ask(uid, "service", 2000, WriteHex(uid));
+  for (RequestUid uid = 101; uid <= 140; ++uid) owner.Ask(uid, "service", 2000, WriteHex(uid));
   Until([&] { return owner.final.size() == 60; });
   EXPECT_EQ(machines[0]->set_ups.size(), before);
   EXPECT_EQ(daemon->Wait(), 0);
@@ -191,7 +191,7 @@
   gone.Test();
   Until([&] { return !gone.tested.empty(); });
   daemon->Halt();
-  for (Uid uid = 1; uid <= 150; ++uid) gone.Ask(uid, "service", 3000, WriteHex(uid));
+  for (RequestUid uid = 1; uid <= 150; ++uid) gone.Ask(uid, "service", 3000, WriteHex(uid));
   gone.Leave();
   TimePasses(loop.Now() + 150'000);
   daemon->Signal(SIGCONT);
@@ -205,20 +205,20 @@
 // The close and the refusal of a machine come in one turn: there is no next attempt.
 TEST_F(PlatformEndings, NoNextAttemptForAnOwnerWhoLeftBeforeTheRefusal) {
   Start();
-  std::vector<std::pair<StandMachine*, Uid>> held;
+  std::vector<std::pair<StandMachine*, RequestUid>> held;
   for (auto& m : machines) {
     StandMachine* machine = m.get();
-    machine->reply = [machine, &held](const MachineMessage& s) {
+    machine->reply = [machine, &held](const NodeMessage& s) {
       held.emplace_back(machine, s.uid);
       return std::string();
     };
   }
   StandOwner& owner = Owner();
-  for (Uid uid = 1; uid <= 20; ++uid) owner.Ask(uid, "service", 3000, WriteHex(uid));
+  for (RequestUid uid = 1; uid <= 20; ++uid) owner.Ask(uid, "service", 3000, WriteHex(uid));
   Until([&] { return held.size() == 20; });
   daemon->Halt();
   owner.Leave();
-  for (const auto& [machine, uid] : std::vector<std::pair<StandMachine*, Uid>>(held)) {
+  for (const auto& [machine, uid] : std::vector<std::pair<StandMachine*, RequestUid>>(held)) {
     machine->Say(machine->No(uid, 34, "no_cores"));
   }
   TimePasses(loop.Now() + 150'000);
@@ -241,7 +241,7 @@
   Start();
   StandOwner& other = Owner();
   other.Ask(100, "service", 2000);
-  for (Uid uid = 1; uid <= 6; ++uid) {
+  for (RequestUid uid = 1; uid <= 6; ++uid) {
     StandOwner& first = Owner();
     first.Ask(uid, "service", 2000, WriteHex(uid));
     Until([&] { return first.final.count(uid) > 0 && other.final.count(100) > 0; });
@@ -267,7 +267,7 @@
   Start();
   std::vector<StandOwner*> slow;
   std::vector<std::string> lines;
-  for (Uid uid = 1; uid <= 40; ++uid) {
+  for (RequestUid uid = 1; uid <= 40; ++uid) {
     slow.push_back(&Owner());
     lines.push_back(R"({"kind":"launch","uid":")" + WriteHex(uid) +
                     R"(","meta":{"class":"batch","left":"2500","tenant":"acme","key":")" +
@@ -307,10 +307,10 @@
   Until([&] { return log.asked.size() > asked && log.asked.back() == 2; });
   Told(*machines[0], 2);
   StandOwner& usual = Owner();
-  for (Uid uid = 1; uid <= 30; ++uid) usual.Ask(uid, "service", 2000, WriteHex(uid));
+  for (RequestUid uid = 1; uid <= 30; ++uid) usual.Ask(uid, "service", 2000, WriteHex(uid));
   Until([&] { return usual.final.size() == 30; });
   std::size_t placed = 0;
-  for (const auto& [uid, m] : usual.final) placed += m.kind == OwnerKind::kAnswer;
+  for (const auto& [uid, m] : usual.final) placed += m.kind == ClientMessageKind::kAnswer;
   EXPECT_EQ(placed, 30u);
   EXPECT_TRUE(machines[0]->set_ups.empty());
   Kept();
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -8,11 +8,13 @@
 namespace mountflow::testing {
 namespace {
 
-constexpr Uid kUid = 0x9b1f03aa5c7e2d41u;
+constexpr RequestUid kUid = 0x9b1f03aa5c7e2d41u;
 
-std::string Running(Uid uid) { return MachineBytes(MachineKind::kAnswer, uid, -1, {{kDescription, "yes"}}); }
-std::string Ends(Uid uid, int cause, std::map<std::uint8_t, std::string> params = {}) {
-  return MachineBytes(MachineKind::kStop, uid, cause, std::move(params));
+std::string Running(RequestUid uid) {
+  return MachineBytes(NodeMessageKind::kAnswer, uid, -1, {{kDescription, "yes"}});
+}
+std::string Ends(RequestUid uid, int cause, std::map<std::uint8_t, std::string> params = {}) {
+  return MachineBytes(NodeMessageKind::kStop, uid, cause, std::move(params));
 }
 
 TEST(PlatformTasks, ASetUpGoesOnUnchangedAndItsAnswerComesBackUnchanged) {
@@ -22,7 +24,7 @@
   rig.Up(conn);
   const auto sent = rig.port.Machine(conn);
   ASSERT_EQ(sent.size(), 1u);
-  EXPECT_EQ(sent[0].kind, MachineKind::kSetUp);
+  EXPECT_EQ(sent[0].kind, NodeMessageKind::kLaunch);
   EXPECT_EQ(sent[0].uid, kUid);
   EXPECT_EQ(sent[0].Text(kClass), "service");
   EXPECT_EQ(sent[0].Text(kWait), "2000");
@@ -30,18 +32,18 @@
   EXPECT_EQ(sent[0].Text(kIdem), WriteHex(kUid) + WriteHex(kUid));
   EXPECT_EQ(sent[0].Text(kDescription), "v=0\r\n\xc3\xa9");
   EXPECT_EQ(sent[0].params.size(), 5u);
-  rig.Machine(conn, MachineBytes(MachineKind::kProgress, kUid) +
-                        MachineBytes(MachineKind::kAnswer, kUid, -1, {{kDescription, "c=\xc3\xa9\r\n"}}));
+  rig.Machine(conn, MachineBytes(NodeMessageKind::kProgress, kUid) +
+                        MachineBytes(NodeMessageKind::kAnswer, kUid, -1, {{kDescription, "c=\xc3\xa9\r\n"}}));
   const auto said = rig.port.Owner(rig.owner);
   ASSERT_EQ(said.size(), 1u);
-  EXPECT_EQ(said[0].kind, OwnerKind::kAnswer);
+  EXPECT_EQ(said[0].kind, ClientMessageKind::kAnswer);
   EXPECT_EQ(said[0].description, "c=\xc3\xa9\r\n");
   // The end is told once, though it comes on this connection and on the next one too.
   rig.Machine(conn, Ends(kUid, 16));
   rig.Machine(conn, Ends(kUid, 16));
   const auto over = rig.port.Owner(rig.owner);
   ASSERT_EQ(over.size(), 1u);
-  EXPECT_EQ(over[0].kind, OwnerKind::kStop);
+  EXPECT_EQ(over[0].kind, ClientMessageKind::kStop);
   EXPECT_EQ(over[0].cause, 16);
   EXPECT_EQ(rig.tasks.size(), 0u);
 }
@@ -59,9 +61,9 @@
     ASSERT_NE(conn, 0u);  // word of it must be able to come
     rig.Up(conn);
     // A machine sees a connection only with its first message: without one, ends came a second late.
-    EXPECT_EQ(rig.port.Machine(conn).at(0).kind, MachineKind::kTest);
+    EXPECT_EQ(rig.port.Machine(conn).at(0).kind, NodeMessageKind::kHealthCheck);
     rig.Machine(conn, Ends(kUid, 16));
-    EXPECT_EQ(rig.port.Owner(rig.owner).at(0).kind, OwnerKind::kStop);
+    EXPECT_EQ(rig.port.Owner(rig.owner).at(0).kind, ClientMessageKind::kStop);
   }
   PlatformRig rig;  // one whose machine nobody knows ends, and leaves nothing behind
   rig.Say(PlatformRig::Launch(kUid, "service", 100, ";at:s-unknown"));
@@ -128,8 +130,9 @@
   const std::vector<std::string> rows = {
       "\x01\x02garbage",
       std::string("\xff\xff\x09", 3),
-      MachineBytes(MachineKind::kAnswer, kUid, -1, {{kDescription, "\xff\xfe"}}),
-      MachineBytes(MachineKind::kAnswer, kUid, -1, {{kDescription, std::string(5000, 'x')}}).substr(0, 3000),
+      MachineBytes(NodeMessageKind::kAnswer, kUid, -1, {{kDescription, "\xff\xfe"}}),
+      MachineBytes(NodeMessageKind::kAnswer, kUid, -1, {{kDescription, std::string(5000, 'x')}})
+          .substr(0, 3000),
   };
   for (const std::string& spoilt : rows) {
     PlatformRig rig;
@@ -168,7 +171,7 @@
   ASSERT_NE(next, 0u);
   EXPECT_TRUE(rig.port.Owner(rig.owner).empty());
   rig.Up(next);
-  rig.Machine(next, MachineBytes(MachineKind::kNote, kUid, -1, {{kSaid, "runs"}, {kFigure, "1"}}));
+  rig.Machine(next, MachineBytes(NodeMessageKind::kNote, kUid, -1, {{kSaid, "runs"}, {kFigure, "1"}}));
   rig.Ended(next);
   rig.Pass(0);
   rig.Ended(rig.port.ConnTo(address), true);
@@ -184,8 +187,8 @@
   PlatformRig rig;
   const ConnId conn = rig.Standing(kUid);
   rig.Pass(kTestAfter);
-  ASSERT_EQ(rig.port.Machine(conn).at(0).kind, MachineKind::kTest);
-  rig.Machine(conn, MachineBytes(MachineKind::kTested, 1, 1));
+  ASSERT_EQ(rig.port.Machine(conn).at(0).kind, NodeMessageKind::kHealthCheck);
+  rig.Machine(conn, MachineBytes(NodeMessageKind::kHealthCheckReply, 1, 1));
   rig.Pass(kTestAfter + kTestWait);
   EXPECT_EQ(rig.port.closed.at(0), conn);
   // Cut off for 6 s, as networks are: it comes back with its tasks, and calling them over would end them.
@@ -202,8 +205,8 @@
   PlatformRig rig;
   const ConnId conn = rig.Standing(kUid);
   const std::string address = rig.port.to.at(conn);
-  FleetChange change;
-  ListedMachine fresh;
+  NodeListChange change;
+  ListedNode fresh;
   fresh.name = "m-9", fresh.address = address, fresh.zone = "left", fresh.kind = "big",
   fresh.status = "ready";
   change.nodes = {fresh};
@@ -231,15 +234,15 @@
     if (withdrawn) {
       rig.Say(PlatformRig::Stop(kUid));
     } else {
-      rig.Machine(conn, MachineBytes(MachineKind::kProgress, kUid));
+      rig.Machine(conn, MachineBytes(NodeMessageKind::kProgress, kUid));
       for (int i = 0; i < 4; ++i) {  // heard, so the module waits to the end
         rig.Pass(500 * kMilli);
-        rig.Machine(conn, MachineBytes(MachineKind::kTested, 1, 1));
+        rig.Machine(conn, MachineBytes(NodeMessageKind::kHealthCheckReply, 1, 1));
       }
     }
     bool given_up = false;
-    for (const MachineMessage& m : rig.port.Machine(conn)) {
-      given_up |= m.kind == MachineKind::kStop && m.uid == kUid && m.cause == 16;
+    for (const NodeMessage& m : rig.port.Machine(conn)) {
+      given_up |= m.kind == NodeMessageKind::kStop && m.uid == kUid && m.cause == 16;
     }
     EXPECT_TRUE(given_up);
     EXPECT_EQ(rig.port.Owner(rig.owner).size(), withdrawn ? 0u : 1u);
@@ -255,7 +258,7 @@
     const ConnId conn = rig.Standing(kUid);
     rig.owners.Accept(rig.now, 2, "10.9.0.1:6");
     rig.Say(PlatformRig::Stop(kUid), 2);  // on another connection
-    EXPECT_EQ(rig.port.Machine(conn).at(0).kind, MachineKind::kStop);
+    EXPECT_EQ(rig.port.Machine(conn).at(0).kind, NodeMessageKind::kStop);
     if (answers) rig.Machine(conn, Ends(kUid, 31));
     rig.Pass(kReleaseWait);
     EXPECT_EQ(rig.tasks.size(), 0u);
@@ -285,7 +288,7 @@
   PlatformRig rig;
   const ConnId conn = rig.Placing(kUid);
   rig.owners.OnClosed(rig.now, rig.owner);
-  EXPECT_EQ(rig.port.Machine(conn).at(0).kind, MachineKind::kStop);  // nobody waits for it any more
+  EXPECT_EQ(rig.port.Machine(conn).at(0).kind, NodeMessageKind::kStop);  // nobody waits for it any more
   EXPECT_EQ(rig.tasks.size(), 0u);
 }
 
@@ -378,7 +381,7 @@
   rig.Say("{\"kind\":\"check\",\"uid\":\"0000000000000001\",\"meta\":{},\"reason\":0}\n");
   const auto said = rig.port.Owner(rig.owner);
   ASSERT_EQ(said.size(), 1u);
-  EXPECT_EQ(said[0].kind, OwnerKind::kTested);
+  EXPECT_EQ(said[0].kind, ClientMessageKind::kHealthCheckReply);
   EXPECT_EQ(said[0].cause, 0);
 }
 
@@ -405,7 +408,7 @@
 // The danger: descriptions alone, 2,048 of 16 KiB, would fill the smallest memory limit.
 TEST(PlatformOwners, WhatDescriptionsHoldIsBoundedAndGivenBack) {
   PlatformRig rig;
-  for (Uid uid = 1; uid <= 300; ++uid) {
+  for (RequestUid uid = 1; uid <= 300; ++uid) {
     rig.Say(PlatformRig::Launch(0x100 * uid, "service", 2000, "", std::string(15 << 10, 'x')));
     ASSERT_LE(rig.tasks.held(), 100u << 10);
   }
@@ -420,7 +423,7 @@
   PlatformRig rig;
   std::string flood;
   std::size_t answered = 0;
-  for (Uid uid = 1; uid <= 2 * kMessagesTurn; ++uid) flood += PlatformRig::Launch(0x100 * uid);
+  for (RequestUid uid = 1; uid <= 2 * kMessagesTurn; ++uid) flood += PlatformRig::Launch(0x100 * uid);
   const auto taken = [&] {
     answered += rig.port.Owner(rig.owner).size();
     return answered + rig.tasks.open();
@@ -438,8 +441,8 @@
 TEST(PlatformFlat, ALongDayOfNewIdsLeavesNoTrace) {
   PlatformRig rig;
   std::mt19937_64 random(2026);
-  std::map<std::string, std::vector<std::pair<Micros, Uid>>> ends;  // by address
-  [[maybe_unused]] std::size_t early = 0;                           // not measured under the sanitizers
+  std::map<std::string, std::vector<std::pair<Micros, RequestUid>>> ends;  // by address
+  [[maybe_unused]] std::size_t early = 0;  // not measured under the sanitizers
   std::size_t placed = 0, most = 0;
   ConnId owner = 1;
   std::vector<std::string> names = {"m-1", "m-2"};
@@ -448,8 +451,8 @@
     rig.Pass(40 * kMilli);
     if (step % 50 == 0) {  // a machine goes, a new one comes, now and then at its address
       const std::size_t which = random() % 2;
-      FleetChange change;
-      ListedMachine gone, fresh;
+      NodeListChange change;
+      ListedNode gone, fresh;
       gone.name = names[which], gone.status = "gone";
       fresh.name = "m-" + std::to_string(step + 10), fresh.status = "ready", fresh.zone = "left",
       fresh.kind = "big";
@@ -465,13 +468,14 @@
       rig.owners.Accept(rig.now, ++owner + 1'000'000'000, "10.9.0." + std::to_string(random() % 200) + ":1");
       owner += 1'000'000'000;
     }
-    const Uid uid = 0x1000000 + static_cast<Uid>(step) * 16;
+    const RequestUid uid = 0x1000000 + static_cast<RequestUid>(step) * 16;
     rig.Say(PlatformRig::Launch(uid), owner);
     for (const auto& [conn, address] : std::map<ConnId, std::string>(rig.port.to)) {
       rig.Up(conn);
-      for (const MachineMessage& m : rig.port.Machine(conn)) {
-        if (m.kind == MachineKind::kTest) rig.Machine(conn, MachineBytes(MachineKind::kTested, m.uid, 1));
-        if (m.kind != MachineKind::kSetUp) continue;
+      for (const NodeMessage& m : rig.port.Machine(conn)) {
+        if (m.kind == NodeMessageKind::kHealthCheck)
+          rig.Machine(conn, MachineBytes(NodeMessageKind::kHealthCheckReply, m.uid, 1));
+        if (m.kind != NodeMessageKind::kLaunch) continue;
         rig.Machine(conn, random() % 20 == 0 ? std::string("\x00\x01", 2) : Running(m.uid));
         ends[address].emplace_back(rig.now + random() % (3 * kSec), m.uid);
         ++placed;
--- a/tests/support/platform_fakes.hpp
+++ b/tests/support/platform_fakes.hpp
@@ -23,7 +23,7 @@
   enum class What { kAsked, kGivenUp, kGone, kFinal, kOut, kBack, kTold, kLeft, kReleased };
   Micros at = 0;
   What what = What::kAsked;
-  Uid uid = 0;
+  RequestUid uid = 0;
   std::string machine{};     // kOut, kBack, kTold
   int cause = -1;            // kFinal: 0 placed, else the cause. kBack: 0 stands, 41 it may have run
   Micros left = 0;           // kAsked
@@ -58,15 +58,15 @@
 inline std::vector<std::string> JudgePlatform(const Record& record, const JudgeRules& rules = {}) {
   using What = Passed::What;
   std::vector<std::string> breaches;
-  std::map<Uid, JudgedSetUp> asked;
-  std::map<Uid, std::string> out;                   // where an attempt is out
-  std::map<Uid, std::vector<JudgedAttempt>> tries;  // that are no longer out
-  std::map<Uid, std::string> held;                  // attempts and tasks of the class that is kept spread
+  std::map<RequestUid, JudgedSetUp> asked;
+  std::map<RequestUid, std::string> out;                   // where an attempt is out
+  std::map<RequestUid, std::vector<JudgedAttempt>> tries;  // that are no longer out
+  std::map<RequestUid, std::string> held;  // attempts and tasks of the class that is kept spread
   std::map<std::string, Passed> told;
   std::map<std::string, std::vector<Micros>> cold;
-  std::map<Uid, Micros> ended;  // tasks that are over, and whose owner was not told yet
-  std::set<Uid> placed;         // whose owner was told that they stand
-  const auto breach = [&](int rule, Uid uid, const std::string& what) {
+  std::map<RequestUid, Micros> ended;  // tasks that are over, and whose owner was not told yet
+  std::set<RequestUid> placed;         // whose owner was told that they stand
+  const auto breach = [&](int rule, RequestUid uid, const std::string& what) {
     breaches.push_back("rule " + std::to_string(rule) + ": " + WriteHex(uid) + ": " + what);
   };
   for (const Passed& p : record) {
@@ -174,32 +174,32 @@
   void Say(const std::string& bytes) {
     if (!conns.empty()) loop_->Send(conns.rbegin()->first, bytes);
   }
-  void End(Uid uid, int cause) {
+  void End(RequestUid uid, int cause) {
     standing.erase(uid);
     Note(Passed::What::kLeft, uid, cause);
-    MachineMessage stop;
-    stop.kind = MachineKind::kStop;
+    NodeMessage stop;
+    stop.kind = NodeMessageKind::kStop;
     stop.uid = uid;
     stop.cause = static_cast<std::uint8_t>(cause);
-    Say(WriteMachineMessage(stop));
+    Say(EncodeNodeMessage(stop));
   }
-  std::string Yes(Uid uid) {
+  std::string Yes(RequestUid uid) {
     standing.insert(uid);
     Note(Passed::What::kBack, uid, 0);
-    MachineMessage yes;
-    yes.kind = MachineKind::kAnswer;
+    NodeMessage yes;
+    yes.kind = NodeMessageKind::kAnswer;
     yes.uid = uid;
     yes.params[kDescription] = "yes from " + name;
-    return WriteMachineMessage(yes);
+    return EncodeNodeMessage(yes);
   }
-  std::string No(Uid uid, int cause, const std::string& said = "") {
+  std::string No(RequestUid uid, int cause, const std::string& said = "") {
     Note(Passed::What::kBack, uid, cause);
-    MachineMessage no;
-    no.kind = MachineKind::kStop;
+    NodeMessage no;
+    no.kind = NodeMessageKind::kStop;
     no.uid = uid;
     no.cause = static_cast<std::uint8_t>(cause);
     if (!said.empty()) no.params[kSaid] = said;
-    return WriteMachineMessage(no);
+    return EncodeNodeMessage(no);
   }
 
   void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) override {
@@ -213,15 +213,15 @@
   }
   void OnReceived(event_loop::ConnId conn, std::string_view bytes) override {
     if (silent) return;
-    MachineReader& reader = conns[conn];
+    NodeMessageReader& reader = conns[conn];
     reader.Feed(bytes);
-    MachineMessage m;
-    while (conns.count(conn) > 0 && reader.Next(&m) == MachineReader::State::kMessage) {
-      if (m.kind == MachineKind::kTest) {
-        m.kind = MachineKind::kTested;
+    NodeMessage m;
+    while (conns.count(conn) > 0 && reader.Next(&m) == NodeMessageReader::State::kMessage) {
+      if (m.kind == NodeMessageKind::kHealthCheck) {
+        m.kind = NodeMessageKind::kHealthCheckReply;
         m.cause = 1;
-        loop_->Send(conn, WriteMachineMessage(m));
-      } else if (m.kind == MachineKind::kSetUp) {
+        loop_->Send(conn, EncodeNodeMessage(m));
+      } else if (m.kind == NodeMessageKind::kLaunch) {
         Passed out{loop_->Now(), Passed::What::kOut, m.uid, name};
         out.task_class = m.Text(kClass);
         record_->push_back(out);
@@ -234,7 +234,7 @@
           return;
         }
         loop_->Send(conn, answer);
-      } else if (m.kind == MachineKind::kStop) {
+      } else if (m.kind == NodeMessageKind::kStop) {
         stops.push_back(m.uid);
         if (standing.erase(m.uid) > 0) {
           Note(Passed::What::kLeft, m.uid, 31);
@@ -249,16 +249,16 @@
 
   std::string name, address;
   unsigned cell;
-  std::function<std::string(const MachineMessage&)> reply;
+  std::function<std::string(const NodeMessage&)> reply;
   bool silent = false;
   int reset_new = 0, accepted = 0;
-  std::map<event_loop::ConnId, MachineReader> conns;
-  std::vector<MachineMessage> set_ups;
-  std::vector<Uid> stops;
-  std::set<Uid> standing;
+  std::map<event_loop::ConnId, NodeMessageReader> conns;
+  std::vector<NodeMessage> set_ups;
+  std::vector<RequestUid> stops;
+  std::set<RequestUid> standing;
 
  private:
-  void Note(Passed::What what, Uid uid, int cause) {
+  void Note(Passed::What what, RequestUid uid, int cause) {
     Passed passed{loop_->Now(), what, uid, name};
     passed.cause = cause;
     record_->push_back(passed);
@@ -363,9 +363,9 @@
     conn = loop_->Connect(to, this);
   }
   ~StandOwner() override { loop_->Close(conn); }
-  void Ask(Uid uid, const std::string& task_class, int left, const std::string& service = "00000000b4d65521",
-           const std::string& more = "") {
-    OwnerMessage m;
+  void Ask(RequestUid uid, const std::string& task_class, int left,
+           const std::string& service = "00000000b4d65521", const std::string& more = "") {
+    ClientMessage m;
     m.uid = uid;
     m.fields = {{"class", task_class},
                 {"left", std::to_string(left)},
@@ -382,22 +382,22 @@
       p.task_class = task_class;
       record_->push_back(p);
     }
-    loop_->Send(conn, WriteOwnerLine(m));
+    loop_->Send(conn, EncodeClientMessage(m));
   }
-  void Stop(Uid uid) {
+  void Stop(RequestUid uid) {
     if (final.count(uid) == 0) record_->push_back({loop_->Now(), Passed::What::kGivenUp, uid});
-    OwnerMessage m;
-    m.kind = OwnerKind::kStop;
+    ClientMessage m;
+    m.kind = ClientMessageKind::kStop;
     m.uid = uid;
     m.cause = 16;
-    loop_->Send(conn, WriteOwnerLine(m));
+    loop_->Send(conn, EncodeClientMessage(m));
   }
   void Test() {
-    OwnerMessage m;
-    m.kind = OwnerKind::kTest;
+    ClientMessage m;
+    m.kind = ClientMessageKind::kHealthCheck;
     m.uid = 1;
     m.cause = 0;
-    loop_->Send(conn, WriteOwnerLine(m));
+    loop_->Send(conn, EncodeClientMessage(m));
   }
   void Raw(const std::string& bytes) { loop_->Send(conn, bytes); }
   // What was sent is with the kernel, and the connection is closed.
@@ -411,18 +411,19 @@
 
   void OnReceived(event_loop::ConnId, std::string_view bytes) override {
     reader_.Feed(bytes);
-    OwnerMessage m;
-    while (reader_.Next(&m) == OwnerReader::State::kMessage) {
-      if (m.kind == OwnerKind::kTested) {
+    ClientMessage m;
+    while (reader_.Next(&m) == ClientMessageReader::State::kMessage) {
+      if (m.kind == ClientMessageKind::kHealthCheckReply) {
         tested.push_back(m.cause.value_or(-1));
       } else if (final.count(m.uid) == 0) {
         final[m.uid] = m;
         Passed p{loop_->Now(), Passed::What::kFinal, m.uid};
-        p.cause = m.kind == OwnerKind::kAnswer ? 0 : m.cause.value_or(-1);
+        p.cause = m.kind == ClientMessageKind::kAnswer ? 0 : m.cause.value_or(-1);
         record_->push_back(p);
       } else {
         released[m.uid].push_back(m);
-        if (m.kind == OwnerKind::kStop) record_->push_back({loop_->Now(), Passed::What::kReleased, m.uid});
+        if (m.kind == ClientMessageKind::kStop)
+          record_->push_back({loop_->Now(), Passed::What::kReleased, m.uid});
       }
     }
   }
@@ -430,15 +431,15 @@
 
   event_loop::ConnId conn = 0;
   bool closed = false;
-  std::set<Uid> mine;
-  std::map<Uid, OwnerMessage> final;
-  std::map<Uid, std::vector<OwnerMessage>> released;
+  std::set<RequestUid> mine;
+  std::map<RequestUid, ClientMessage> final;
+  std::map<RequestUid, std::vector<ClientMessage>> released;
   std::vector<int> tested;
 
  private:
   event_loop::Loop* loop_;
   Record* record_;
-  OwnerReader reader_;
+  ClientMessageReader reader_;
 };
 
 }  // namespace mountflow::testing
--- a/tests/support/platform_fixture.hpp
+++ b/tests/support/platform_fixture.hpp
@@ -21,7 +21,7 @@
 inline constexpr Micros kMilli = 1000;
 inline constexpr Micros kSec = 1'000'000;
 
-class FakePort : public Port {
+class FakePort : public Transport {
  public:
   ConnId Connect(const std::string& address) override {
     to[++next] = address;
@@ -56,8 +56,8 @@
     while (reader.Next(&one) == Reader::State::kMessage) all.push_back(one);
     return all;
   }
-  std::vector<MachineMessage> Machine(ConnId conn) { return Read<MachineReader, MachineMessage>(conn); }
-  std::vector<OwnerMessage> Owner(ConnId conn) { return Read<OwnerReader, OwnerMessage>(conn); }
+  std::vector<NodeMessage> Machine(ConnId conn) { return Read<NodeMessageReader, NodeMessage>(conn); }
+  std::vector<ClientMessage> Owner(ConnId conn) { return Read<ClientMessageReader, ClientMessage>(conn); }
   ConnId ConnTo(const std::string& address) const {
     for (const auto& [conn, one] : to) {
       if (one == address) return conn;
@@ -77,14 +77,14 @@
   std::vector<std::string> log;
 };
 
-inline std::string MachineBytes(MachineKind kind, Uid uid, int cause = -1,
+inline std::string MachineBytes(NodeMessageKind kind, RequestUid uid, int cause = -1,
                                 std::map<std::uint8_t, std::string> params = {}) {
-  MachineMessage message;
+  NodeMessage message;
   message.kind = kind;
   message.uid = uid;
   if (cause >= 0) message.cause = static_cast<std::uint8_t>(cause);
   message.params = std::move(params);
-  return WriteMachineMessage(message);
+  return EncodeNodeMessage(message);
 }
 
 inline const char* kPlatformConfig = R"({"name":"n0","listen":"127.0.0.1:0","seed":"00000000000007e9",
@@ -106,9 +106,9 @@
 struct PlatformRig {
   FakePort port;
   PlatformConfig config = ReadPlatformConfig(kPlatformConfig, nullptr, nullptr);
-  MachineLinks links{LinkOptions{}, &port};
-  Tasks tasks{config.wire, config.seed, &links, 100 << 10};
-  Owners owners{40, &tasks, &port};
+  NodeConnections links{NodeConnectionOptions{}, &port};
+  Dispatcher tasks{config.wire, config.seed, &links, 100 << 10};
+  ClientConnections owners{40, &tasks, &port};
   Micros now = 1'800'000'000 * kSec;
   ConnId owner = 1;
 
@@ -117,7 +117,7 @@
     tasks.Start(now, config.known);
     owners.Accept(now, owner, "10.9.0.1:5");
   }
-  static std::string Launch(Uid uid, const std::string& task_class = "service", int left = 2000,
+  static std::string Launch(RequestUid uid, const std::string& task_class = "service", int left = 2000,
                             const std::string& more = "", const std::string& body = "a\\r\\nb") {
     return R"({"kind":"launch","uid":")" + WriteHex(uid) + R"(","meta":{"class":")" + task_class +
            R"(","left":")" + std::to_string(left) + R"(","tenant":"acme","key":")" + WriteHex(uid + 1) +
@@ -125,7 +125,7 @@
            R"(","extras":"cores:1;memory:2;service:00000000b4d65521)" + more + R"("},"body":")" + body +
            "\"}\n";
   }
-  static std::string Stop(Uid uid, int cause = 16) {
+  static std::string Stop(RequestUid uid, int cause = 16) {
     return R"({"kind":"stop","uid":")" + WriteHex(uid) + R"(","meta":{},"reason":)" + std::to_string(cause) +
            "}\n";
   }
@@ -164,23 +164,23 @@
     now = until;
   }
   // A set-up on its way: to which connection, with its message seen there.
-  ConnId Placing(Uid uid, const std::string& task_class = "service") {
+  ConnId Placing(RequestUid uid, const std::string& task_class = "service") {
     Say(Launch(uid, task_class));
     for (const auto& [conn, address] : std::map<ConnId, std::string>(port.to)) {
       Up(conn);
-      for (const MachineMessage& m : port.Machine(conn)) {
-        if (m.kind == MachineKind::kSetUp && m.uid == uid) return conn;
+      for (const NodeMessage& m : port.Machine(conn)) {
+        if (m.kind == NodeMessageKind::kLaunch && m.uid == uid) return conn;
       }
     }
     ADD_FAILURE() << "no machine got the set-up";
     return 0;
   }
-  ConnId Standing(Uid uid, const std::string& task_class = "service") {
+  ConnId Standing(RequestUid uid, const std::string& task_class = "service") {
     const ConnId conn = Placing(uid, task_class);
-    Machine(conn, MachineBytes(MachineKind::kAnswer, uid, -1, {{kDescription, "yes"}}));
+    Machine(conn, MachineBytes(NodeMessageKind::kAnswer, uid, -1, {{kDescription, "yes"}}));
     const auto said = port.Owner(owner);
     EXPECT_EQ(said.size(), 1u);
-    EXPECT_TRUE(!said.empty() && said[0].kind == OwnerKind::kAnswer && said[0].description == "yes");
+    EXPECT_TRUE(!said.empty() && said[0].kind == ClientMessageKind::kAnswer && said[0].description == "yes");
     return conn;
   }
 };
--- a/tests/support/platform_process_fixture.hpp
+++ b/tests/support/platform_process_fixture.hpp
@@ -112,7 +112,7 @@
     loop.SetAfterTurn({});
     ASSERT_FALSE(late) << "waited in vain";
   }
-  bool Answered(StandOwner& owner, Uid uid) { return owner.final.count(uid) > 0; }
+  bool Answered(StandOwner& owner, RequestUid uid) { return owner.final.count(uid) > 0; }
   void Kept() {
     for (const std::string& breach : JudgePlatform(record)) ADD_FAILURE() << breach;
   }
--- a/tools/fuzz/targets.cpp
+++ b/tools/fuzz/targets.cpp
@@ -146,7 +146,7 @@
   Must(whole == pieces, "any split reads the same");
   for (const Message& message : whole) {
     const std::string written = write(message);
-    if (written.empty() || written.size() > platform::kMostMessage) continue;
+    if (written.empty() || written.size() > platform::kMaxMessageBytes) continue;
     Reader reader;
     reader.Feed(written);
     Message again;
@@ -158,11 +158,11 @@
 }  // namespace
 
 void Owner(std::string_view bytes) {
-  ReadWire<platform::OwnerReader, platform::OwnerMessage>(bytes, platform::WriteOwnerLine);
+  ReadWire<platform::ClientMessageReader, platform::ClientMessage>(bytes, platform::EncodeClientMessage);
 }
 
 void Machine(std::string_view bytes) {
-  ReadWire<platform::MachineReader, platform::MachineMessage>(bytes, platform::WriteMachineMessage);
+  ReadWire<platform::NodeMessageReader, platform::NodeMessage>(bytes, platform::EncodeNodeMessage);
 }
 
 }  // namespace mountflow::fuzz
