--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -108,7 +108,7 @@
 
 // ---- The four sides of the shell ----
 
-class Daemon::BatchSide : public event_loop::Handler {
+class Daemon::BatchSide : public event_loop::ConnectionHandler {
  public:
   explicit BatchSide(Daemon* d) : d_(d) {}
   void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn,
@@ -118,7 +118,7 @@
   }
   void OnReceived(event_loop::ConnId conn, std::string_view bytes) override {
     Timed timed(d_->measure_, &d_->spent_.front);
-    d_->front_.Receive(d_->loop_->Now(), conn, bytes, d_->loop_->TurnBeforeBegan());
+    d_->front_.Receive(d_->loop_->Now(), conn, bytes, d_->loop_->PreviousTurnStart());
     if (!d_->front_.WantsRead(conn)) d_->loop_->PauseReading(conn, true);
   }
   void OnSent(event_loop::ConnId conn) override { Flush(conn); }
@@ -131,7 +131,8 @@
     std::string* output = d_->front_.OutputOf(conn);
     if (output == nullptr) return;
     // The kernel and the loop hold some; the rest stays with the session, whose bound it counts against.
-    if (d_->loop_->Unsent(conn) == 0 && !output->empty()) d_->loop_->Send(conn, std::exchange(*output, {}));
+    if (d_->loop_->UnsentBytes(conn) == 0 && !output->empty())
+      d_->loop_->Send(conn, std::exchange(*output, {}));
     if (d_->front_.WantsClose(conn) && output->empty()) {
       d_->loop_->Close(conn, true);
       return d_->front_.Close(d_->loop_->Now(), conn);
@@ -144,7 +145,7 @@
   Daemon* d_;
 };
 
-class Daemon::HttpSide : public event_loop::Handler {
+class Daemon::HttpSide : public event_loop::ConnectionHandler {
  public:
   explicit HttpSide(Daemon* d) : d_(d) {}
   void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn,
@@ -163,7 +164,7 @@
       reader.messages().pop_front();
       keep = request.keep_alive;
       std::string bytes =
-          d_->http_.Handle(d_->loop_->Now(), request, it->second.peer, d_->loop_->TurnBeforeBegan());
+          d_->http_.Handle(d_->loop_->Now(), request, it->second.peer, d_->loop_->PreviousTurnStart());
       d_->Say({conn, std::move(bytes), !keep}, d_->http_.said_nothing_kept());
     }
     if (good && keep) return;
@@ -187,7 +188,7 @@
   std::map<event_loop::ConnId, Conn> conns_;
 };
 
-class Daemon::LinkSide : public event_loop::Handler {
+class Daemon::LinkSide : public event_loop::ConnectionHandler {
  public:
   explicit LinkSide(Daemon* d) : d_(d) {}
   void OnConnected(event_loop::ConnId conn) override {
@@ -215,7 +216,7 @@
   Daemon* d_;
 };
 
-class Daemon::ListSide : public event_loop::Handler {
+class Daemon::ListSide : public event_loop::ConnectionHandler {
  public:
   // `others`: the daemons' entries; only the list of nodes goes to the core.
   ListSide(Daemon* d, discovery::RegistryClient* client, bool others)
@@ -267,7 +268,7 @@
 
 // ---- The daemon ----
 
-Daemon::Daemon(event_loop::Loop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> log)
+Daemon::Daemon(event_loop::EventLoop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> log)
     : loop_(loop),
       config_(std::move(config)),
       log_(std::move(log)),
@@ -717,7 +718,7 @@
   if (stopping_) next = std::min(next, stop_at_);
   if (front_.at_door() > 0) next = loop_->Now();
   loop_->SetMainTimer(next, nullptr);
-  door_.Turn(loop_->TurnBegan(), loop_->Now());
+  door_.Turn(loop_->TurnStart(), loop_->Now());
 }
 
 bool Daemon::Owes() const {
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -35,7 +35,7 @@
 
 class Daemon {
  public:
-  Daemon(event_loop::Loop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> log);
+  Daemon(event_loop::EventLoop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> log);
   ~Daemon();
 
   // Listens; false with the reason when an address cannot be had.
@@ -85,7 +85,7 @@
   bool Owes() const;
   pbs_server::Peer PeerOf(const event_loop::PeerInfo& info) const;
 
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   config::DaemonConfig config_;
   std::shared_ptr<spdlog::logger> log_;
   job_manager::JobManager core_;
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -79,7 +79,7 @@
     std::fprintf(stderr, "mountflowd: log: %s\n", error.c_str());
     return 1;
   }
-  mountflow::event_loop::Loop loop;
+  mountflow::event_loop::EventLoop loop;
   mountflow::daemon::Daemon daemon(&loop, config, log);
   if (measure) daemon.MeasureParts();
   if (!daemon.Start(&error)) {
@@ -105,7 +105,7 @@
         static_cast<unsigned long long>(loop.Now()), us(s.module), us(s.front + s.core - s.module),
         us(s.links), us(s.total - s.front - s.core - s.links));
     std::fflush(stdout);
-    loop.At(loop.Now() + 1'000'000, tell);
+    loop.AddTimer(loop.Now() + 1'000'000, tell);
   };
   if (measure) tell();
   loop.Run();
--- a/src/discovery/registrar_link.hpp
+++ b/src/discovery/registrar_link.hpp
@@ -12,9 +12,9 @@
 
 namespace mountflow::discovery {
 
-class RegistrarLink : public event_loop::Handler {
+class RegistrarLink : public event_loop::ConnectionHandler {
  public:
-  RegistrarLink(event_loop::Loop* loop, Registrar* registrar, tls::Keys* keys)
+  RegistrarLink(event_loop::EventLoop* loop, Registrar* registrar, tls::Keys* keys)
       : loop_(loop), registrar_(registrar), keys_(keys) {}
   ~RegistrarLink() override;
   void Poll();  // sends what is due; call each turn
@@ -25,7 +25,7 @@
  private:
   void Drop();
   void Fail(const std::string& why);
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   Registrar* registrar_;
   tls::Keys* keys_;
   event_loop::ConnId conn_ = 0;
--- a/src/event_loop/connection_filter.hpp
+++ b/src/event_loop/connection_filter.hpp
@@ -7,9 +7,9 @@
 
 namespace mountflow::event_loop {
 
-class Filter {
+class ConnectionFilter {
  public:
-  virtual ~Filter() = default;
+  virtual ~ConnectionFilter() = default;
   // Once, when the connection stands: what is to be sent first goes to `out`.
   virtual void Start(std::string* out) = 0;
   // Bytes of the other side. What they say is appended to `plain`, what must be sent to `out`. False when
--- a/src/event_loop/event_loop.cpp
+++ b/src/event_loop/event_loop.cpp
@@ -71,6 +71,8 @@
   return true;
 }
 
+bool IsConnectionRefused(const std::string& reason) { return reason == strerror(ECONNREFUSED); }
+
 // Asks the kernel by NETLINK_SOCK_DIAG for the socket whose own end is our peer.
 bool PeerUid(int fd, std::uint32_t* uid) {
   sockaddr_in peer{}, self{};
@@ -106,20 +108,20 @@
   return true;
 }
 
-struct Loop::Impl {
+struct EventLoop::Impl {
   struct Conn {
     ev_io io;
     Impl* impl = nullptr;
     ConnId id = 0;
     int fd = -1;
-    Handler* handler = nullptr;
+    ConnectionHandler* handler = nullptr;
     bool connecting = false;
     bool paused = false;
     bool closing = false;  // flush, then close
     std::string unsent;
     std::size_t sent = 0;
     // With a filter: not ready yet; what the handler sent meanwhile; and, when accepted, whom to tell of it.
-    std::unique_ptr<Filter> filter;
+    std::unique_ptr<ConnectionFilter> filter;
     bool shaking = false;
     std::string early;
     ListenerId listener = 0;
@@ -131,9 +133,9 @@
     ListenerId id = 0;
     int fd = -1;
     int port = 0;
-    Handler* handler = nullptr;
+    ConnectionHandler* handler = nullptr;
     bool paused = false;
-    Filters filters;
+    FilterFactory filters;
   };
   struct Signal {
     ev_signal watcher;
@@ -229,7 +231,7 @@
 
   void Fail(Conn& c, const std::string& reason) {
     // One that was never told as accepted is not told as closed.
-    Handler* handler = c.closing || (c.shaking && c.listener != 0) ? nullptr : c.handler;
+    ConnectionHandler* handler = c.closing || (c.shaking && c.listener != 0) ? nullptr : c.handler;
     const ConnId id = c.id;
     Remove(id);
     if (handler != nullptr) handler->OnClosed(id, reason);
@@ -338,7 +340,7 @@
     return it == conns.end() ? nullptr : it->second.get();
   }
 
-  Conn& Add(ConnId id, int fd, Handler* handler, bool connecting) {
+  Conn& Add(ConnId id, int fd, ConnectionHandler* handler, bool connecting) {
     auto& slot = conns[id];
     slot = std::make_unique<Conn>();
     Conn& c = *slot;
@@ -391,7 +393,7 @@
         l.handler->OnAccepted(l.id, id, info);
         continue;
       }
-      if (shaking < kMostShaking) c.filter = l.filters();
+      if (shaking < kMaxHandshakes) c.filter = l.filters();
       c.listener = l.id;
       c.info = info;
       if (!c.filter) {
@@ -403,7 +405,7 @@
   }
 };
 
-Loop::Loop() : impl_(std::make_unique<Impl>()) {
+EventLoop::EventLoop() : impl_(std::make_unique<Impl>()) {
   signal(SIGPIPE, SIG_IGN);
   // Named, not left to libev's choice or to LIBEV_FLAGS: some backends (io_uring, linuxaio) use system calls
   // that places of service refuse, and the refusal would come in the middle of a day.
@@ -436,7 +438,7 @@
   impl_->turn_began = impl_->turn_before_began = impl_->Now();
 }
 
-Loop::~Loop() {
+EventLoop::~EventLoop() {
   std::vector<ConnId> ids;
   for (const auto& [id, conn] : impl_->conns) ids.push_back(id);
   for (ConnId id : ids) impl_->Remove(id);
@@ -452,20 +454,20 @@
   ev_check_stop(impl_->loop, &impl_->check);
 }
 
-Micros Loop::TurnBegan() const { return impl_->turn_began; }
-Micros Loop::TurnBeforeBegan() const { return impl_->turn_before_began; }
-Micros Loop::Now() const { return impl_->Now(); }
-void Loop::Run() { ev_run(impl_->loop, 0); }
-void Loop::Stop() { ev_break(impl_->loop, EVBREAK_ALL); }
-ConnId Loop::NewId() { return ++impl_->next_id; }
-void Loop::SetMostUnsent(std::size_t bytes) { impl_->most_unsent = bytes; }
-void Loop::SetMostRead(std::size_t bytes) {
+Micros EventLoop::TurnStart() const { return impl_->turn_began; }
+Micros EventLoop::PreviousTurnStart() const { return impl_->turn_before_began; }
+Micros EventLoop::Now() const { return impl_->Now(); }
+void EventLoop::Run() { ev_run(impl_->loop, 0); }
+void EventLoop::Stop() { ev_break(impl_->loop, EVBREAK_ALL); }
+ConnId EventLoop::NewConnectionId() { return ++impl_->next_id; }
+void EventLoop::SetMaxUnsentBytes(std::size_t bytes) { impl_->most_unsent = bytes; }
+void EventLoop::SetMaxReadBytes(std::size_t bytes) {
   impl_->most_read = std::clamp<std::size_t>(bytes, 1, kReadChunk);
 }
-void Loop::SetTellPeers(bool tell) { impl_->tell_peers = tell; }
-bool Loop::Refused(const std::string& reason) { return reason == strerror(ECONNREFUSED); }
+void EventLoop::SetReportPeerUid(bool tell) { impl_->tell_peers = tell; }
 
-ListenerId Loop::Listen(const std::string& text, Handler* handler, std::string* error, Filters filters) {
+ListenerId EventLoop::Listen(const std::string& text, ConnectionHandler* handler, std::string* error,
+                             FilterFactory filters) {
   sockaddr_in address{};
   if (!ParseAddress(text, &address)) {
     *error = "'" + text + "': expected IP:PORT";
@@ -501,12 +503,12 @@
   return id;
 }
 
-int Loop::PortOf(ListenerId listener) const {
+int EventLoop::PortOf(ListenerId listener) const {
   const auto it = impl_->listeners.find(listener);
   return it == impl_->listeners.end() ? 0 : it->second->port;
 }
 
-void Loop::CloseListener(ListenerId listener) {
+void EventLoop::CloseListener(ListenerId listener) {
   const auto it = impl_->listeners.find(listener);
   if (it == impl_->listeners.end()) return;
   ev_io_stop(impl_->loop, &it->second->io);
@@ -514,7 +516,7 @@
   impl_->listeners.erase(it);
 }
 
-void Loop::PauseAccepting(ListenerId listener, bool pause) {
+void EventLoop::PauseAccepting(ListenerId listener, bool pause) {
   const auto it = impl_->listeners.find(listener);
   if (it == impl_->listeners.end()) return;
   it->second->paused = pause;
@@ -525,7 +527,8 @@
   }
 }
 
-ConnId Loop::Connect(const std::string& text, Handler* handler, ConnId id, std::unique_ptr<Filter> filter) {
+ConnId EventLoop::Connect(const std::string& text, ConnectionHandler* handler, ConnId id,
+                          std::unique_ptr<ConnectionFilter> filter) {
   if (id == 0) id = ++impl_->next_id;
   sockaddr_in address{};
   std::string reason;
@@ -543,18 +546,18 @@
     reason = strerror(errno);
     if (fd >= 0) close(fd);
   }
-  At(Now(), [handler, id, reason] { handler->OnClosed(id, reason); });
+  AddTimer(Now(), [handler, id, reason] { handler->OnClosed(id, reason); });
   return id;
 }
 
-void Loop::Send(ConnId conn, std::string_view bytes) {
+void EventLoop::Send(ConnId conn, std::string_view bytes) {
   const auto it = impl_->conns.find(conn);
   if (it == impl_->conns.end() || it->second->closing) return;
   Impl::Conn& c = *it->second;
   if (c.unsent.size() - c.sent + c.early.size() + bytes.size() > impl_->most_unsent) {
-    Handler* handler = c.handler;
+    ConnectionHandler* handler = c.handler;
     impl_->Remove(conn, true);
-    At(Now(), [handler, conn] { handler->OnClosed(conn, "does not read what is sent"); });
+    AddTimer(Now(), [handler, conn] { handler->OnClosed(conn, "does not read what is sent"); });
     return;
   }
   const bool waits = c.filter && (c.connecting || c.shaking);
@@ -568,41 +571,43 @@
   }
   if (c.connecting || waits) return;
   if (!good || !impl_->Write(c)) {
-    Handler* handler = c.handler;
+    ConnectionHandler* handler = c.handler;
     const std::string reason = good ? strerror(errno) : c.filter->error();
     impl_->Remove(conn);
-    At(Now(), [handler, conn, reason] { handler->OnClosed(conn, reason); });
+    AddTimer(Now(), [handler, conn, reason] { handler->OnClosed(conn, reason); });
     return;
   }
   impl_->Watch(c);
 }
 
-std::size_t Loop::Unsent(ConnId conn) const {
+std::size_t EventLoop::UnsentBytes(ConnId conn) const {
   const auto it = impl_->conns.find(conn);
   if (it == impl_->conns.end()) return 0;
   return it->second->unsent.size() - it->second->sent + it->second->early.size();
 }
 
-bool Loop::AllWritten(ConnId conn) const { return impl_->Find(conn) != nullptr && Unsent(conn) == 0; }
+bool EventLoop::AllWritten(ConnId conn) const {
+  return impl_->Find(conn) != nullptr && UnsentBytes(conn) == 0;
+}
 
-bool Loop::HungUp(ConnId conn) const {
+bool EventLoop::PeerClosed(ConnId conn) const {
   const Impl::Conn* c = impl_->Find(conn);
   if (c == nullptr) return true;
   pollfd end{c->fd, POLLRDHUP, 0};
   return poll(&end, 1, 0) == 1 && (end.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-std::size_t Loop::closing() const { return impl_->closing.size(); }
-void Loop::SetMostClosing(std::size_t most) { impl_->most_closing = std::max<std::size_t>(1, most); }
+std::size_t EventLoop::closing_count() const { return impl_->closing.size(); }
+void EventLoop::SetMaxClosing(std::size_t most) { impl_->most_closing = std::max<std::size_t>(1, most); }
 
-void Loop::PauseReading(ConnId conn, bool pause) {
+void EventLoop::PauseReading(ConnId conn, bool pause) {
   const auto it = impl_->conns.find(conn);
   if (it == impl_->conns.end() || it->second->paused == pause) return;
   it->second->paused = pause;
   impl_->Watch(*it->second);
 }
 
-void Loop::Close(ConnId conn, bool flush) {
+void EventLoop::Close(ConnId conn, bool flush) {
   const auto it = impl_->conns.find(conn);
   if (it == impl_->conns.end()) return;
   Impl::Conn& c = *it->second;
@@ -619,19 +624,19 @@
   impl_->closing.push_back(conn);
   if (impl_->closing.size() > impl_->most_closing) impl_->Remove(impl_->closing.front(), true);
   // A peer that does not read its last bytes does not keep the connection for ever.
-  At(Now() + kFlushTime, [this, conn] { impl_->Remove(conn, true); });
+  AddTimer(Now() + kFlushTime, [this, conn] { impl_->Remove(conn, true); });
 }
 
-void Loop::Abort(ConnId conn) { impl_->Remove(conn, true); }
+void EventLoop::Abort(ConnId conn) { impl_->Remove(conn, true); }
 
-std::uint64_t Loop::At(Micros at, std::function<void()> call) {
+std::uint64_t EventLoop::AddTimer(Micros at, std::function<void()> call) {
   const std::uint64_t id = ++impl_->next_id;
   impl_->timers.emplace(at, std::make_pair(id, std::move(call)));
   impl_->timer_at[id] = at;
   return id;
 }
 
-void Loop::CancelTimer(std::uint64_t timer) {
+void EventLoop::CancelTimer(std::uint64_t timer) {
   const auto at = impl_->timer_at.find(timer);
   if (at == impl_->timer_at.end()) return;
   const auto [from, to] = impl_->timers.equal_range(at->second);
@@ -643,14 +648,14 @@
   impl_->timer_at.erase(at);
 }
 
-void Loop::SetMainTimer(Micros at, std::function<void()> call) {
+void EventLoop::SetMainTimer(Micros at, std::function<void()> call) {
   impl_->main_at = at;
   if (call) impl_->main_call = std::move(call);
 }
 
-void Loop::SetAfterTurn(std::function<void()> call) { impl_->after_turn = std::move(call); }
+void EventLoop::SetAfterTurn(std::function<void()> call) { impl_->after_turn = std::move(call); }
 
-void Loop::OnSignal(int signal, std::function<void()> call) {
+void EventLoop::OnSignal(int signal, std::function<void()> call) {
   auto s = std::make_unique<Impl::Signal>();
   s->call = std::move(call);
   ev_signal_init(
@@ -662,7 +667,7 @@
   impl_->signals.push_back(std::move(s));
 }
 
-void Loop::OnReadable(int fd, std::function<bool()> call) {
+void EventLoop::OnReadable(int fd, std::function<bool()> call) {
   auto& r = impl_->readables[fd];
   r = std::make_unique<Impl::Readable>();
   r->impl = impl_.get();
@@ -678,7 +683,7 @@
   ev_io_start(impl_->loop, &r->io);
 }
 
-void Loop::OnChild(int pid, std::function<void(int)> call) {
+void EventLoop::OnChild(int pid, std::function<void(int)> call) {
   auto c = std::make_unique<Impl::Child>();
   c->impl = impl_.get();
   c->call = std::move(call);
--- a/src/node_agent/exec.cpp
+++ b/src/node_agent/exec.cpp
@@ -76,7 +76,7 @@
   return !name.empty() && *end == '\0' && number > 0 && number < 65 ? static_cast<int>(number) : 0;
 }
 
-Executor::Executor(event_loop::Loop* loop, std::function<void(const std::string&, int)> exited)
+Executor::Executor(event_loop::EventLoop* loop, std::function<void(const std::string&, int)> exited)
     : loop_(loop), exited_(std::move(exited)) {}
 
 Executor::~Executor() { KillAll(); }
@@ -87,7 +87,7 @@
 
 void Executor::Run(const std::string& attempt, const WireTask& task) {
   const auto fail = [this, attempt](int status) {
-    loop_->At(loop_->Now(), [this, attempt, status] { exited_(attempt, status); });
+    loop_->AddTimer(loop_->Now(), [this, attempt, status] { exited_(attempt, status); });
   };
   // The script lies in a file without a name: nothing is left behind whatever happens.
   char name[] = "/tmp/mountflow-job-XXXXXX";
@@ -172,7 +172,7 @@
   const int pid = it->second;
   kill(-pid, number);
   if (number != SIGTERM) return;
-  loop_->At(loop_->Now() + kKillAfter, [this, attempt, pid] {
+  loop_->AddTimer(loop_->Now() + kKillAfter, [this, attempt, pid] {
     const auto still = pids_.find(attempt);
     if (still != pids_.end() && still->second == pid) kill(-pid, SIGKILL);
   });
--- a/src/node_agent/exec.hpp
+++ b/src/node_agent/exec.hpp
@@ -15,7 +15,7 @@
 class Executor {
  public:
   // `exited` gets the attempt and the exit status (256 + signal when it was ended by one).
-  Executor(event_loop::Loop* loop, std::function<void(const std::string&, int)> exited);
+  Executor(event_loop::EventLoop* loop, std::function<void(const std::string&, int)> exited);
   ~Executor();
   void Run(const std::string& attempt, const WireTask& task);
   // Sends a signal to the job's process group; after SIGTERM, SIGKILL follows 5 s later.
@@ -23,7 +23,7 @@
   void KillAll();
 
  private:
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   std::function<void(const std::string&, int)> exited_;
   std::map<std::string, int> pids_;
 };
--- a/src/node_agent/host.cpp
+++ b/src/node_agent/host.cpp
@@ -26,9 +26,9 @@
 
 // ---- Reports to one daemon ----
 
-class Reporter : public event_loop::Handler {
+class Reporter : public event_loop::ConnectionHandler {
  public:
-  Reporter(event_loop::Loop* loop, NodeServer* server, std::string daemon)
+  Reporter(event_loop::EventLoop* loop, NodeServer* server, std::string daemon)
       : loop_(loop), server_(server), daemon_(std::move(daemon)) {}
   ~Reporter() override {
     if (conn_ != 0) loop_->Abort(conn_);
@@ -96,7 +96,7 @@
     input_.clear();
     next_ = loop_->Now() + (kReportAgain << std::min(failures_++, 4u));
   }
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   NodeServer* server_;
   std::string daemon_;
   event_loop::ConnId conn_ = 0;
@@ -109,9 +109,10 @@
 
 // ---- One node ----
 
-class Host::Node : public event_loop::Handler {
+class Host::Node : public event_loop::ConnectionHandler {
  public:
-  Node(event_loop::Loop* loop, const HostOptions& options, HostedNode hosted, std::shared_ptr<KeyMemory> keys)
+  Node(event_loop::EventLoop* loop, const HostOptions& options, HostedNode hosted,
+       std::shared_ptr<KeyMemory> keys)
       : loop_(loop),
         options_(options),
         hosted_(std::move(hosted)),
@@ -253,7 +254,7 @@
     conns_.erase(conn);
     server_->Close(loop_->Now(), conn);
   }
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   const HostOptions& options_;
   HostedNode hosted_;
   std::shared_ptr<KeyMemory> keys_;
@@ -271,9 +272,9 @@
 
 // ---- Entries in the list ----
 
-class Host::Publisher : public event_loop::Handler {
+class Host::Publisher : public event_loop::ConnectionHandler {
  public:
-  Publisher(event_loop::Loop* loop, const HostOptions& options, tls::Keys* keys)
+  Publisher(event_loop::EventLoop* loop, const HostOptions& options, tls::Keys* keys)
       : loop_(loop), options_(options), keys_(keys) {}
 
   // The newest wish for a key wins; empty: remove it.
@@ -335,7 +336,7 @@
     bool ever = false;
     Micros next = 0;
   };
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   const HostOptions& options_;
   tls::Keys* keys_;
   std::map<std::string, Slot> slots_;
@@ -345,9 +346,9 @@
   std::unique_ptr<http::Reader> reader_;
 };
 
-class Host::Control : public event_loop::Handler {
+class Host::Control : public event_loop::ConnectionHandler {
  public:
-  Control(event_loop::Loop* loop, Host* host) : loop_(loop), host_(host) {}
+  Control(event_loop::EventLoop* loop, Host* host) : loop_(loop), host_(host) {}
   void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) override {
     readers_.emplace(conn, http::Reader(http::Reader::Side::kRequests, 1 << 16));
   }
@@ -363,12 +364,12 @@
   void OnClosed(event_loop::ConnId conn, const std::string&) override { readers_.erase(conn); }
 
  private:
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   Host* host_;
   std::map<event_loop::ConnId, http::Reader> readers_;
 };
 
-Host::Host(event_loop::Loop* loop, HostOptions options, std::vector<HostedNode> nodes)
+Host::Host(event_loop::EventLoop* loop, HostOptions options, std::vector<HostedNode> nodes)
     : loop_(loop), options_(std::move(options)), keys_(options_.tls), configs_(std::move(nodes)) {}
 Host::~Host() = default;
 
@@ -464,7 +465,7 @@
 
 void Host::Stop() {
   stopping_ = true;
-  loop_->At(loop_->Now() + 1'000'000, [this] { loop_->Stop(); });  // also without the list
+  loop_->AddTimer(loop_->Now() + 1'000'000, [this] { loop_->Stop(); });  // also without the list
 }
 
 std::string Host::Handle(const http::Message& r) {
--- a/src/node_agent/host.hpp
+++ b/src/node_agent/host.hpp
@@ -52,7 +52,7 @@
 
 class Host {
  public:
-  Host(event_loop::Loop* loop, HostOptions options, std::vector<HostedNode> nodes);
+  Host(event_loop::EventLoop* loop, HostOptions options, std::vector<HostedNode> nodes);
   ~Host();
   bool Start(std::string* error);
   int control_port() const;
@@ -70,7 +70,7 @@
     int state = -1;
     Micros next = 0;
   };
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   HostOptions options_;
   tls::Keys keys_;  // to the list
   std::map<std::string, Published> published_;
@@ -79,7 +79,7 @@
   struct Registered {
     discovery::Registrar registrar;
     discovery::RegistrarLink link;
-    Registered(event_loop::Loop* loop, discovery::RegistrarOptions options, std::uint64_t seed,
+    Registered(event_loop::EventLoop* loop, discovery::RegistrarOptions options, std::uint64_t seed,
                tls::Keys* keys)
         : registrar(std::move(options), seed), link(loop, &registrar, keys) {}
   };
--- a/src/node_agent/main.cpp
+++ b/src/node_agent/main.cpp
@@ -44,7 +44,7 @@
     for (const std::string& error : errors) std::fprintf(stderr, "mountflow-node: %s\n", error.c_str());
     if (!errors.empty()) return 1;
   }
-  mountflow::event_loop::Loop loop;
+  mountflow::event_loop::EventLoop loop;
   mountflow::node_agent::Host host(&loop, options, nodes);
   std::string error;
   if (!host.Start(&error)) {
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -62,7 +62,7 @@
   }
 }
 
-PlatformServer::PlatformServer(event_loop::Loop* loop, const platform::PlatformConfig& config,
+PlatformServer::PlatformServer(event_loop::EventLoop* loop, const platform::PlatformConfig& config,
                                std::string config_file)
     : loop_(loop),
       config_(config),
@@ -73,10 +73,10 @@
       changes_(config.change_log, config.known_last, this) {}
 
 bool PlatformServer::Start(std::string* error) {
-  loop_->SetMostUnsent(config_.memory_mb * (1 << 20) / 512);  // of one connection
-  loop_->SetMostClosing(kMostClosing);
-  loop_->SetMostRead(kMostRead);
-  loop_->SetTellPeers(false);
+  loop_->SetMaxUnsentBytes(config_.memory_mb * (1 << 20) / 512);  // of one connection
+  loop_->SetMaxClosing(kMostClosing);
+  loop_->SetMaxReadBytes(kMostRead);
+  loop_->SetReportPeerUid(false);
   tasks_.Start(loop_->Now(), config_.known);
   std::vector<platform::NodeListChange>().swap(config_.known);
   listener_ = loop_->Listen(config_.listen, this, error);
@@ -131,7 +131,7 @@
     changes_.OnClosed(now, conn);
     for (const platform::NodeListChange& change : changes_.Take()) tasks_.Fleet(now, change);
   } else {
-    links_.OnClosed(now, conn, event_loop::Loop::Refused(reason));
+    links_.OnClosed(now, conn, event_loop::IsConnectionRefused(reason));
     tasks_.FromLinks(now);
   }
   owners_.Deliver(now);
@@ -197,7 +197,7 @@
   tasks_.FailOpen(now);
   owners_.Deliver(now);
   // The end of the program is the end of its sockets: what their owners have not taken yet would never come.
-  if (now < last + kLeaveFlush && (owners_.Owes() || loop_->closing() > 0)) return;
+  if (now < last + kLeaveFlush && (owners_.Owes() || loop_->closing_count() > 0)) return;
   // One more turn that takes what lies in the kernel: a turn that a timer or a signal began has read nothing.
   if (!std::exchange(looked_, true)) return;
   Log("left");
@@ -207,13 +207,13 @@
 platform::ConnId PlatformServer::Connect(const std::string& address) { return loop_->Connect(address, this); }
 void PlatformServer::Send(platform::ConnId conn, std::string_view bytes) { loop_->Send(conn, bytes); }
 bool PlatformServer::AllWritten(platform::ConnId conn) const { return loop_->AllWritten(conn); }
-bool PlatformServer::HungUp(platform::ConnId conn) const { return loop_->HungUp(conn); }
+bool PlatformServer::HungUp(platform::ConnId conn) const { return loop_->PeerClosed(conn); }
 void PlatformServer::Close(platform::ConnId conn, bool flush) { loop_->Close(conn, flush); }
 void PlatformServer::Log(const std::string& line) { log_.Write(loop_->Now(), line); }
 
 int RunPlatform(const std::string& trace) {
   // Before anything else: until then SIGHUP and SIGTERM end the program where it stands.
-  event_loop::Loop loop;
+  event_loop::EventLoop loop;
   PlatformServer* told = nullptr;
   loop.OnSignal(SIGTERM, [&told] { told->Leave(); });
   loop.OnSignal(SIGINT, [&told] { told->Leave(); });
--- a/src/platform/platform_server.hpp
+++ b/src/platform/platform_server.hpp
@@ -39,9 +39,10 @@
   std::set<std::string> said_;  // in this second
 };
 
-class PlatformServer : public event_loop::Handler, public platform::Transport {
+class PlatformServer : public event_loop::ConnectionHandler, public platform::Transport {
  public:
-  PlatformServer(event_loop::Loop* loop, const platform::PlatformConfig& config, std::string config_file);
+  PlatformServer(event_loop::EventLoop* loop, const platform::PlatformConfig& config,
+                 std::string config_file);
   bool Start(std::string* error);
   void Trace(std::FILE* to);  // what the module is told and does
   void Reload();
@@ -65,7 +66,7 @@
   void OnTimer();
   void MaybeLeave(Micros now);
 
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   platform::PlatformConfig config_;
   std::string config_file_;
   RateLimitedLog log_;
--- a/src/tls/context.cpp
+++ b/src/tls/context.cpp
@@ -37,7 +37,7 @@
   return ip != nullptr;
 }
 
-class Session : public event_loop::Filter {
+class Session : public event_loop::ConnectionFilter {
  public:
   Session(SslPtr ssl, Side side, std::shared_ptr<std::int64_t> peer_end)
       : ssl_(std::move(ssl)), side_(side), peer_end_(std::move(peer_end)) {
@@ -189,7 +189,7 @@
   return true;
 }
 
-std::unique_ptr<event_loop::Filter> Context::NewSession(const std::string& host) {
+std::unique_ptr<event_loop::ConnectionFilter> Context::NewSession(const std::string& host) {
   if (!impl_->ctx) return nullptr;
   SslPtr ssl(SSL_new(impl_->ctx.get()));
   X509_VERIFY_PARAM* check = SSL_get0_param(ssl.get());
--- a/src/tls/context.hpp
+++ b/src/tls/context.hpp
@@ -41,7 +41,7 @@
   // False with "FILE: expected ...".
   bool Load(std::string* error);
   // `host`: the address that is connected to, without its port. Null before the first successful Load.
-  std::unique_ptr<event_loop::Filter> NewSession(const std::string& host);
+  std::unique_ptr<event_loop::ConnectionFilter> NewSession(const std::string& host);
   // Own certificate, and the soonest of the other side's chain as last seen.
   std::vector<Expiry> Expiries() const;
   const Options& options() const { return options_; }
--- a/src/tls/keys.cpp
+++ b/src/tls/keys.cpp
@@ -38,7 +38,7 @@
   renewal_.Consider(now, context_.Expiries());
 }
 
-std::unique_ptr<event_loop::Filter> Keys::Session(const std::string& address) {
+std::unique_ptr<event_loop::ConnectionFilter> Keys::Session(const std::string& address) {
   return on_ ? context_.NewSession(address.substr(0, address.rfind(':'))) : nullptr;
 }
 
--- a/src/tls/keys.hpp
+++ b/src/tls/keys.hpp
@@ -24,7 +24,7 @@
   Micros NextTimer() const { return on_ ? renewal_.NextTimer() : ~Micros{0}; }
   std::vector<std::string> TakeComplaints() { return renewal_.TakeComplaints(); }
   // For a connection to IP:PORT; null without TLS.
-  std::unique_ptr<event_loop::Filter> Session(const std::string& address);
+  std::unique_ptr<event_loop::ConnectionFilter> Session(const std::string& address);
 
  private:
   std::string Stamp() const;
--- a/tests/platform/platform_shutdown_test.cpp
+++ b/tests/platform/platform_shutdown_test.cpp
@@ -13,7 +13,7 @@
   // Nothing happens but time: what is crossed is a time of the program itself.
   void TimePasses(Micros until) {
     bool due = false;
-    loop.At(until, [&due] { due = true; });
+    loop.AddTimer(until, [&due] { due = true; });
     Until([&due] { return due; });
   }
   std::size_t SentOn(const std::set<RequestUid>& uids) const {
@@ -319,17 +319,17 @@
 // The danger: who closes a connection counts it no more, and a peer that does not read kept its descriptor
 // for 10 s.
 TEST(LoopEndings, ConnectionsThatFlushAreBounded) {
-  struct Accepting : event_loop::Handler {
+  struct Accepting : event_loop::ConnectionHandler {
     void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) override {
       conns.push_back(conn);
     }
     std::vector<event_loop::ConnId> conns;
   } accepting;
-  struct Peer : event_loop::Handler {
+  struct Peer : event_loop::ConnectionHandler {
     void OnClosed(event_loop::ConnId, const std::string&) override { ++closed; }
     int closed = 0;
   } peer;
-  event_loop::Loop loop;
+  event_loop::EventLoop loop;
   std::string error;
   const auto listener = loop.Listen("127.0.0.1:0", &accepting, &error);
   const std::string address = "127.0.0.1:" + std::to_string(loop.PortOf(listener));
@@ -338,22 +338,22 @@
     loop.SetAfterTurn([&] {
       if (holds()) loop.Stop();
     });
-    loop.At(loop.Now() + kLimit, [&loop] { loop.Stop(); });
+    loop.AddTimer(loop.Now() + kLimit, [&loop] { loop.Stop(); });
     loop.Run();
     return holds();
   };
   ASSERT_TRUE(until([&] { return accepting.conns.size() == 5; }));
-  loop.SetMostClosing(2);
+  loop.SetMaxClosing(2);
   for (const event_loop::ConnId conn : accepting.conns) {
     loop.Send(conn, std::string(16 << 20, 'x'));  // more than the kernel takes
     loop.Close(conn, true);
     loop.Close(conn, true);  // again changes nothing
   }
-  EXPECT_EQ(loop.closing(), 2u);
-  EXPECT_TRUE(loop.HungUp(accepting.conns[0]));
-  EXPECT_FALSE(loop.HungUp(accepting.conns[4]));
+  EXPECT_EQ(loop.closing_count(), 2u);
+  EXPECT_TRUE(loop.PeerClosed(accepting.conns[0]));
+  EXPECT_FALSE(loop.PeerClosed(accepting.conns[4]));
   loop.Close(accepting.conns[4], false);
-  EXPECT_EQ(loop.closing(), 1u);
+  EXPECT_EQ(loop.closing_count(), 1u);
 }
 
 }  // namespace
--- a/tests/support/platform_fakes.hpp
+++ b/tests/support/platform_fakes.hpp
@@ -158,9 +158,9 @@
 }
 
 // A machine: listens, and answers each set-up as `reply` says. Without one it says yes.
-class StandMachine : public event_loop::Handler {
+class StandMachine : public event_loop::ConnectionHandler {
  public:
-  StandMachine(event_loop::Loop* loop, std::string name, unsigned cell, Record* record)
+  StandMachine(event_loop::EventLoop* loop, std::string name, unsigned cell, Record* record)
       : name(std::move(name)), cell(cell), loop_(loop), record_(record) {
     std::string error;
     listener_ = loop_->Listen("127.0.0.1:0", this, &error);
@@ -263,15 +263,15 @@
     passed.cause = cause;
     record_->push_back(passed);
   }
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   Record* record_;
   event_loop::ListenerId listener_ = 0;
 };
 
 // The change log: numbered events, long poll.
-class StandChangeLog : public event_loop::Handler {
+class StandChangeLog : public event_loop::ConnectionHandler {
  public:
-  explicit StandChangeLog(event_loop::Loop* loop) : loop_(loop) {
+  explicit StandChangeLog(event_loop::EventLoop* loop) : loop_(loop) {
     std::string error;
     listener_ = loop_->Listen("127.0.0.1:0", this, &error);
     address = "127.0.0.1:" + std::to_string(loop_->PortOf(listener_));
@@ -302,7 +302,7 @@
         Answer(conn, since);
       } else {
         waiting_[conn] = since;
-        loop_->At(loop_->Now() + 1'000'000, [this, conn, since] {
+        loop_->AddTimer(loop_->Now() + 1'000'000, [this, conn, since] {
           if (waiting_.erase(conn) > 0) Answer(conn, since);
         });
       }
@@ -350,16 +350,17 @@
     }
     loop_->Send(conn, bytes);
   }
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   event_loop::ListenerId listener_ = 0;
   std::map<event_loop::ConnId, std::unique_ptr<http::Reader>> readers_;
   std::map<event_loop::ConnId, std::uint64_t> waiting_;
 };
 
 // Owners: one connection, what was said on it.
-class StandOwner : public event_loop::Handler {
+class StandOwner : public event_loop::ConnectionHandler {
  public:
-  StandOwner(event_loop::Loop* loop, const std::string& to, Record* record) : loop_(loop), record_(record) {
+  StandOwner(event_loop::EventLoop* loop, const std::string& to, Record* record)
+      : loop_(loop), record_(record) {
     conn = loop_->Connect(to, this);
   }
   ~StandOwner() override { loop_->Close(conn); }
@@ -437,7 +438,7 @@
   std::vector<int> tested;
 
  private:
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   Record* record_;
   ClientMessageReader reader_;
 };
--- a/tests/support/platform_process_fixture.hpp
+++ b/tests/support/platform_process_fixture.hpp
@@ -97,7 +97,7 @@
   // Runs the loop until it holds; a failure takes kLimit.
   void Until(const std::function<bool()>& holds) {
     bool held = false, late = false;
-    const auto limit = loop.At(loop.Now() + kLimit, [&] {
+    const auto limit = loop.AddTimer(loop.Now() + kLimit, [&] {
       late = true;
       loop.Stop();
     });
@@ -130,8 +130,8 @@
    "fall_multiple":2.0},"stats":{"names":["x0","x1","pending","cpu_share"]}}})";
 
   int memory_mb = 32, sockets = 256, cores = 32;
-  event_loop::Loop loop;
-  event_loop::Handler nobody;
+  event_loop::EventLoop loop;
+  event_loop::ConnectionHandler nobody;
   Record record;
   StandChangeLog log{&loop};
   std::vector<std::unique_ptr<StandMachine>> machines;
--- a/tests/tls/tls_test.cpp
+++ b/tests/tls/tls_test.cpp
@@ -23,7 +23,7 @@
 
 // A client's and a server's session, joined by strings; bytes pass `piece` at a time.
 struct Pair {
-  std::unique_ptr<event_loop::Filter> client, server;
+  std::unique_ptr<event_loop::ConnectionFilter> client, server;
   std::string to_server, to_client, server_heard, client_heard;
 
   void Join(std::size_t piece = 1 << 20) {
@@ -32,7 +32,7 @@
       Pass(&to_client, client.get(), &client_heard, &to_server, piece);
     }
   }
-  static void Pass(std::string* from, event_loop::Filter* to, std::string* heard, std::string* back,
+  static void Pass(std::string* from, event_loop::ConnectionFilter* to, std::string* heard, std::string* back,
                    std::size_t piece) {
     const std::string part = from->substr(0, piece);
     from->erase(0, part.size());
--- a/tools/chaos/recording_proxy.cpp
+++ b/tools/chaos/recording_proxy.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-Tap::Tap(event_loop::Loop* loop, Recorder* recorder, TapKind kind, std::string who)
+Tap::Tap(event_loop::EventLoop* loop, Recorder* recorder, TapKind kind, std::string who)
     : loop_(loop), recorder_(recorder), kind_(kind), who_(std::move(who)) {}
 
 Tap::~Tap() = default;
@@ -114,7 +114,7 @@
 }
 
 void Tap::MoveLater(std::uint64_t number, Micros at) {
-  loop_->At(at, [this, number, alive = std::weak_ptr<int>(alive_)] {
+  loop_->AddTimer(at, [this, number, alive = std::weak_ptr<int>(alive_)] {
     if (alive.expired()) return;
     const auto it = pairs_.find(number);
     if (it != pairs_.end()) Move(it->second);
--- a/tools/chaos/recording_proxy.hpp
+++ b/tools/chaos/recording_proxy.hpp
@@ -29,10 +29,10 @@
 };
 inline constexpr Micros kTrickleStep = 20'000;
 
-class Tap : public event_loop::Handler {
+class Tap : public event_loop::ConnectionHandler {
  public:
   // `who` is the node or daemon at the far end (for kList: the daemon that reads).
-  Tap(event_loop::Loop* loop, Recorder* recorder, TapKind kind, std::string who);
+  Tap(event_loop::EventLoop* loop, Recorder* recorder, TapKind kind, std::string who);
   ~Tap() override;
   bool Listen(std::string* error);
   std::string address() const;
@@ -82,7 +82,7 @@
   void End(std::uint64_t number);
   json Line(const Pair& pair) const;
 
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   Recorder* recorder_;
   TapKind kind_;
   std::string who_, upstream_;
--- a/tools/chaos/runner.cpp
+++ b/tools/chaos/runner.cpp
@@ -34,7 +34,7 @@
 // A child process whose first line of output is awaited.
 class Child {
  public:
-  Child(event_loop::Loop* loop, std::string log) : loop_(loop), log_(std::move(log)) {}
+  Child(event_loop::EventLoop* loop, std::string log) : loop_(loop), log_(std::move(log)) {}
 
   bool Start(const std::vector<std::string>& arguments, std::function<void(const std::string&)> ready,
              std::function<void(int)> ended) {
@@ -86,18 +86,18 @@
   int pid() const { return pid_; }
 
  private:
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   std::string log_;
   int pid_ = 0;
 };
 
-class Runner : public event_loop::Handler {
+class Runner : public event_loop::ConnectionHandler {
  public:
   Runner(const Day& day, const RunOptions& options) : day_(day), options_(options), random_(day.seed) {}
 
   RunResult Run() {
     if (!Prepare()) return result_;
-    loop_.At(loop_.Now() + kStartTime, [this] {
+    loop_.AddTimer(loop_.Now() + kStartTime, [this] {
       if (!started_) Fail("not all parts came up in time");
     });
     loop_.Run();
@@ -357,18 +357,18 @@
     Event("begin");
     clients_->Start(day_.load, begin_ + Seconds(day_.length));
     for (const Fault& fault : day_.faults) {
-      loop_.At(begin_ + Seconds(fault.at), [this, fault] { Throw(fault); });
+      loop_.AddTimer(begin_ + Seconds(fault.at), [this, fault] { Throw(fault); });
     }
     Micros longest = 0;
     for (const auto& [queue, limit] : limits_) longest = std::max(longest, limit);
     end_by_ = begin_ + Seconds(day_.length) + longest + 3 * kSecond;
-    loop_.At(begin_ + Seconds(day_.length), [this] { Finish(); });
+    loop_.AddTimer(begin_ + Seconds(day_.length), [this] { Finish(); });
   }
 
   // After the last arrival the day runs on until all is answered.
   void Finish() {
     if (clients_->open() > 0 && loop_.Now() < end_by_) {
-      loop_.At(loop_.Now() + 50'000, [this] { Finish(); });
+      loop_.AddTimer(loop_.Now() + 50'000, [this] { Finish(); });
       return;
     }
     Event("end");
@@ -420,7 +420,7 @@
   }
 
   void After(double seconds, std::function<void()> call) {
-    loop_.At(loop_.Now() + Seconds(seconds), std::move(call));
+    loop_.AddTimer(loop_.Now() + Seconds(seconds), std::move(call));
   }
 
   void SetPassing(std::size_t i, const Passing& passing) {
@@ -595,7 +595,7 @@
   const Day& day_;
   const RunOptions& options_;
   std::mt19937_64 random_;
-  event_loop::Loop loop_;
+  event_loop::EventLoop loop_;
   Recorder recorder_;
   RunResult result_;
   std::vector<NodePart> nodes_;
--- a/tools/chaos/workload.cpp
+++ b/tools/chaos/workload.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-Clients::Clients(event_loop::Loop* loop, Recorder* recorder, std::vector<std::string> daemons,
+Clients::Clients(event_loop::EventLoop* loop, Recorder* recorder, std::vector<std::string> daemons,
                  std::map<std::string, Micros> limits, std::uint64_t seed)
     : loop_(loop),
       recorder_(recorder),
@@ -54,7 +54,7 @@
   const double wait = std::exponential_distribution<double>(std::max(rate, 1e-6))(random_);
   const Micros at = loop_->Now() + static_cast<Micros>(wait * 1e6);
   if (at >= until) return;
-  loop_->At(at, [this, which, until] {
+  loop_->AddTimer(at, [this, which, until] {
     const Load& load = load_[which];
     Submit(load, load.queue + "-" + std::to_string(random_() % static_cast<std::uint64_t>(load.services)));
     Arrive(which, until);
@@ -118,7 +118,7 @@
   const std::uint64_t number = c.number;
   const unsigned try_number = c.tries;
   if (c.load.retry_after > 0.0 && !c.key.empty()) {
-    loop_->At(loop_->Now() + static_cast<Micros>(c.load.retry_after * 1e6), [this, number, try_number] {
+    loop_->AddTimer(loop_->Now() + static_cast<Micros>(c.load.retry_after * 1e6), [this, number, try_number] {
       const auto it = jobs_.find(number);
       // Only a submission without a reply to its commit is asked for again: the rest waits for its answer.
       if (it != jobs_.end() && it->second.tries == try_number && it->second.step != Step::kAnswer) {
@@ -126,7 +126,7 @@
       }
     });
   }
-  loop_->At(c.deadline + kPatience, [this, number] {
+  loop_->AddTimer(c.deadline + kPatience, [this, number] {
     const auto it = jobs_.find(number);
     if (it == jobs_.end() || loop_->Now() < it->second.deadline + kPatience) return;  // asked anew meanwhile
     Finish(number, "gave_up", "", "no answer in its owner's time");
@@ -198,7 +198,7 @@
     const std::string id = c.id;
     const std::size_t daemon = c.daemon;
     Log(c, "cancel", json::object());
-    loop_->At(loop_->Now() + random_() % 15'000, [this, id, daemon] { Delete(daemon, id); });
+    loop_->AddTimer(loop_->Now() + random_() % 15'000, [this, id, daemon] { Delete(daemon, id); });
   }
 }
 
@@ -207,7 +207,7 @@
   pbs_protocol::Request r = Make(pbs_protocol::RequestType::kDeleteJob, id);
   r.command = 1;
   loop_->Send(conn, Bytes(r));
-  loop_->At(loop_->Now() + kSecond, [this, conn] { loop_->Close(conn, true); });
+  loop_->AddTimer(loop_->Now() + kSecond, [this, conn] { loop_->Close(conn, true); });
 }
 
 void Clients::Finish(std::uint64_t number, const char* event, const std::string& answer,
@@ -246,7 +246,7 @@
   if (c.key.empty()) {
     // Its daemon keeps jobs: who committed one, or may have, asks for its answer until it is told.
     c.conn = 0;
-    loop_->At(loop_->Now() + 100'000 + random_() % 200'000, [this, number] {
+    loop_->AddTimer(loop_->Now() + 100'000 + random_() % 200'000, [this, number] {
       const auto it = jobs_.find(number);
       if (it != jobs_.end() && it->second.conn == 0) AskForAnswer(it->second);
     });
@@ -255,7 +255,7 @@
   // The daemon went away: asked for again a little later, elsewhere.
   c.conn = 0;
   const unsigned try_number = c.tries;
-  loop_->At(loop_->Now() + 100'000 + random_() % 200'000, [this, number, try_number, reason] {
+  loop_->AddTimer(loop_->Now() + 100'000 + random_() % 200'000, [this, number, try_number, reason] {
     const auto it = jobs_.find(number);
     if (it != jobs_.end() && it->second.tries == try_number) Retry(it->second, reason);
   });
@@ -274,7 +274,7 @@
   std::erase_if(running_, [&stopped](const Running& r) { return stopped[r.service]; });
   for (const Running& r : again) {
     Delete(r.daemon, r.id);
-    loop_->At(now + random_() % std::max<Micros>(within, 1), [this, r] { Submit(r.load, r.service); });
+    loop_->AddTimer(now + random_() % std::max<Micros>(within, 1), [this, r] { Submit(r.load, r.service); });
   }
 }
 
@@ -286,13 +286,13 @@
   queue.destination = load_[0].queue;
   queue.attributes.push_back({"Job_Name", "", "gone-before-commit", pbs_protocol::Op::kSet});
   loop_->Send(conn, Bytes(queue) + Bytes(Make(pbs_protocol::RequestType::kReadyToCommit)));
-  loop_->At(loop_->Now() + 50'000, [this, conn] { loop_->Abort(conn); });
+  loop_->AddTimer(loop_->Now() + 50'000, [this, conn] { loop_->Abort(conn); });
 }
 
 void Clients::HalfFrame() {
   const event_loop::ConnId conn = loop_->Connect(daemons_[0], this);
   loop_->Send(conn, "+2+1+1+4root+0+7serv");
-  loop_->At(loop_->Now() + 300'000, [this, conn] { loop_->Abort(conn); });
+  loop_->AddTimer(loop_->Now() + 300'000, [this, conn] { loop_->Abort(conn); });
 }
 
 }  // namespace mountflow::chaos
--- a/tools/chaos/workload.hpp
+++ b/tools/chaos/workload.hpp
@@ -17,10 +17,10 @@
 
 namespace mountflow::chaos {
 
-class Clients : public event_loop::Handler {
+class Clients : public event_loop::ConnectionHandler {
  public:
   // `daemons`: addresses of the client taps. `limits`: how long an owner waits, by queue.
-  Clients(event_loop::Loop* loop, Recorder* recorder, std::vector<std::string> daemons,
+  Clients(event_loop::EventLoop* loop, Recorder* recorder, std::vector<std::string> daemons,
           std::map<std::string, Micros> limits, std::uint64_t seed);
 
   void Start(const std::vector<Load>& load, Micros until);
@@ -72,7 +72,7 @@
   void Delete(std::size_t daemon, const std::string& id);
   void Log(const Client& client, const char* event, json more);
 
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   Recorder* recorder_;
   std::vector<std::string> daemons_;
   std::map<std::string, Micros> limits_;
--- a/tools/load_generator/main.cpp
+++ b/tools/load_generator/main.cpp
@@ -34,7 +34,7 @@
 constexpr std::size_t kMostDue = 2'000'000;  // jobs due that wait for a connection; beyond: broken
 constexpr Micros kPatience = 30 * kSecond;   // after the end of the plan; what is open then is broken
 
-class Load : public event_loop::Handler {
+class Load : public event_loop::ConnectionHandler {
  public:
   std::vector<std::string> addresses;
   std::string queue = "batch", life = "0.001", ncpus = "0.01", mem = "1mb", again = "no";
@@ -85,7 +85,7 @@
     std::erase(free_, id);
     if (c.busy) Over(c.job, End::kBroken);
     if (closes_++ < 10) std::fprintf(stderr, "mountflow-load: connection closed: %s\n", reason.c_str());
-    loop_.At(loop_.Now() + kConnectAgain, [this, address = c.address] { Connect(address); });
+    loop_.AddTimer(loop_.Now() + kConnectAgain, [this, address = c.address] { Connect(address); });
   }
 
  private:
@@ -109,7 +109,7 @@
   };
 
   void Connect(std::size_t address) {
-    const event_loop::ConnId id = loop_.NewId();
+    const event_loop::ConnId id = loop_.NewConnectionId();
     conns_[id].address = address;
     loop_.Connect(addresses[address], this, id);
   }
@@ -295,7 +295,7 @@
     return held > 0 || !j["ends"].contains("broken");
   }
 
-  event_loop::Loop loop_;
+  event_loop::EventLoop loop_;
   load_generator::Plan plan_;
   std::unique_ptr<load_generator::Figures> figures_;
   std::map<event_loop::ConnId, Conn> conns_;
--- a/tools/registry_standin/list_main.cpp
+++ b/tools/registry_standin/list_main.cpp
@@ -21,7 +21,7 @@
   app.add_option("--tls-key", tls.key, "PEM file: its key");
   app.add_option("--tls-ca", tls.ca, "PEM file: clients must show a certificate by this CA");
   CLI11_PARSE(app, argc, argv);
-  mountflow::event_loop::Loop loop;
+  mountflow::event_loop::EventLoop loop;
   mountflow::discovery::ListServer server(&loop, etcd);
   std::string error;
   if (!server.Start(listen, static_cast<mountflow::Micros>(delay * 1e6), tls, &error)) {
--- a/tools/registry_standin/list_server.cpp
+++ b/tools/registry_standin/list_server.cpp
@@ -10,7 +10,7 @@
   store_.SetDelay(delay);
   keys_ = std::make_unique<tls::Keys>(tls, tls::Side::kServer);
   if (!keys_->Start(loop_->Now(), error)) return false;
-  event_loop::Loop::Filters filters;
+  event_loop::FilterFactory filters;
   if (keys_->on()) {
     filters = [this] {
       keys_->Poll(loop_->Now());
@@ -105,7 +105,7 @@
   timer_ = 0;
   const Micros next = std::min({store_.NextTimer(), etcd_store_.NextTimer(), catalog_.NextTimer()});
   if (next != ~Micros{0}) {
-    timer_ = loop_->At(next, [this] {
+    timer_ = loop_->AddTimer(next, [this] {
       timer_ = 0;
       Pump();
     });
--- a/tools/registry_standin/list_server.hpp
+++ b/tools/registry_standin/list_server.hpp
@@ -15,9 +15,9 @@
 
 namespace mountflow::discovery {
 
-class ListServer : public event_loop::Handler {
+class ListServer : public event_loop::ConnectionHandler {
  public:
-  ListServer(event_loop::Loop* loop, bool etcd) : loop_(loop), etcd_(etcd) {}
+  ListServer(event_loop::EventLoop* loop, bool etcd) : loop_(loop), etcd_(etcd) {}
   // With TLS where `tls` has files.
   bool Start(const std::string& address, Micros delay, const tls::Options& tls, std::string* error);
   int port() const { return loop_->PortOf(listener_); }
@@ -32,7 +32,7 @@
   // leave=true: they stay).
   std::string Break(Micros now, const http::Message& request);
   void Pump();
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   event_loop::ListenerId listener_ = 0;
   std::map<event_loop::ConnId, http::Reader> readers_;
   bool etcd_;
