--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -498,15 +498,21 @@
 
 bool Daemon::Start(std::string* error) {
   if (!keys_.Start(loop_->Now(), error)) return false;
-  batch_listener_ = loop_->Listen(config_.batch_address, batch_side_.get(), error);
-  if (batch_listener_ == 0) return false;
+  const auto batch_listener = loop_->Listen(config_.batch_address, batch_side_.get());
+  if (!batch_listener) {
+    *error = event_loop::Describe(batch_listener.error());
+    return false;
+  }
+  batch_listener_ = *batch_listener;
   if (!config_.http_address.empty()) {
-    http_listener_ = loop_->Listen(config_.http_address, http_side_.get(), error);
-    if (http_listener_ == 0) return false;
+    const auto http_listener = loop_->Listen(config_.http_address, http_side_.get());
+    if (!http_listener) {
+      *error = event_loop::Describe(http_listener.error());
+      return false;
+    }
+    http_listener_ = *http_listener;
   }
-  std::string host;
-  int port = 0;
-  event_loop::SplitAddress(config_.batch_address, &host, &port);
+  const std::string host = event_loop::SplitAddress(config_.batch_address)->host;  // valid: it is listened at
   if (config_.links.report_to.empty()) links_.SetReportTo(host + ":" + std::to_string(batch_port()));
   if (!config_.storage_folder.empty() && !OpenStorage(error)) return false;
   Recall();
--- a/src/node_agent/host.cpp
+++ b/src/node_agent/host.cpp
@@ -120,12 +120,14 @@
         address_(hosted_.listen) {}
 
   bool Start(bool cold, std::string* error) {
-    listener_ = loop_->Listen(address_, this, error);
-    if (listener_ == 0) return false;
-    std::string host;
-    int port = 0;
-    event_loop::SplitAddress(address_, &host, &port);
-    address_ = host + ":" + std::to_string(loop_->PortOf(listener_));  // the same port in later lives
+    const auto listener = loop_->Listen(address_, this);
+    if (!listener) {
+      *error = event_loop::Describe(listener.error());
+      return false;
+    }
+    listener_ = *listener;
+    const std::string host = event_loop::SplitAddress(address_)->host;  // valid: it is listened at
+    address_ = host + ":" + std::to_string(loop_->PortOf(listener_));   // the same port in later lives
     NodeConfig config = hosted_.config;
     config.seed = config.seed * 1000003 + ++lives_;
     const Micros now = loop_->Now();
@@ -384,8 +386,12 @@
   }
   if (!options_.control_address.empty()) {
     control_ = std::make_unique<Control>(loop_, this);
-    control_listener_ = loop_->Listen(options_.control_address, control_.get(), error);
-    if (control_listener_ == 0) return false;
+    const auto control_listener = loop_->Listen(options_.control_address, control_.get());
+    if (!control_listener) {
+      *error = event_loop::Describe(control_listener.error());
+      return false;
+    }
+    control_listener_ = *control_listener;
   }
   if (!options_.list_address.empty() && options_.lease == 0)
     publisher_ = std::make_unique<Publisher>(loop_, options_, &keys_);
@@ -400,10 +406,9 @@
 
 int Host::PortOf(const std::string& name) const {
   const auto it = nodes_.find(name);
-  std::string host;
-  int port = 0;
-  if (it != nodes_.end()) event_loop::SplitAddress(it->second->address(), &host, &port);
-  return port;
+  if (it == nodes_.end()) return 0;
+  const auto address = event_loop::SplitAddress(it->second->address());
+  return address ? address->port : 0;
 }
 
 void Host::Pump() {
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -79,8 +79,12 @@
   loop_->SetReportPeerUid(false);
   tasks_.Start(loop_->Now(), config_.known);
   std::vector<platform::NodeListChange>().swap(config_.known);
-  listener_ = loop_->Listen(config_.listen, this, error);
-  if (listener_ == 0) return false;
+  const auto listener = loop_->Listen(config_.listen, this);
+  if (!listener) {
+    *error = event_loop::Describe(listener.error());
+    return false;
+  }
+  listener_ = *listener;
   loop_->SetAfterTurn([this] { AfterTurn(); });
   loop_->SetMainTimer(loop_->Now(), [this] { OnTimer(); });
   return true;
--- a/tests/platform/platform_shutdown_test.cpp
+++ b/tests/platform/platform_shutdown_test.cpp
@@ -330,8 +330,7 @@
     int closed = 0;
   } peer;
   event_loop::EventLoop loop;
-  std::string error;
-  const auto listener = loop.Listen("127.0.0.1:0", &accepting, &error);
+  const auto listener = loop.Listen("127.0.0.1:0", &accepting).value_or(0);
   const std::string address = "127.0.0.1:" + std::to_string(loop.PortOf(listener));
   for (int i = 0; i < 5; ++i) loop.PauseReading(loop.Connect(address, &peer), true);
   const auto until = [&loop](const std::function<bool()>& holds) {
--- a/tests/support/platform_fakes.hpp
+++ b/tests/support/platform_fakes.hpp
@@ -162,8 +162,7 @@
  public:
   StandMachine(event_loop::EventLoop* loop, std::string name, unsigned cell, Record* record)
       : name(std::move(name)), cell(cell), loop_(loop), record_(record) {
-    std::string error;
-    listener_ = loop_->Listen("127.0.0.1:0", this, &error);
+    listener_ = loop_->Listen("127.0.0.1:0", this).value_or(0);
     address = "127.0.0.1:" + std::to_string(loop_->PortOf(listener_));
   }
   void Die() {  // the process: connections are reset, new ones refused
@@ -272,8 +271,7 @@
 class StandChangeLog : public event_loop::ConnectionHandler {
  public:
   explicit StandChangeLog(event_loop::EventLoop* loop) : loop_(loop) {
-    std::string error;
-    listener_ = loop_->Listen("127.0.0.1:0", this, &error);
+    listener_ = loop_->Listen("127.0.0.1:0", this).value_or(0);
     address = "127.0.0.1:" + std::to_string(loop_->PortOf(listener_));
   }
   void Add(const std::string& entry, bool whole = false) {
@@ -315,9 +313,8 @@
 
   // Nobody listens there any more, or again; what is open is closed.
   void Listen(bool up) {
-    std::string error;
     if (up) {
-      listener_ = loop_->Listen(address, this, &error);
+      listener_ = loop_->Listen(address, this).value_or(0);
     } else {
       loop_->CloseListener(listener_);
       const auto readers = std::exchange(readers_, {});
--- a/tests/support/platform_process_fixture.hpp
+++ b/tests/support/platform_process_fixture.hpp
@@ -66,8 +66,7 @@
   // The program, with the configuration file as it is.
   void Spawn() {
     // A port that is free: bound once by the loop, and given back.
-    std::string error;
-    const auto probe = loop.Listen("127.0.0.1:0", &nobody, &error);
+    const auto probe = loop.Listen("127.0.0.1:0", &nobody).value_or(0);
     listen = "127.0.0.1:" + std::to_string(loop.PortOf(probe));
     loop.CloseListener(probe);
     daemon = std::make_unique<Process>(
--- a/tools/chaos/recording_proxy.cpp
+++ b/tools/chaos/recording_proxy.cpp
@@ -29,8 +29,13 @@
 Tap::~Tap() = default;
 
 bool Tap::Listen(std::string* error) {
-  listener_ = loop_->Listen("127.0.0.1:0", this, error);
-  return listener_ != 0;
+  const auto listener = loop_->Listen("127.0.0.1:0", this);
+  if (!listener) {
+    *error = event_loop::Describe(listener.error());
+    return false;
+  }
+  listener_ = *listener;
+  return true;
 }
 
 std::string Tap::address() const { return "127.0.0.1:" + std::to_string(loop_->PortOf(listener_)); }
--- a/tools/registry_standin/list_server.cpp
+++ b/tools/registry_standin/list_server.cpp
@@ -17,8 +17,13 @@
       return keys_->Session("");
     };
   }
-  listener_ = loop_->Listen(address, this, error, std::move(filters));
-  return listener_ != 0;
+  const auto listener = loop_->Listen(address, this, std::move(filters));
+  if (!listener) {
+    *error = event_loop::Describe(listener.error());
+    return false;
+  }
+  listener_ = *listener;
+  return true;
 }
 
 void ListServer::OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) {
