--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -258,8 +258,8 @@
     c.core.history_kept = Time(l, "history_s", c.core.history_kept);
     c.front.most_script = l.value("one_script_bytes", c.front.most_script);
     c.front.most_reply_bytes = l.value("unread_reply_bytes", c.front.most_reply_bytes);
-    c.links.most_connections = l.value("connections_per_node", c.links.most_connections);
-    c.links.most_waiting = l.value("waiting_per_node", c.links.most_waiting);
+    c.links.max_connections = l.value("connections_per_node", c.links.max_connections);
+    c.links.max_waiting = l.value("waiting_per_node", c.links.max_waiting);
   }
   if (root.contains("door")) {
     const json& d = root["door"];
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -23,7 +23,7 @@
   job_manager::JobManagerOptions core;
   pbs_server::FrontOptions front;
   admission::DoorOptions door;
-  node_sessions::LinkOptions links;
+  node_sessions::NodeSessionOptions links;
   std::string batch_address = "127.0.0.1:15001";
   std::string http_address = "127.0.0.1:15080";  // empty: no HTTP
   discovery::ClientOptions list;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -21,7 +21,7 @@
 namespace mountflow::daemon {
 namespace {
 
-constexpr event_loop::ConnId kLinkSpace = 1ull << 62;  // link connections are numbered by NodeLinks
+constexpr event_loop::ConnId kLinkSpace = 1ull << 62;  // link connections are numbered by NodeSessions
 constexpr std::size_t kMostHttpBody = 2 << 20;
 constexpr Micros kRememberEvery = 10'000'000;
 constexpr std::size_t kMostHttpConns = 4096;  // beyond: closed at once
@@ -202,7 +202,7 @@
   void OnClosed(event_loop::ConnId conn, const std::string&) override {
     d_->links_.Closed(d_->loop_->Now(), conn - kLinkSpace);
   }
-  void Do(const node_sessions::LinkAction& action) {
+  void Do(const node_sessions::SessionAction& action) {
     if (const auto* open = std::get_if<node_sessions::OpenConn>(&action)) {
       d_->loop_->Connect(open->address, this, kLinkSpace + open->conn);
     } else if (const auto* send = std::get_if<node_sessions::SendBytes>(&action)) {
@@ -465,7 +465,7 @@
   while (const auto number = gate_.Next()) {
     const auto node = held_.extract(*number);
     const Held& held = node.mapped();
-    for (const node_sessions::LinkAction& action : held.actions) link_side_->Do(action);
+    for (const node_sessions::SessionAction& action : held.actions) link_side_->Do(action);
     for (const HttpReply& reply : held.http) {
       Send(reply);
       const auto behind = http_behind_.find(reply.conn);
@@ -584,7 +584,7 @@
   if (const auto* ended = std::get_if<job_manager::Ended>(&output)) return front_.On(now, *ended);
   if (std::holds_alternative<job_manager::AskList>(output)) return list_.ReadAnew(now);
   Timed timed(measure_, &spent_.links);
-  links_.Take(now, output);
+  links_.Deliver(now, output);
 }
 
 // Moves what the parts say to each other until they are quiet, then to the sockets.
@@ -626,8 +626,8 @@
       if (touched.empty()) break;
     }
   }
-  const std::vector<node_sessions::LinkAction> actions = std::exchange(links_.actions(), {});
-  for (const node_sessions::LinkAction& action : actions) link_side_->Do(action);
+  const std::vector<node_sessions::SessionAction> actions = std::exchange(links_.actions(), {});
+  for (const node_sessions::SessionAction& action : actions) link_side_->Do(action);
   if (committer_ && gate_.SnapshotDue(loop_->Now())) committer_->Snapshot(core_.Snapshot());
   for (const std::string& text : front_.TakeComplaints(loop_->Now())) {
     WriteLine(*log_, job_manager::Level::kWarn, {{"event", "bad request"}, {"text", text}});
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -62,7 +62,7 @@
     bool close = false;
   };
   struct Held {
-    std::vector<node_sessions::LinkAction> actions;
+    std::vector<node_sessions::SessionAction> actions;
     std::vector<event_loop::ConnId> touched;
     std::vector<HttpReply> http;
     Micros since = 0;
@@ -92,7 +92,7 @@
   admission::Door door_;
   pbs_server::Front front_;
   HttpFront http_;
-  node_sessions::NodeLinks links_;
+  node_sessions::NodeSessions links_;
   discovery::RegistryClient list_;
   discovery::RegistryClient others_;  // the daemons' entries; used where the group comes from the registry
   discovery::Registrar own_entry_;
--- /dev/null
+++ b/src/node_sessions/control_exchange.cpp
@@ -0,0 +1,178 @@
+#include "node_sessions/control_exchange.hpp"
+
+#include <cstdint>
+#include <limits>
+#include <utility>
+
+#include "pbs_server/attribute_mapping.hpp"
+
+namespace mountflow::node_sessions {
+namespace {
+
+using job_manager::NodeMessage;
+using pbs_protocol::RequestType;
+
+constexpr unsigned kManageCommandDelete = 1;
+constexpr unsigned kUnreadableClass = std::numeric_limits<unsigned>::max();  // the job manager rejects it
+
+bool IsSuccess(const pbs_protocol::Reply& reply) { return reply.code == pbs_protocol::Code::kNone; }
+
+// ---- Encoding ----
+
+struct RequestFiller {
+  const SessionContext& context;
+  pbs_protocol::Request& request;
+
+  void operator()(const job_manager::StopOnNode& stop) const {
+    request.type = RequestType::kDeleteJob;
+    request.command = kManageCommandDelete;
+    request.id = context.job_manager->NameOf(stop.attempt);
+  }
+  void operator()(const job_manager::SignalOnNode& signal) const {
+    request.type = RequestType::kSignalJob;
+    request.id = context.job_manager->NameOf(signal.attempt);
+    request.signal = signal.signal;
+  }
+  void operator()(const job_manager::QueryNode& query) const {
+    request.type = RequestType::kStatusJob;
+    request.id = context.job_manager->NameOf(query.attempt);
+  }
+  void operator()(const job_manager::SyncNode& /*sync*/) const {
+    request.type = RequestType::kStatusJob;
+    request.attributes.push_back(
+        {"server", "", context.job_manager->options().server, pbs_protocol::Op::kEq});
+    request.attributes.push_back({"report_to", "", context.options.report_to, pbs_protocol::Op::kSet});
+  }
+  void operator()(const job_manager::FindKey& find) const {
+    request.type = RequestType::kSelectJobs;
+    request.attributes.push_back({"key", "", find.key, pbs_protocol::Op::kEq});
+  }
+  void operator()(const job_manager::ProbeNode& /*probe*/) const {
+    request.type = RequestType::kStatusServer;
+  }
+};
+
+// ---- Decoding ----
+
+// One job that the node holds. Nothing when it is not an attempt of ours.
+std::optional<job_manager::RunningOnNode> ReadHeldJob(const SessionContext& context,
+                                                      const pbs_protocol::StatusObject& object) {
+  job_manager::RunningOnNode held;
+  std::string server;
+  if (!context.job_manager->AttemptOf(object.name, &held.attempt, &server)) return std::nullopt;
+  if (server != context.job_manager->options().server) return std::nullopt;
+  held.ended = pbs_protocol::ValueOf(object.attributes, "job_state") == "E";
+  held.spec.user = pbs_protocol::ValueOf(object.attributes, "Job_Owner");
+  pbs_protocol::Attributes attributes = object.attributes;
+  std::erase_if(attributes, [](const pbs_protocol::Attribute& attribute) {
+    return attribute.name == "job_state" || attribute.name == "Job_Owner" || attribute.name == "queue";
+  });
+  const std::string queue(pbs_protocol::ValueOf(object.attributes, "queue"));
+  const pbs_server::Problem problem =
+      pbs_server::Read(attributes, queue, context.vocabulary, false, &held.spec);
+  if (problem.code != pbs_protocol::Code::kNone) held.spec.task_class = kUnreadableClass;
+  return held;
+}
+
+job_manager::Synced ReadSync(const SessionContext& context, NodeId node, const pbs_protocol::Reply& reply) {
+  job_manager::Synced synced;
+  synced.node = node;
+  for (const pbs_protocol::StatusObject& object : reply.objects) {
+    if (object.type == pbs_protocol::ObjectType::kServer) {
+      std::uint64_t started = 0;
+      const std::string_view text = pbs_protocol::ValueOf(object.attributes, "started");
+      if (pbs_server::ReadCount(text, &started)) synced.started = started;
+      continue;
+    }
+    std::optional<job_manager::RunningOnNode> held = ReadHeldJob(context, object);
+    if (held) synced.held.push_back(std::move(*held));
+  }
+  return synced;
+}
+
+struct ReplyMapper {
+  const SessionContext& context;
+  NodeId node;
+  Micros elapsed;
+  const pbs_protocol::Reply& reply;
+
+  std::optional<NodeMessage> operator()(const job_manager::StopOnNode& stop) const {
+    return job_manager::Stopped{stop.attempt, IsSuccess(reply)};
+  }
+  std::optional<NodeMessage> operator()(const job_manager::SignalOnNode& /*signal*/) const {
+    return std::nullopt;
+  }
+  std::optional<NodeMessage> operator()(const job_manager::QueryNode& query) const {
+    return job_manager::Found{query.attempt, IsSuccess(reply)};
+  }
+  std::optional<NodeMessage> operator()(const job_manager::SyncNode& /*sync*/) const {
+    return ReadSync(context, node, reply);
+  }
+  std::optional<NodeMessage> operator()(const job_manager::FindKey& find) const {
+    job_manager::KeyFound found;
+    found.node = node;
+    found.job = find.job;
+    found.key = find.key;
+    found.reached = IsSuccess(reply);
+    if (found.reached && !reply.ids.empty()) {
+      found.found = context.job_manager->AttemptOf(reply.ids[0], &found.attempt, &found.server);
+    }
+    return found;
+  }
+  std::optional<NodeMessage> operator()(const job_manager::ProbeNode& /*probe*/) const {
+    job_manager::Probed probed{node, IsSuccess(reply), elapsed, {}};
+    if (!reply.objects.empty()) {
+      probed.report = pbs_server::ReadLoad(pbs_protocol::ValueOf(reply.objects[0].attributes, "load"));
+    }
+    return probed;
+  }
+};
+
+struct FailureMapper {
+  NodeId node;
+
+  std::optional<NodeMessage> operator()(const job_manager::StopOnNode& stop) const {
+    return job_manager::StopFailed{stop.attempt};
+  }
+  std::optional<NodeMessage> operator()(const job_manager::SignalOnNode& /*signal*/) const {
+    return std::nullopt;
+  }
+  std::optional<NodeMessage> operator()(const job_manager::QueryNode& query) const {
+    return job_manager::QueryFailed{query.attempt};
+  }
+  std::optional<NodeMessage> operator()(const job_manager::SyncNode& /*sync*/) const {
+    return job_manager::SyncFailed{node};
+  }
+  std::optional<NodeMessage> operator()(const job_manager::FindKey& find) const {
+    job_manager::KeyFound not_reached;
+    not_reached.node = node;
+    not_reached.job = find.job;
+    not_reached.key = find.key;
+    return not_reached;
+  }
+  std::optional<NodeMessage> operator()(const job_manager::ProbeNode& /*probe*/) const {
+    return job_manager::Probed{node, false, 0, {}};
+  }
+};
+
+}  // namespace
+
+std::string EncodeControl(const SessionContext& context, const ControlRequest& control) {
+  pbs_protocol::Request request;
+  request.user = context.options.user;
+  std::visit(RequestFiller{context, request}, control);
+  std::string bytes;
+  pbs_protocol::Encode(request, &bytes);
+  return bytes;
+}
+
+std::optional<NodeMessage> ReadControlReply(const SessionContext& context, Micros now, NodeId node,
+                                            const PendingControl& pending, const pbs_protocol::Reply& reply) {
+  return std::visit(ReplyMapper{context, node, now - pending.sent, reply}, pending.request);
+}
+
+std::optional<NodeMessage> ControlFailure(NodeId node, const ControlRequest& request) {
+  return std::visit(FailureMapper{node}, request);
+}
+
+}  // namespace mountflow::node_sessions
--- a/tests/node_agent/node_agent_test.cpp
+++ b/tests/node_agent/node_agent_test.cpp
@@ -211,16 +211,16 @@
  protected:
   CoreRig rig;
   pbs_server::Vocabulary words;
-  std::unique_ptr<node_sessions::NodeLinks> links;
+  std::unique_ptr<node_sessions::NodeSessions> links;
   std::unique_ptr<node_agent::NodeServer> server;
   std::set<node_sessions::ConnId> open;
   bool refuse_connections = false;
 
   void SetUp() override {
     words.queues = {"keyed", "safe", "unsafe"};
-    node_sessions::LinkOptions o;
+    node_sessions::NodeSessionOptions o;
     o.report_to = "127.0.0.1:9";
-    links = std::make_unique<node_sessions::NodeLinks>(&rig.core, words, o);
+    links = std::make_unique<node_sessions::NodeSessions>(&rig.core, words, o);
     NodeConfig c = Config();
     c.admit = 0;
     server = std::make_unique<node_agent::NodeServer>(std::make_unique<NodeModel>(c, nullptr, rig.now, 0),
@@ -232,7 +232,7 @@
   void Settle(bool reach = true, bool back = true) {
     for (int i = 0; i < 100; ++i) {
       bool quiet = true;
-      for (const auto& o : rig.last) links->Take(rig.now, o);
+      for (const auto& o : rig.last) links->Deliver(rig.now, o);
       rig.last.clear();
       for (const auto& a : std::exchange(links->actions(), {})) {
         quiet = false;
@@ -301,7 +301,7 @@
   const auto job = rig.Submit(2);
   // Up to the node's ready; then its commit gets lost with the connection.
   for (int i = 0; i < 3; ++i) {
-    for (const auto& o : std::exchange(rig.last, {})) links->Take(rig.now, o);
+    for (const auto& o : std::exchange(rig.last, {})) links->Deliver(rig.now, o);
     for (const auto& a : std::exchange(links->actions(), {})) {
       if (const auto* c = std::get_if<node_sessions::OpenConn>(&a))
         open.insert(c->conn), server->Open(c->conn), links->Connected(rig.now, c->conn);
@@ -330,7 +330,7 @@
   EXPECT_EQ(rig.Job(job).answer, job_manager::Answer::kPlaced);
   const auto second = rig.Submit(2);
   for (int i = 0; i < 4; ++i) {  // replies are lost from the commit on
-    for (const auto& o : std::exchange(rig.last, {})) links->Take(rig.now, o);
+    for (const auto& o : std::exchange(rig.last, {})) links->Deliver(rig.now, o);
     bool committed = false;
     for (const auto& a : std::exchange(links->actions(), {})) {
       const auto* s = std::get_if<node_sessions::SendBytes>(&a);
@@ -380,7 +380,7 @@
   const std::string id = rig.core.IdOf(job);
   rig.core = job_manager::JobManager(Options(), 9, rig.now + kSecond);  // the daemon starts anew
   rig.now += kSecond;
-  links = std::make_unique<node_sessions::NodeLinks>(&rig.core, words, node_sessions::LinkOptions{});
+  links = std::make_unique<node_sessions::NodeSessions>(&rig.core, words, node_sessions::NodeSessionOptions{});
   rig.List({CoreRig::Node("a")});
   Settle();
   ASSERT_NE(rig.core.Find(job), nullptr);
@@ -391,13 +391,13 @@
 }
 
 TEST_F(Wire, BeyondItsBoundsAnAttemptIsToldAsNeverSent) {
-  node_sessions::LinkOptions o;
-  o.most_connections = 1;
-  o.most_waiting = 1;
-  links = std::make_unique<node_sessions::NodeLinks>(&rig.core, words, o);
+  node_sessions::NodeSessionOptions o;
+  o.max_connections = 1;
+  o.max_waiting = 1;
+  links = std::make_unique<node_sessions::NodeSessions>(&rig.core, words, o);
   for (int i = 0; i < 3; ++i) rig.Submit(1);
   const auto asks = rig.All<job_manager::AskNode>();
-  for (const auto& ask : asks) links->Take(rig.now, ask);
+  for (const auto& ask : asks) links->Deliver(rig.now, ask);
   ASSERT_EQ(links->messages().size(), 1u);
   EXPECT_FALSE(std::get<job_manager::Broken>(links->messages()[0]).sent);
   EXPECT_EQ(links->connections(), 1u);
