--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -21,7 +21,7 @@
 namespace mountflow::daemon {
 namespace {
 
-constexpr event_loop::ConnId kLinkSpace = 1ull << 62;  // link connections are numbered by NodeLinks
+constexpr event_loop::ConnId kLinkSpace = 1ull << 62;  // link connections are numbered by NodeSessions
 constexpr std::size_t kMostHttpBody = 2 << 20;
 constexpr Micros kRememberEvery = 10'000'000;
 constexpr std::size_t kMostHttpConns = 4096;  // beyond: closed at once
@@ -108,7 +108,7 @@
 
 // ---- The four sides of the shell ----
 
-class Daemon::BatchSide : public event_loop::Handler {
+class Daemon::BatchSide : public event_loop::ConnectionHandler {
  public:
   explicit BatchSide(Daemon* d) : d_(d) {}
   void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn,
@@ -118,7 +118,7 @@
   }
   void OnReceived(event_loop::ConnId conn, std::string_view bytes) override {
     Timed timed(d_->measure_, &d_->spent_.front);
-    d_->front_.Receive(d_->loop_->Now(), conn, bytes, d_->loop_->TurnBeforeBegan());
+    d_->front_.Receive(d_->loop_->Now(), conn, bytes, d_->loop_->PreviousTurnStart());
     if (!d_->front_.WantsRead(conn)) d_->loop_->PauseReading(conn, true);
   }
   void OnSent(event_loop::ConnId conn) override { Flush(conn); }
@@ -131,7 +131,8 @@
     std::string* output = d_->front_.OutputOf(conn);
     if (output == nullptr) return;
     // The kernel and the loop hold some; the rest stays with the session, whose bound it counts against.
-    if (d_->loop_->Unsent(conn) == 0 && !output->empty()) d_->loop_->Send(conn, std::exchange(*output, {}));
+    if (d_->loop_->UnsentBytes(conn) == 0 && !output->empty())
+      d_->loop_->Send(conn, std::exchange(*output, {}));
     if (d_->front_.WantsClose(conn) && output->empty()) {
       d_->loop_->Close(conn, true);
       return d_->front_.Close(d_->loop_->Now(), conn);
@@ -144,7 +145,7 @@
   Daemon* d_;
 };
 
-class Daemon::HttpSide : public event_loop::Handler {
+class Daemon::HttpSide : public event_loop::ConnectionHandler {
  public:
   explicit HttpSide(Daemon* d) : d_(d) {}
   void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn,
@@ -163,7 +164,7 @@
       reader.messages().pop_front();
       keep = request.keep_alive;
       std::string bytes =
-          d_->http_.Handle(d_->loop_->Now(), request, it->second.peer, d_->loop_->TurnBeforeBegan());
+          d_->http_.Handle(d_->loop_->Now(), request, it->second.peer, d_->loop_->PreviousTurnStart());
       d_->Say({conn, std::move(bytes), !keep}, d_->http_.said_nothing_kept());
     }
     if (good && keep) return;
@@ -187,7 +188,7 @@
   std::map<event_loop::ConnId, Conn> conns_;
 };
 
-class Daemon::LinkSide : public event_loop::Handler {
+class Daemon::LinkSide : public event_loop::ConnectionHandler {
  public:
   explicit LinkSide(Daemon* d) : d_(d) {}
   void OnConnected(event_loop::ConnId conn) override {
@@ -201,7 +202,7 @@
   void OnClosed(event_loop::ConnId conn, const std::string&) override {
     d_->links_.Closed(d_->loop_->Now(), conn - kLinkSpace);
   }
-  void Do(const node_sessions::LinkAction& action) {
+  void Do(const node_sessions::SessionAction& action) {
     if (const auto* open = std::get_if<node_sessions::OpenConn>(&action)) {
       d_->loop_->Connect(open->address, this, kLinkSpace + open->conn);
     } else if (const auto* send = std::get_if<node_sessions::SendBytes>(&action)) {
@@ -215,7 +216,7 @@
   Daemon* d_;
 };
 
-class Daemon::ListSide : public event_loop::Handler {
+class Daemon::ListSide : public event_loop::ConnectionHandler {
  public:
   // `others`: the daemons' entries; only the list of nodes goes to the core.
   ListSide(Daemon* d, discovery::RegistryClient* client, bool others)
@@ -267,7 +268,7 @@
 
 // ---- The daemon ----
 
-Daemon::Daemon(event_loop::Loop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> log)
+Daemon::Daemon(event_loop::EventLoop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> log)
     : loop_(loop),
       config_(std::move(config)),
       log_(std::move(log)),
@@ -464,7 +465,7 @@
   while (const auto number = gate_.Next()) {
     const auto node = held_.extract(*number);
     const Held& held = node.mapped();
-    for (const node_sessions::LinkAction& action : held.actions) link_side_->Do(action);
+    for (const node_sessions::SessionAction& action : held.actions) link_side_->Do(action);
     for (const HttpReply& reply : held.http) {
       Send(reply);
       const auto behind = http_behind_.find(reply.conn);
@@ -497,15 +498,21 @@
 
 bool Daemon::Start(std::string* error) {
   if (!keys_.Start(loop_->Now(), error)) return false;
-  batch_listener_ = loop_->Listen(config_.batch_address, batch_side_.get(), error);
-  if (batch_listener_ == 0) return false;
+  const auto batch_listener = loop_->Listen(config_.batch_address, batch_side_.get());
+  if (!batch_listener) {
+    *error = event_loop::Describe(batch_listener.error());
+    return false;
+  }
+  batch_listener_ = *batch_listener;
   if (!config_.http_address.empty()) {
-    http_listener_ = loop_->Listen(config_.http_address, http_side_.get(), error);
-    if (http_listener_ == 0) return false;
+    const auto http_listener = loop_->Listen(config_.http_address, http_side_.get());
+    if (!http_listener) {
+      *error = event_loop::Describe(http_listener.error());
+      return false;
+    }
+    http_listener_ = *http_listener;
   }
-  std::string host;
-  int port = 0;
-  event_loop::SplitAddress(config_.batch_address, &host, &port);
+  const std::string host = event_loop::SplitAddress(config_.batch_address)->host;  // valid: it is listened at
   if (config_.links.report_to.empty()) links_.SetReportTo(host + ":" + std::to_string(batch_port()));
   if (!config_.storage_folder.empty() && !OpenStorage(error)) return false;
   Recall();
@@ -577,7 +584,7 @@
   if (const auto* ended = std::get_if<job_manager::Ended>(&output)) return front_.On(now, *ended);
   if (std::holds_alternative<job_manager::AskList>(output)) return list_.ReadAnew(now);
   Timed timed(measure_, &spent_.links);
-  links_.Take(now, output);
+  links_.Deliver(now, output);
 }
 
 // Moves what the parts say to each other until they are quiet, then to the sockets.
@@ -619,8 +626,8 @@
       if (touched.empty()) break;
     }
   }
-  const std::vector<node_sessions::LinkAction> actions = std::exchange(links_.actions(), {});
-  for (const node_sessions::LinkAction& action : actions) link_side_->Do(action);
+  const std::vector<node_sessions::SessionAction> actions = std::exchange(links_.actions(), {});
+  for (const node_sessions::SessionAction& action : actions) link_side_->Do(action);
   if (committer_ && gate_.SnapshotDue(loop_->Now())) committer_->Snapshot(core_.Snapshot());
   for (const std::string& text : front_.TakeComplaints(loop_->Now())) {
     WriteLine(*log_, job_manager::Level::kWarn, {{"event", "bad request"}, {"text", text}});
@@ -717,7 +724,7 @@
   if (stopping_) next = std::min(next, stop_at_);
   if (front_.at_door() > 0) next = loop_->Now();
   loop_->SetMainTimer(next, nullptr);
-  door_.Turn(loop_->TurnBegan(), loop_->Now());
+  door_.Turn(loop_->TurnStart(), loop_->Now());
 }
 
 bool Daemon::Owes() const {
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -35,7 +35,7 @@
 
 class Daemon {
  public:
-  Daemon(event_loop::Loop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> log);
+  Daemon(event_loop::EventLoop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> log);
   ~Daemon();
 
   // Listens; false with the reason when an address cannot be had.
@@ -62,7 +62,7 @@
     bool close = false;
   };
   struct Held {
-    std::vector<node_sessions::LinkAction> actions;
+    std::vector<node_sessions::SessionAction> actions;
     std::vector<event_loop::ConnId> touched;
     std::vector<HttpReply> http;
     Micros since = 0;
@@ -85,14 +85,14 @@
   bool Owes() const;
   pbs_server::Peer PeerOf(const event_loop::PeerInfo& info) const;
 
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   config::DaemonConfig config_;
   std::shared_ptr<spdlog::logger> log_;
   job_manager::JobManager core_;
   admission::Door door_;
   pbs_server::Front front_;
   HttpFront http_;
-  node_sessions::NodeLinks links_;
+  node_sessions::NodeSessions links_;
   discovery::RegistryClient list_;
   discovery::RegistryClient others_;  // the daemons' entries; used where the group comes from the registry
   discovery::Registrar own_entry_;
--- a/src/node_agent/host.cpp
+++ b/src/node_agent/host.cpp
@@ -26,9 +26,9 @@
 
 // ---- Reports to one daemon ----
 
-class Reporter : public event_loop::Handler {
+class Reporter : public event_loop::ConnectionHandler {
  public:
-  Reporter(event_loop::Loop* loop, NodeServer* server, std::string daemon)
+  Reporter(event_loop::EventLoop* loop, NodeServer* server, std::string daemon)
       : loop_(loop), server_(server), daemon_(std::move(daemon)) {}
   ~Reporter() override {
     if (conn_ != 0) loop_->Abort(conn_);
@@ -96,7 +96,7 @@
     input_.clear();
     next_ = loop_->Now() + (kReportAgain << std::min(failures_++, 4u));
   }
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   NodeServer* server_;
   std::string daemon_;
   event_loop::ConnId conn_ = 0;
@@ -109,9 +109,10 @@
 
 // ---- One node ----
 
-class Host::Node : public event_loop::Handler {
+class Host::Node : public event_loop::ConnectionHandler {
  public:
-  Node(event_loop::Loop* loop, const HostOptions& options, HostedNode hosted, std::shared_ptr<KeyMemory> keys)
+  Node(event_loop::EventLoop* loop, const HostOptions& options, HostedNode hosted,
+       std::shared_ptr<KeyMemory> keys)
       : loop_(loop),
         options_(options),
         hosted_(std::move(hosted)),
@@ -119,12 +120,14 @@
         address_(hosted_.listen) {}
 
   bool Start(bool cold, std::string* error) {
-    listener_ = loop_->Listen(address_, this, error);
-    if (listener_ == 0) return false;
-    std::string host;
-    int port = 0;
-    event_loop::SplitAddress(address_, &host, &port);
-    address_ = host + ":" + std::to_string(loop_->PortOf(listener_));  // the same port in later lives
+    const auto listener = loop_->Listen(address_, this);
+    if (!listener) {
+      *error = event_loop::Describe(listener.error());
+      return false;
+    }
+    listener_ = *listener;
+    const std::string host = event_loop::SplitAddress(address_)->host;  // valid: it is listened at
+    address_ = host + ":" + std::to_string(loop_->PortOf(listener_));   // the same port in later lives
     NodeConfig config = hosted_.config;
     config.seed = config.seed * 1000003 + ++lives_;
     const Micros now = loop_->Now();
@@ -253,7 +256,7 @@
     conns_.erase(conn);
     server_->Close(loop_->Now(), conn);
   }
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   const HostOptions& options_;
   HostedNode hosted_;
   std::shared_ptr<KeyMemory> keys_;
@@ -271,9 +274,9 @@
 
 // ---- Entries in the list ----
 
-class Host::Publisher : public event_loop::Handler {
+class Host::Publisher : public event_loop::ConnectionHandler {
  public:
-  Publisher(event_loop::Loop* loop, const HostOptions& options, tls::Keys* keys)
+  Publisher(event_loop::EventLoop* loop, const HostOptions& options, tls::Keys* keys)
       : loop_(loop), options_(options), keys_(keys) {}
 
   // The newest wish for a key wins; empty: remove it.
@@ -335,7 +338,7 @@
     bool ever = false;
     Micros next = 0;
   };
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   const HostOptions& options_;
   tls::Keys* keys_;
   std::map<std::string, Slot> slots_;
@@ -345,9 +348,9 @@
   std::unique_ptr<http::Reader> reader_;
 };
 
-class Host::Control : public event_loop::Handler {
+class Host::Control : public event_loop::ConnectionHandler {
  public:
-  Control(event_loop::Loop* loop, Host* host) : loop_(loop), host_(host) {}
+  Control(event_loop::EventLoop* loop, Host* host) : loop_(loop), host_(host) {}
   void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) override {
     readers_.emplace(conn, http::Reader(http::Reader::Side::kRequests, 1 << 16));
   }
@@ -363,12 +366,12 @@
   void OnClosed(event_loop::ConnId conn, const std::string&) override { readers_.erase(conn); }
 
  private:
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   Host* host_;
   std::map<event_loop::ConnId, http::Reader> readers_;
 };
 
-Host::Host(event_loop::Loop* loop, HostOptions options, std::vector<HostedNode> nodes)
+Host::Host(event_loop::EventLoop* loop, HostOptions options, std::vector<HostedNode> nodes)
     : loop_(loop), options_(std::move(options)), keys_(options_.tls), configs_(std::move(nodes)) {}
 Host::~Host() = default;
 
@@ -383,8 +386,12 @@
   }
   if (!options_.control_address.empty()) {
     control_ = std::make_unique<Control>(loop_, this);
-    control_listener_ = loop_->Listen(options_.control_address, control_.get(), error);
-    if (control_listener_ == 0) return false;
+    const auto control_listener = loop_->Listen(options_.control_address, control_.get());
+    if (!control_listener) {
+      *error = event_loop::Describe(control_listener.error());
+      return false;
+    }
+    control_listener_ = *control_listener;
   }
   if (!options_.list_address.empty() && options_.lease == 0)
     publisher_ = std::make_unique<Publisher>(loop_, options_, &keys_);
@@ -399,10 +406,9 @@
 
 int Host::PortOf(const std::string& name) const {
   const auto it = nodes_.find(name);
-  std::string host;
-  int port = 0;
-  if (it != nodes_.end()) event_loop::SplitAddress(it->second->address(), &host, &port);
-  return port;
+  if (it == nodes_.end()) return 0;
+  const auto address = event_loop::SplitAddress(it->second->address());
+  return address ? address->port : 0;
 }
 
 void Host::Pump() {
@@ -464,7 +470,7 @@
 
 void Host::Stop() {
   stopping_ = true;
-  loop_->At(loop_->Now() + 1'000'000, [this] { loop_->Stop(); });  // also without the list
+  loop_->AddTimer(loop_->Now() + 1'000'000, [this] { loop_->Stop(); });  // also without the list
 }
 
 std::string Host::Handle(const http::Message& r) {
--- a/tests/support/platform_fakes.hpp
+++ b/tests/support/platform_fakes.hpp
@@ -158,12 +158,11 @@
 }
 
 // A machine: listens, and answers each set-up as `reply` says. Without one it says yes.
-class StandMachine : public event_loop::Handler {
+class StandMachine : public event_loop::ConnectionHandler {
  public:
-  StandMachine(event_loop::Loop* loop, std::string name, unsigned cell, Record* record)
+  StandMachine(event_loop::EventLoop* loop, std::string name, unsigned cell, Record* record)
       : name(std::move(name)), cell(cell), loop_(loop), record_(record) {
-    std::string error;
-    listener_ = loop_->Listen("127.0.0.1:0", this, &error);
+    listener_ = loop_->Listen("127.0.0.1:0", this).value_or(0);
     address = "127.0.0.1:" + std::to_string(loop_->PortOf(listener_));
   }
   void Die() {  // the process: connections are reset, new ones refused
@@ -263,17 +262,16 @@
     passed.cause = cause;
     record_->push_back(passed);
   }
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   Record* record_;
   event_loop::ListenerId listener_ = 0;
 };
 
 // The change log: numbered events, long poll.
-class StandChangeLog : public event_loop::Handler {
+class StandChangeLog : public event_loop::ConnectionHandler {
  public:
-  explicit StandChangeLog(event_loop::Loop* loop) : loop_(loop) {
-    std::string error;
-    listener_ = loop_->Listen("127.0.0.1:0", this, &error);
+  explicit StandChangeLog(event_loop::EventLoop* loop) : loop_(loop) {
+    listener_ = loop_->Listen("127.0.0.1:0", this).value_or(0);
     address = "127.0.0.1:" + std::to_string(loop_->PortOf(listener_));
   }
   void Add(const std::string& entry, bool whole = false) {
@@ -302,7 +300,7 @@
         Answer(conn, since);
       } else {
         waiting_[conn] = since;
-        loop_->At(loop_->Now() + 1'000'000, [this, conn, since] {
+        loop_->AddTimer(loop_->Now() + 1'000'000, [this, conn, since] {
           if (waiting_.erase(conn) > 0) Answer(conn, since);
         });
       }
@@ -315,9 +313,8 @@
 
   // Nobody listens there any more, or again; what is open is closed.
   void Listen(bool up) {
-    std::string error;
     if (up) {
-      listener_ = loop_->Listen(address, this, &error);
+      listener_ = loop_->Listen(address, this).value_or(0);
     } else {
       loop_->CloseListener(listener_);
       const auto readers = std::exchange(readers_, {});
@@ -350,16 +347,17 @@
     }
     loop_->Send(conn, bytes);
   }
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   event_loop::ListenerId listener_ = 0;
   std::map<event_loop::ConnId, std::unique_ptr<http::Reader>> readers_;
   std::map<event_loop::ConnId, std::uint64_t> waiting_;
 };
 
 // Owners: one connection, what was said on it.
-class StandOwner : public event_loop::Handler {
+class StandOwner : public event_loop::ConnectionHandler {
  public:
-  StandOwner(event_loop::Loop* loop, const std::string& to, Record* record) : loop_(loop), record_(record) {
+  StandOwner(event_loop::EventLoop* loop, const std::string& to, Record* record)
+      : loop_(loop), record_(record) {
     conn = loop_->Connect(to, this);
   }
   ~StandOwner() override { loop_->Close(conn); }
@@ -437,7 +435,7 @@
   std::vector<int> tested;
 
  private:
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   Record* record_;
   ClientMessageReader reader_;
 };
--- a/tools/chaos/recording_proxy.cpp
+++ b/tools/chaos/recording_proxy.cpp
@@ -23,14 +23,19 @@
 
 }  // namespace
 
-Tap::Tap(event_loop::Loop* loop, Recorder* recorder, TapKind kind, std::string who)
+Tap::Tap(event_loop::EventLoop* loop, Recorder* recorder, TapKind kind, std::string who)
     : loop_(loop), recorder_(recorder), kind_(kind), who_(std::move(who)) {}
 
 Tap::~Tap() = default;
 
 bool Tap::Listen(std::string* error) {
-  listener_ = loop_->Listen("127.0.0.1:0", this, error);
-  return listener_ != 0;
+  const auto listener = loop_->Listen("127.0.0.1:0", this);
+  if (!listener) {
+    *error = event_loop::Describe(listener.error());
+    return false;
+  }
+  listener_ = *listener;
+  return true;
 }
 
 std::string Tap::address() const { return "127.0.0.1:" + std::to_string(loop_->PortOf(listener_)); }
@@ -114,7 +119,7 @@
 }
 
 void Tap::MoveLater(std::uint64_t number, Micros at) {
-  loop_->At(at, [this, number, alive = std::weak_ptr<int>(alive_)] {
+  loop_->AddTimer(at, [this, number, alive = std::weak_ptr<int>(alive_)] {
     if (alive.expired()) return;
     const auto it = pairs_.find(number);
     if (it != pairs_.end()) Move(it->second);
