--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -64,9 +64,9 @@
   return o;
 }
 
-storage::GateOptions GateOf(const config::DaemonConfig& config) {
-  storage::GateOptions o;
-  o.snapshot_after = config.storage_snapshot;
+storage::CommitGateOptions GateOf(const config::DaemonConfig& config) {
+  storage::CommitGateOptions o;
+  o.snapshot_after_bytes = config.storage_snapshot;
   return o;
 }
 
@@ -317,14 +317,15 @@
     if (expected.empty() && !TakeLedgerRecord(record, &expected))
       expected = "ledger record " + std::to_string(sequence) + ": expected " + expected;
   };
-  std::vector<std::string> told;
-  const bool open = log->Open(replay, &told, error);
-  for (const std::string& text : told) {
-    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", text}});
+  std::vector<storage::RecoveryNotice> notices;
+  const storage::StorageStatus open = log->Open(replay, &notices);
+  for (const storage::RecoveryNotice& notice : notices) {
+    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", Describe(notice)}});
   }
+  if (!open) *error = Describe(open.error());
   if (open && !expected.empty()) *error = config_.storage_folder + ": " + expected;
   if (!open || !expected.empty()) return false;
-  outbox_ = ledger::Outbox(log->last());
+  outbox_ = ledger::Outbox(log->last_sequence());
   const int fd = durable_fd_;
   ledger_committer_ = std::make_unique<storage::Committer>(std::move(log), [fd] {
     const std::uint64_t one = 1;
@@ -365,8 +366,12 @@
 }
 
 bool Daemon::OpenStorage(std::string* error) {
-  files_ = storage::PosixFiles::Open(config_.storage_folder, error);
-  if (!files_) return false;
+  auto files = storage::PosixFiles::Open(config_.storage_folder);
+  if (!files) {
+    *error = Describe(files.error());
+    return false;
+  }
+  files_ = std::move(*files);
   durable_fd_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
   if (config_.billing && !OpenLedger(error)) return false;
   storage::LogOptions options;
@@ -394,11 +399,12 @@
     if (expected.empty() && !take(record))
       expected = "record " + std::to_string(sequence) + ": expected " + expected;
   };
-  std::vector<std::string> told;
-  const bool open = log->Open(replay, &told, error);
-  for (const std::string& text : told) {
-    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", text}});
+  std::vector<storage::RecoveryNotice> notices;
+  const storage::StorageStatus open = log->Open(replay, &notices);
+  for (const storage::RecoveryNotice& notice : notices) {
+    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", Describe(notice)}});
   }
+  if (!open) *error = Describe(open.error());
   if (!open) return false;
   if (!expected.empty() || !core_.Restored(loop_->Now(), &expected)) {
     *error = config_.storage_folder + ": " + expected;
@@ -422,7 +428,7 @@
 void Daemon::Say(HttpReply reply, bool nothing_kept) {
   if (committer_ && !nothing_kept && gate_.Full()) {
     reply.bytes =
-        http::WriteReply(503, {{"Content-Type", "text/plain"}}, gate_.Refusal() + "\n", !reply.close);
+        http::WriteReply(503, {{"Content-Type", "text/plain"}}, gate_.RejectionReason() + "\n", !reply.close);
     nothing_kept = true;
   }
   if (committer_ && (!nothing_kept || http_behind_.count(reply.conn) > 0)) {
@@ -461,7 +467,7 @@
 bool Daemon::Release() {
   CheckStorage();
   bool more = false;
-  while (const auto number = gate_.Next()) {
+  while (const auto number = gate_.ReleaseNext()) {
     const auto node = held_.extract(*number);
     const Held& held = node.mapped();
     for (const node_sessions::LinkAction& action : held.actions) link_side_->Do(action);
@@ -487,11 +493,11 @@
   const storage::CommitStatus jobs = committer_->Status();
   storage::CommitStatus ledger;
   if (ledger_committer_) ledger = ledger_committer_->Status();
-  gate_.Saw(jobs, ledger_committer_ ? &ledger : nullptr, ledger_turn_);
-  for (const std::string& text : gate_.TakeComplaints()) {
+  gate_.UpdateStatus(jobs, ledger_committer_ ? &ledger : nullptr, ledger_turn_);
+  for (const std::string& text : gate_.TakeWarnings()) {
     WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", text}});
   }
-  core_.RefuseNew(gate_.Refusal());
+  core_.RefuseNew(gate_.RejectionReason());
   door_.DiskOwes(held_.empty() ? 0 : loop_->Now() - held_.begin()->second.since);
 }
 
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -18,8 +18,8 @@
 #include "membership/membership.hpp"
 #include "node_sessions/node_sessions.hpp"
 #include "pbs_server/pbs_server.hpp"
+#include "storage/commit_gate.hpp"
 #include "storage/committer.hpp"
-#include "storage/gate.hpp"
 #include "tls/keys.hpp"
 
 namespace spdlog {
@@ -108,7 +108,7 @@
   std::unique_ptr<storage::Committer> committer_;
   int durable_fd_ = -1;
   Held now_held_;  // of this turn
-  storage::Gate gate_;
+  storage::CommitGate gate_;
   std::map<std::uint64_t, Held> held_;                      // by the gate's number
   std::map<event_loop::ConnId, std::size_t> http_behind_;   // replies of HTTP connections that are held
   std::map<event_loop::ConnId, std::uint64_t> touched_in_;  // the newest of held_ that has it
--- a/src/job_manager/journal.cpp
+++ b/src/job_manager/journal.cpp
@@ -107,9 +107,12 @@
   // The number ends at the first byte without its highest bit.
   std::size_t end = 2;
   while (end < record.size() && (record[end] & 0x80) != 0) ++end;
-  Reader number(record.substr(2, end - 1), expected);
+  Reader number(record.substr(2, end - 1));
   number("job", kept->job);
-  if (!number.good()) return false;
+  if (!number.ok()) {
+    *expected = Describe(*number.error());
+    return false;
+  }
   std::string_view rest = record.substr(end + 1);
   if (kept->kind == KeptKind::kState) {
     constexpr std::string_view kStates = "QHWREC";
@@ -120,10 +123,12 @@
     kept->state.state = static_cast<JobState>(rest[0]);
     rest.remove_prefix(1);
   }
-  Reader reader(rest, expected);
+  Reader reader(rest);
   if (kept->kind == KeptKind::kSpec) Fields(reader, kept->spec, &kept->spec);
   if (kept->kind == KeptKind::kState) Fields(reader, kept->state, &kept->state);
-  return reader.AtEnd();
+  const auto whole = reader.Finish();
+  if (!whole) *expected = Describe(whole.error());
+  return whole.has_value();
 }
 
 void JoinRecord(std::string_view record, std::string* to) {
@@ -136,11 +141,10 @@
   while (!joined.empty()) {
     std::size_t end = 0;
     while (end < joined.size() && (joined[end] & 0x80) != 0) ++end;
-    std::string expected;
-    Reader reader(joined.substr(0, end + 1), &expected);
+    Reader reader(joined.substr(0, end + 1));
     std::uint64_t size = 0;
     reader("size", size);
-    if (!reader.good() || size > joined.size() - end - 1) return false;
+    if (!reader.ok() || size > joined.size() - end - 1) return false;
     if (!visit(joined.substr(end + 1, size))) return false;
     joined.remove_prefix(end + 1 + size);
   }
--- a/src/ledger/book.cpp
+++ b/src/ledger/book.cpp
@@ -95,7 +95,7 @@
     return false;
   }
   record->kind = static_cast<RecordKind>(bytes[0]);
-  storage::FieldReader read(bytes.substr(2), expected);
+  storage::FieldReader read(bytes.substr(2));
   if (record->kind == RecordKind::kPosting) {
     Fields(read, record->posting);
     read("last", record->last);
@@ -104,7 +104,9 @@
     read("period", record->period);
     read("at", record->at);
   }
-  return read.AtEnd();
+  const auto whole = read.Finish();
+  if (!whole) *expected = Describe(whole.error());
+  return whole.has_value();
 }
 
 std::string Outbox::Put(std::string_view record) {
@@ -118,10 +120,13 @@
 bool Outbox::Take(std::string_view bytes, std::string* record, bool* lacks, std::string* expected) {
   std::size_t end = 1;
   while (end < bytes.size() && (bytes[end] & 0x80) != 0) ++end;
-  storage::FieldReader read(bytes.substr(1, end), expected);
+  storage::FieldReader read(bytes.substr(1, end));
   std::uint64_t number = 0;
   read("number", number);
-  if (!read.good()) return false;
+  if (!read.ok()) {
+    *expected = Describe(*read.error());
+    return false;
+  }
   *lacks = number > last_;
   if (number > last_ + 1) {
     *expected = "ledger record " + std::to_string(last_ + 1) + ", found " + std::to_string(number);
--- a/src/storage/committer.cpp
+++ b/src/storage/committer.cpp
@@ -5,8 +5,12 @@
 
 namespace mountflow::storage {
 
-Committer::Committer(std::unique_ptr<Log> log, std::function<void()> notify, std::chrono::milliseconds again)
-    : log_(std::move(log)), notify_(std::move(notify)), again_(again), thread_([this] { Run(); }) {}
+Committer::Committer(std::unique_ptr<Log> log, std::function<void()> notify,
+                     std::chrono::milliseconds retry_interval)
+    : log_(std::move(log)),
+      notify_(std::move(notify)),
+      retry_interval_(retry_interval),
+      thread_([this] { Run(); }) {}
 
 Committer::~Committer() {
   {
@@ -19,22 +23,22 @@
 
 std::uint64_t Committer::Add(std::vector<std::string> records) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  for (std::string& r : records) {
-    status_.waiting_bytes += r.size();
-    waiting_.push_back(std::move(r));
+  for (std::string& record : records) {
+    status_.waiting_bytes += record.size();
+    waiting_.push_back(std::move(record));
   }
   if (!records.empty()) {
-    ++turn_;
+    ++last_batch_;
     wake_.notify_all();
   }
-  return turn_;
+  return last_batch_;
 }
 
 void Committer::Snapshot(std::string state) {
   const std::lock_guard<std::mutex> lock(mutex_);
   snapshot_ = std::move(state);
-  has_snapshot_ = status_.snapshot_waits = true;
-  snapshot_after_ = waiting_.size();
+  status_.snapshot_pending = true;
+  records_before_snapshot_ = waiting_.size();
   wake_.notify_all();
 }
 
@@ -44,46 +48,64 @@
 }
 
 void Committer::Run() {
-  std::vector<std::string> batch;  // grows by what waits, until it is durable
-  std::size_t batch_bytes = 0;
+  Group group;  // grows until its commit succeeds
   std::unique_lock<std::mutex> lock(mutex_);
   for (;;) {
-    wake_.wait(lock, [&] { return stopping_ || !waiting_.empty() || !batch.empty() || has_snapshot_; });
-    const bool last = stopping_;
-    // A snapshot holds what came before it; what came after goes with the next commit.
-    const std::size_t take = has_snapshot_ ? snapshot_after_ : waiting_.size();
-    for (std::size_t i = 0; i < take; ++i) batch_bytes += waiting_[i].size();
-    std::move(waiting_.begin(), waiting_.begin() + static_cast<std::ptrdiff_t>(take),
-              std::back_inserter(batch));
-    waiting_.erase(waiting_.begin(), waiting_.begin() + static_cast<std::ptrdiff_t>(take));
-    const bool all = waiting_.empty();
-    const std::uint64_t turn = turn_;
-    const bool snaps = std::exchange(has_snapshot_, false);
-    const std::string state = std::exchange(snapshot_, {});
+    wake_.wait(lock, [&] { return stopping_ || !waiting_.empty() || !group.records.empty() || snapshot_; });
+    const bool stopping = stopping_;
+    CollectGroup(&group);
     lock.unlock();
-    std::string error, snapshot_error;
-    const bool good = log_->Commit(batch, &error);
-    if (good && snaps && log_->last() > log_->snapshot_at())
-      log_->Snapshot(log_->last(), state, &snapshot_error);
+    const GroupResult result = WriteGroup(group);
     lock.lock();
-    if (good) {
-      batch.clear();
-      status_.waiting_bytes -= batch_bytes;
-      batch_bytes = 0;
-      if (all) status_.durable = turn;
-    }
-    if (snaps) {
-      status_.snapshot_error = good ? snapshot_error : error;
-      status_.snapshot_waits = has_snapshot_;  // another may have come meanwhile
-    }
-    status_.bytes_since_snapshot = log_->bytes_since_snapshot();
-    status_.error = error;
+    UpdateStatus(result, &group);
     lock.unlock();
     notify_();
     lock.lock();
-    if (last && (!good || waiting_.empty())) return;
-    if (!good) wake_.wait_for(lock, again_, [this] { return stopping_; });
+    if (stopping && (result.commit_error || waiting_.empty())) return;
+    if (result.commit_error) wake_.wait_for(lock, retry_interval_, [this] { return stopping_; });
   }
 }
 
+void Committer::CollectGroup(Group* group) {
+  // A snapshot contains the records before it. Those after it go with the next commit.
+  const std::size_t count = snapshot_ ? records_before_snapshot_ : waiting_.size();
+  const auto end = waiting_.begin() + static_cast<std::ptrdiff_t>(count);
+  for (auto it = waiting_.begin(); it != end; ++it) group->bytes += it->size();
+  std::move(waiting_.begin(), end, std::back_inserter(group->records));
+  waiting_.erase(waiting_.begin(), end);
+  group->last_batch = last_batch_;
+  group->complete = waiting_.empty();
+  group->snapshot = std::exchange(snapshot_, std::nullopt);
+}
+
+Committer::GroupResult Committer::WriteGroup(const Group& group) {
+  GroupResult result;
+  if (const StorageStatus committed = log_->Commit(group.records); !committed) {
+    result.commit_error = committed.error();
+    result.snapshot_error = committed.error();
+    return result;
+  }
+  // A snapshot of the same state as the last one would add nothing.
+  if (!group.snapshot || log_->last_sequence() <= log_->snapshot_sequence()) return result;
+  const StorageStatus written = log_->WriteSnapshot(log_->last_sequence(), *group.snapshot);
+  if (!written) result.snapshot_error = written.error();
+  return result;
+}
+
+void Committer::UpdateStatus(const GroupResult& result, Group* group) {
+  if (!result.commit_error) {
+    group->records.clear();
+    status_.waiting_bytes -= group->bytes;
+    group->bytes = 0;
+    if (group->complete) status_.durable_batch = group->last_batch;
+  }
+  if (group->snapshot) {
+    status_.snapshot_error = result.snapshot_error;
+    status_.snapshot_pending = snapshot_.has_value();  // another may have been requested meanwhile
+    group->snapshot.reset();
+  }
+  status_.bytes_since_snapshot = log_->bytes_since_snapshot();
+  status_.error = result.commit_error;
+}
+
 }  // namespace mountflow::storage
--- a/src/storage/fields.hpp
+++ b/src/storage/fields.hpp
@@ -1,151 +1,199 @@
-// Compact fields of records, written and read by one list: numbers of variable
-// length (7 bits a byte), signed ones folded, strings with their length.
+// The encoding of fields in records: integers as varints (7 bits a byte, least significant first, the top bit
+// set on all but the last), signed ones zigzag-folded before, doubles as eight little-endian bytes, strings
+// with their length in front.
+//
+// FieldWriter and FieldReader have the same overloads, so that one template with the list of a record's
+// fields serves both directions:
+//
+//   template <typename Archive, typename T>
+//   void Fields(Archive& archive, T& value) {
+//     archive("name", value.name);
+//     archive("size", value.size);
+//   }
+//
+// Names of fields are not stored. They appear in errors only.
 #ifndef MOUNTFLOW_STORAGE_FIELDS_HPP_
 #define MOUNTFLOW_STORAGE_FIELDS_HPP_
 
 #include <cstdint>
 #include <cstring>
+#include <limits>
+#include <optional>
 #include <string>
 #include <string_view>
+#include <tl/expected.hpp>
+#include <type_traits>
+#include <utility>
 #include <vector>
 
 namespace mountflow::storage {
 
-// One list of fields for both directions, so that they cannot drift.
+__extension__ typedef __int128 Int128;
+__extension__ typedef unsigned __int128 UnsignedInt128;
+
+constexpr std::size_t kDoubleSize = 8;
+
+// Folds the sign into the lowest bit, so that small numbers of either sign stay short.
+constexpr std::uint64_t ZigzagEncode(std::int64_t value) {
+  return static_cast<std::uint64_t>(value) << 1 ^ static_cast<std::uint64_t>(value >> 63);
+}
+constexpr std::int64_t ZigzagDecode(std::uint64_t value) {
+  return static_cast<std::int64_t>(value >> 1 ^ (~(value & 1) + 1));
+}
+
+// Where and why a record could not be read.
+struct FieldError {
+  std::string field;
+  std::size_t offset = 0;  // within the bytes given to the reader
+  std::string expected;
+};
+
+// "FIELD at byte N: EXPECTED"
+[[nodiscard]] inline std::string Describe(const FieldError& error) {
+  return error.field + " at byte " + std::to_string(error.offset) + ": " + error.expected;
+}
+
+// Appends fields to a string.
 class FieldWriter {
  public:
+  // `to` is not owned.
   explicit FieldWriter(std::string* to) : to_(to) {}
+
   void operator()(const char*, std::uint64_t value) {
     for (; value >= 0x80; value >>= 7) to_->push_back(static_cast<char>(value | 0x80));
     to_->push_back(static_cast<char>(value));
   }
   void operator()(const char* name, std::uint32_t value) { (*this)(name, std::uint64_t{value}); }
   void operator()(const char* name, bool value) { (*this)(name, std::uint64_t{value}); }
-  void operator()(const char* name, int value) {  // small ones of either sign stay short
-    const std::int64_t v = value;
-    (*this)(name, static_cast<std::uint64_t>(v) << 1 ^ static_cast<std::uint64_t>(v >> 63));
-  }
-  __extension__ void operator()(const char* name, __int128 value) {
-    const auto wide = static_cast<unsigned __int128>(value);
-    (*this)(name, static_cast<std::uint64_t>(wide));
-    (*this)(name, static_cast<std::uint64_t>(wide >> 64));
-  }
-  void operator()(const char* name, std::int64_t value) {
-    (*this)(name, static_cast<std::uint64_t>(value) << 1 ^ static_cast<std::uint64_t>(value >> 63));
+  void operator()(const char* name, int value) { (*this)(name, std::int64_t{value}); }
+  void operator()(const char* name, std::int64_t value) { (*this)(name, ZigzagEncode(value)); }
+  void operator()(const char* name, Int128 value) {
+    const auto bits = static_cast<UnsignedInt128>(value);
+    (*this)(name, static_cast<std::uint64_t>(bits));
+    (*this)(name, static_cast<std::uint64_t>(bits >> 64));
   }
   void operator()(const char*, double value) {
     std::uint64_t bits = 0;
     std::memcpy(&bits, &value, sizeof bits);
-    for (int i = 0; i < 8; ++i) to_->push_back(static_cast<char>(bits >> (8 * i) & 255));
+    for (std::size_t i = 0; i < kDoubleSize; ++i) to_->push_back(static_cast<char>(bits >> (8 * i) & 255));
   }
   void operator()(const char* name, const std::string& value) {
     (*this)(name, std::uint64_t{value.size()});
     *to_ += value;
   }
+  // The last argument is the greatest value, which only the reader needs.
   template <typename T>
   void Enum(const char* name, T value, T) {
     (*this)(name, static_cast<std::uint64_t>(value));
   }
-  template <typename T, typename F>
-  void List(const char* name, const std::vector<T>& list, F each) {
+  // Calls `write_element` with each element, after their number.
+  template <typename T, typename Function>
+  void List(const char* name, const std::vector<T>& list, Function write_element) {
     (*this)(name, std::uint64_t{list.size()});
-    for (const T& one : list) each(const_cast<T&>(one));
+    for (const T& element : list) write_element(element);
   }
 
  private:
   std::string* to_;
 };
 
+// Reads fields in the order in which they were written. After the first error every call does nothing, or
+// sets the value to zero, so callers may read all fields and check once.
 class FieldReader {
  public:
-  FieldReader(std::string_view from, std::string* expected) : from_(from), expected_(expected) {}
+  // `from` must outlive the reader.
+  explicit FieldReader(std::string_view from) : from_(from) {}
+
   void operator()(const char* name, std::uint64_t& value) {
     value = 0;
-    for (unsigned shift = 0; good_ && shift < 64; shift += 7) {
-      if (at_ >= from_.size()) return Fail(name, "a number");
-      const auto byte = static_cast<unsigned char>(from_[at_++]);
+    for (unsigned shift = 0; ok() && shift < 64; shift += 7) {
+      if (offset_ >= from_.size()) return Fail(name, "a number");
+      const auto byte = static_cast<unsigned char>(from_[offset_++]);
       value |= static_cast<std::uint64_t>(byte & 0x7f) << shift;
       if (byte < 0x80) return;
     }
-    if (good_) Fail(name, "a number of 64 bits");
+    Fail(name, "a number of 64 bits");
   }
   void operator()(const char* name, std::uint32_t& value) {
-    std::uint64_t wide = 0;
-    (*this)(name, wide);
-    if (good_ && wide > 0xffffffffu) return Fail(name, "a number of 32 bits");
+    const std::uint64_t wide = ReadUnsigned(name);
+    if (wide > std::numeric_limits<std::uint32_t>::max()) return Fail(name, "a number of 32 bits");
     value = static_cast<std::uint32_t>(wide);
   }
   void operator()(const char* name, bool& value) {
-    std::uint64_t wide = 0;
-    (*this)(name, wide);
-    if (good_ && wide > 1) return Fail(name, "0 or 1");
+    const std::uint64_t wide = ReadUnsigned(name);
+    if (wide > 1) return Fail(name, "0 or 1");
     value = wide == 1;
   }
   void operator()(const char* name, int& value) {
-    std::uint64_t wide = 0;
-    (*this)(name, wide);
-    const auto v = static_cast<std::int64_t>(wide >> 1 ^ (~(wide & 1) + 1));
-    if (good_ && (v > 0x7fffffff || v < -0x7fffffffLL - 1)) return Fail(name, "a number of 32 bits");
-    value = static_cast<int>(v);
-  }
-  __extension__ void operator()(const char* name, __int128& value) {
-    std::uint64_t low = 0, high = 0;
-    (*this)(name, low);
-    (*this)(name, high);
-    value = static_cast<__int128>(static_cast<unsigned __int128>(high) << 64 | low);
-  }
-  void operator()(const char* name, std::int64_t& value) {
-    std::uint64_t wide = 0;
-    (*this)(name, wide);
-    value = static_cast<std::int64_t>(wide >> 1 ^ (~(wide & 1) + 1));
+    const std::int64_t wide = ZigzagDecode(ReadUnsigned(name));
+    if (wide > std::numeric_limits<int>::max() || wide < std::numeric_limits<int>::min())
+      return Fail(name, "a number of 32 bits");
+    value = static_cast<int>(wide);
+  }
+  void operator()(const char* name, std::int64_t& value) { value = ZigzagDecode(ReadUnsigned(name)); }
+  void operator()(const char* name, Int128& value) {
+    const UnsignedInt128 low = ReadUnsigned(name);
+    const UnsignedInt128 high = ReadUnsigned(name);
+    value = static_cast<Int128>(high << 64 | low);
   }
   void operator()(const char* name, double& value) {
-    if (!good_ || from_.size() - at_ < 8) return Fail(name, "eight bytes");
+    if (!ok() || from_.size() - offset_ < kDoubleSize) return Fail(name, "eight bytes");
     std::uint64_t bits = 0;
-    for (int i = 0; i < 8; ++i)
-      bits |= static_cast<std::uint64_t>(static_cast<unsigned char>(from_[at_++])) << (8 * i);
+    for (std::size_t i = 0; i < kDoubleSize; ++i)
+      bits |= static_cast<std::uint64_t>(static_cast<unsigned char>(from_[offset_++])) << (8 * i);
     std::memcpy(&value, &bits, sizeof bits);
   }
   void operator()(const char* name, std::string& value) {
-    std::uint64_t size = 0;
-    (*this)(name, size);
-    if (!good_ || size > from_.size() - at_) return Fail(name, "as many bytes as are told");
-    value.assign(from_.substr(at_, size));
-    at_ += size;
+    const std::uint64_t size = ReadUnsigned(name);
+    if (!ok() || size > from_.size() - offset_) return Fail(name, "as many bytes as its length says");
+    value.assign(from_.substr(offset_, size));
+    offset_ += size;
   }
+  // `max` is the greatest valid value.
   template <typename T>
-  void Enum(const char* name, T& value, T most) {
-    std::uint64_t wide = 0;
-    (*this)(name, wide);
-    if (good_ && wide > static_cast<std::uint64_t>(most)) return Fail(name, "a value that is known");
+  void Enum(const char* name, T& value, T max) {
+    const std::uint64_t wide = ReadUnsigned(name);
+    if (wide > static_cast<std::uint64_t>(max)) return Fail(name, "a known value");
     value = static_cast<T>(wide);
   }
-  template <typename T, typename F>
-  void List(const char* name, std::vector<T>& list, F each) {
-    std::uint64_t size = 0;
-    (*this)(name, size);
-    if (!good_ || size > from_.size() - at_) return Fail(name, "as many entries as are told");
+  // Calls `read_element` with each element.
+  template <typename T, typename Function>
+  void List(const char* name, std::vector<T>& list, Function read_element) {
+    const std::uint64_t size = ReadUnsigned(name);
+    // An element has at least one byte, so a damaged number cannot exhaust memory.
+    if (!ok() || size > from_.size() - offset_) return Fail(name, "as many elements as its length says");
     list.resize(size);
-    for (T& one : list) {
-      if (good_) each(one);
+    for (T& element : list) {
+      if (ok()) read_element(element);
     }
   }
-  bool good() const { return good_; }
-  bool AtEnd() {
-    if (good_ && at_ != from_.size()) Fail("end", "nothing more");
-    return good_;
-  }
+
+  bool ok() const { return !error_.has_value(); }
+  // The first error, also when bytes are left over.
+  [[nodiscard]] tl::expected<void, FieldError> Finish() {
+    if (offset_ != from_.size()) Fail("end", "nothing more");
+    if (error_) return tl::unexpected(*error_);
+    return {};
+  }
+  // The first error so far.
+  [[nodiscard]] const std::optional<FieldError>& error() const { return error_; }
+  // The bytes that were not read yet.
+  std::string_view rest() const { return from_.substr(offset_); }
 
  private:
-  void Fail(const char* name, const char* what) {
-    if (!good_) return;
-    good_ = false;
-    *expected_ = std::string(name) + " at byte " + std::to_string(at_) + ": " + what;
+  // Zero after an error.
+  std::uint64_t ReadUnsigned(const char* name) {
+    std::uint64_t value = 0;
+    (*this)(name, value);
+    return ok() ? value : 0;
+  }
+  void Fail(const char* name, const char* expected) {
+    if (ok()) error_ = FieldError{name, offset_, expected};
   }
+
   std::string_view from_;
-  std::string* expected_;
-  std::size_t at_ = 0;
-  bool good_ = true;
+  std::size_t offset_ = 0;
+  std::optional<FieldError> error_;
 };
 
 }  // namespace mountflow::storage
--- a/src/storage/files.cpp
+++ b/src/storage/files.cpp
@@ -1,138 +1,176 @@
 #include "storage/files.hpp"
 
 #include <dirent.h>
-#include <errno.h>
 #include <fcntl.h>
-#include <stdio.h>
-#include <string.h>
 #include <sys/file.h>
 #include <sys/stat.h>
 #include <unistd.h>
 
 #include <algorithm>
+#include <cerrno>
+#include <cstring>
 
 namespace mountflow::storage {
+namespace {
+
+constexpr const char* kLockFile = "lock";
+constexpr mode_t kDirectoryMode = 0700;
+constexpr mode_t kFileMode = 0600;
+
+tl::unexpected<StorageError> SystemError(const std::string& path, const char* operation, int error_number) {
+  StorageError error;
+  error.code = StorageErrorCode::kSystem;
+  error.file = path;
+  error.operation = operation;
+  error.system = std::error_code(error_number, std::system_category());
+  return tl::unexpected(std::move(error));
+}
+
+// Takes the lock of an open directory. Returns the descriptor that holds it.
+StorageResult<int> LockDirectory(const std::string& directory, int directory_fd) {
+  const int lock_fd = openat(directory_fd, kLockFile, O_RDWR | O_CREAT | O_CLOEXEC, kFileMode);
+  if (lock_fd < 0) return SystemError(directory, "lock", errno);
+  if (flock(lock_fd, LOCK_EX | LOCK_NB) == 0) return lock_fd;
+  const int error_number = errno;
+  close(lock_fd);
+  if (error_number != EWOULDBLOCK) return SystemError(directory, "lock", error_number);
+  StorageError error;
+  error.code = StorageErrorCode::kLocked;
+  error.file = directory;
+  return tl::unexpected(std::move(error));
+}
+
+// Reads to the end of the file or, when it grows meanwhile, to the size that it had. False with errno on
+// failure.
+bool ReadAll(int fd, std::string* bytes) {
+  struct stat status {};
+  if (fstat(fd, &status) != 0) return false;
+  bytes->resize(static_cast<std::size_t>(status.st_size));
+  std::size_t filled = 0;
+  while (filled < bytes->size()) {
+    const ssize_t count = read(fd, bytes->data() + filled, bytes->size() - filled);
+    if (count < 0 && errno == EINTR) continue;
+    if (count < 0) return false;
+    if (count == 0) break;
+    filled += static_cast<std::size_t>(count);
+  }
+  bytes->resize(filled);
+  return true;
+}
 
-std::unique_ptr<PosixFiles> PosixFiles::Open(const std::string& folder, std::string* error) {
-  const auto fail = [&](const char* what) {
-    *error = folder + ": " + what + ": " + strerror(errno);
-    return nullptr;
-  };
-  if (mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) return fail("mkdir");
-  const int fd = open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  if (fd < 0) return fail("open");
-  const int lock = openat(fd, "lock", O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (lock < 0 || flock(lock, LOCK_EX | LOCK_NB) != 0) {
-    fail("lock");
-    if (errno == EWOULDBLOCK) *error = folder + ": another process holds it";
-    if (lock >= 0) close(lock);
-    close(fd);
-    return nullptr;
+}  // namespace
+
+StorageResult<std::unique_ptr<PosixFiles>> PosixFiles::Open(const std::string& directory) {
+  if (mkdir(directory.c_str(), kDirectoryMode) != 0 && errno != EEXIST)
+    return SystemError(directory, "mkdir", errno);
+  const int directory_fd = open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+  if (directory_fd < 0) return SystemError(directory, "open", errno);
+  const StorageResult<int> lock_fd = LockDirectory(directory, directory_fd);
+  if (!lock_fd) {
+    close(directory_fd);
+    return tl::unexpected(lock_fd.error());
   }
-  return std::unique_ptr<PosixFiles>(new PosixFiles(folder, fd, lock));
+  return std::unique_ptr<PosixFiles>(new PosixFiles(directory, directory_fd, *lock_fd));
 }
 
 PosixFiles::~PosixFiles() {
-  for (const auto& [name, fd] : open_) close(fd);
-  close(lock_);
-  close(fd_);
+  for (const auto& [name, fd] : append_fds_) close(fd);
+  close(lock_fd_);
+  close(directory_fd_);
 }
 
-bool PosixFiles::Fail(const std::string& name, const char* what, std::string* error) const {
-  *error = folder_ + "/" + name + ": " + what + ": " + strerror(errno);
-  return false;
+tl::unexpected<StorageError> PosixFiles::LastError(const std::string& name, const char* operation) const {
+  return SystemError(directory_ + "/" + name, operation, errno);
 }
 
-int PosixFiles::Writing(const std::string& name) {
-  const auto it = open_.find(name);
-  if (it != open_.end()) return it->second;
-  const int fd = openat(fd_, name.c_str(), O_WRONLY | O_APPEND | O_CLOEXEC);
-  if (fd >= 0) open_[name] = fd;
+int PosixFiles::AppendDescriptor(const std::string& name) {
+  const auto it = append_fds_.find(name);
+  if (it != append_fds_.end()) return it->second;
+  const int fd = openat(directory_fd_, name.c_str(), O_WRONLY | O_APPEND | O_CLOEXEC);
+  if (fd >= 0) append_fds_[name] = fd;
   return fd;
 }
 
-void PosixFiles::Forget(const std::string& name) {
-  const auto it = open_.find(name);
-  if (it == open_.end()) return;
+void PosixFiles::CloseAppendDescriptor(const std::string& name) {
+  const auto it = append_fds_.find(name);
+  if (it == append_fds_.end()) return;
   close(it->second);
-  open_.erase(it);
+  append_fds_.erase(it);
 }
 
-bool PosixFiles::List(std::vector<std::string>* names, std::string* error) {
-  names->clear();
-  DIR* dir = opendir(folder_.c_str());
-  if (dir == nullptr) return Fail("", "list", error);
-  while (const dirent* entry = readdir(dir)) {
-    if (entry->d_name[0] != '.' && strcmp(entry->d_name, "lock") != 0) names->push_back(entry->d_name);
+StorageResult<std::vector<std::string>> PosixFiles::List() {
+  DIR* directory = opendir(directory_.c_str());
+  if (directory == nullptr) return LastError("", "list");
+  std::vector<std::string> names;
+  while (const dirent* entry = readdir(directory)) {
+    const bool hidden = entry->d_name[0] == '.';
+    if (!hidden && std::strcmp(entry->d_name, kLockFile) != 0) names.emplace_back(entry->d_name);
   }
-  closedir(dir);
-  std::sort(names->begin(), names->end());
-  return true;
+  closedir(directory);
+  std::sort(names.begin(), names.end());
+  return names;
 }
 
-bool PosixFiles::Read(const std::string& name, std::string* bytes, std::string* error) {
-  const int fd = openat(fd_, name.c_str(), O_RDONLY | O_CLOEXEC);
-  if (fd < 0) return Fail(name, "open", error);
-  struct stat s {};
-  bool good = fstat(fd, &s) == 0;
-  bytes->resize(good ? static_cast<std::size_t>(s.st_size) : 0);
-  std::size_t got = 0;
-  while (good && got < bytes->size()) {
-    const ssize_t n = read(fd, bytes->data() + got, bytes->size() - got);
-    if (n < 0 && errno == EINTR) continue;
-    good = n >= 0;
-    if (n <= 0) break;
-    got += static_cast<std::size_t>(n);
-  }
-  bytes->resize(got);
-  if (!good) Fail(name, "read", error);
+StorageResult<std::string> PosixFiles::Read(const std::string& name) {
+  const int fd = openat(directory_fd_, name.c_str(), O_RDONLY | O_CLOEXEC);
+  if (fd < 0) return LastError(name, "open");
+  std::string bytes;
+  const bool ok = ReadAll(fd, &bytes);
+  const int error_number = errno;
   close(fd);
-  return good;
+  if (!ok) return SystemError(directory_ + "/" + name, "read", error_number);
+  return bytes;
 }
 
-bool PosixFiles::Create(const std::string& name, std::string* error) {
-  const int fd = openat(fd_, name.c_str(), O_WRONLY | O_APPEND | O_CREAT | O_EXCL | O_CLOEXEC, 0600);
-  if (fd < 0) return Fail(name, "create", error);
-  Forget(name);
-  open_[name] = fd;
-  return true;
+StorageStatus PosixFiles::Create(const std::string& name) {
+  const int fd =
+      openat(directory_fd_, name.c_str(), O_WRONLY | O_APPEND | O_CREAT | O_EXCL | O_CLOEXEC, kFileMode);
+  if (fd < 0) return LastError(name, "create");
+  CloseAppendDescriptor(name);
+  append_fds_[name] = fd;
+  return {};
 }
 
-bool PosixFiles::Append(const std::string& name, std::string_view bytes, std::string* error) {
-  const int fd = Writing(name);
-  if (fd < 0) return Fail(name, "open", error);
+StorageStatus PosixFiles::Append(const std::string& name, std::string_view bytes) {
+  const int fd = AppendDescriptor(name);
+  if (fd < 0) return LastError(name, "open");
   while (!bytes.empty()) {
-    const ssize_t n = write(fd, bytes.data(), bytes.size());
-    if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return Fail(name, "write", error);
-    bytes.remove_prefix(static_cast<std::size_t>(n));
+    const ssize_t count = write(fd, bytes.data(), bytes.size());
+    if (count < 0 && errno == EINTR) continue;
+    if (count <= 0) return LastError(name, "write");
+    bytes.remove_prefix(static_cast<std::size_t>(count));
   }
-  return true;
+  return {};
 }
 
-bool PosixFiles::Sync(const std::string& name, std::string* error) {
-  const int fd = Writing(name);
-  if (fd < 0 || fdatasync(fd) != 0) return Fail(name, "sync", error);
-  return true;
+StorageStatus PosixFiles::Sync(const std::string& name) {
+  const int fd = AppendDescriptor(name);
+  if (fd < 0 || fdatasync(fd) != 0) return LastError(name, "sync");
+  return {};
 }
 
-bool PosixFiles::SyncFolder(std::string* error) { return fsync(fd_) == 0 || Fail("", "sync", error); }
+StorageStatus PosixFiles::SyncDirectory() {
+  if (fsync(directory_fd_) != 0) return LastError("", "sync");
+  return {};
+}
 
-bool PosixFiles::Rename(const std::string& from, const std::string& to, std::string* error) {
-  Forget(from);
-  Forget(to);
-  return renameat(fd_, from.c_str(), fd_, to.c_str()) == 0 || Fail(from, "rename", error);
+StorageStatus PosixFiles::Rename(const std::string& from, const std::string& to) {
+  CloseAppendDescriptor(from);
+  CloseAppendDescriptor(to);
+  if (renameat(directory_fd_, from.c_str(), directory_fd_, to.c_str()) != 0) return LastError(from, "rename");
+  return {};
 }
 
-bool PosixFiles::Truncate(const std::string& name, std::size_t size, std::string* error) {
-  const int fd = Writing(name);
-  if (fd < 0 || ftruncate(fd, static_cast<off_t>(size)) != 0) return Fail(name, "truncate", error);
-  return true;
+StorageStatus PosixFiles::Truncate(const std::string& name, std::size_t size) {
+  const int fd = AppendDescriptor(name);
+  if (fd < 0 || ftruncate(fd, static_cast<off_t>(size)) != 0) return LastError(name, "truncate");
+  return {};
 }
 
-bool PosixFiles::Remove(const std::string& name, std::string* error) {
-  Forget(name);
-  return unlinkat(fd_, name.c_str(), 0) == 0 || Fail(name, "remove", error);
+StorageStatus PosixFiles::Remove(const std::string& name) {
+  CloseAppendDescriptor(name);
+  if (unlinkat(directory_fd_, name.c_str(), 0) != 0) return LastError(name, "remove");
+  return {};
 }
 
 }  // namespace mountflow::storage
--- /dev/null
+++ b/src/storage/storage_error.hpp
@@ -0,0 +1,42 @@
+// Errors of durable storage.
+#ifndef MOUNTFLOW_STORAGE_STORAGE_ERROR_HPP_
+#define MOUNTFLOW_STORAGE_STORAGE_ERROR_HPP_
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <system_error>
+#include <tl/expected.hpp>
+
+namespace mountflow::storage {
+
+enum class StorageErrorCode {
+  kSystem,           // a system call failed; see `operation` and `system`
+  kLocked,           // another process has the directory locked
+  kDamaged,          // stored bytes are not what was written; see `file` and `offset`
+  kTooLarge,         // a record or a commit exceeds its limit
+  kInvalidArgument,  // the caller asked for something that the state does not allow
+};
+
+struct StorageError {
+  StorageErrorCode code = StorageErrorCode::kSystem;
+  std::string file;                     // path, or name within the directory of the log; may be empty
+  std::optional<std::uint64_t> offset;  // kDamaged: byte offset within `file`
+  std::string operation;                // kSystem: "open", "write", ...
+  std::error_code system;               // kSystem
+  std::string expected;                 // other codes: what was expected
+  std::string found;                    // and what was found in its place; may be empty
+
+  bool operator==(const StorageError&) const = default;
+};
+
+template <typename T>
+using StorageResult = tl::expected<T, StorageError>;
+using StorageStatus = StorageResult<void>;
+
+// One line for operators: "FILE at byte N: expected X, found Y" or "FILE: OPERATION: REASON".
+[[nodiscard]] std::string Describe(const StorageError& error);
+
+}  // namespace mountflow::storage
+
+#endif  // MOUNTFLOW_STORAGE_STORAGE_ERROR_HPP_
--- a/tests/storage/stored_state_test.cpp
+++ b/tests/storage/stored_state_test.cpp
@@ -15,6 +15,7 @@
 #include "ledger/book.hpp"
 #include "storage/log.hpp"
 #include "tests/support/job_manager_fixture.hpp"
+#include "tests/support/storage_checks.hpp"
 
 namespace mountflow::testing {
 namespace {
@@ -83,12 +84,11 @@
 // Jobs 1 complete, 2 running, 3 held, 4 waiting for its time; then the snapshot; 5 running, 6 in doubt, 7
 // deleted.
 void WriteJobs(storage::Files* files) {
-  std::string error;
-  std::vector<std::string> told;
+  std::vector<storage::RecoveryNotice> notices;
   storage::Log log(files, LogNamed("jobs"));
-  ASSERT_TRUE(log.Open({}, &told, &error)) << error;
+  ASSERT_TRUE(Succeeded(log.Open({}, &notices)));
   CoreRig rig(Durable());
-  const auto commit = [&] { ASSERT_TRUE(log.Commit(rig.core.TakeJournal(), &error)) << error; };
+  const auto commit = [&] { ASSERT_TRUE(Succeeded(log.Commit(rig.core.TakeJournal()))); };
   rig.List({CoreRig::Node("a"), CoreRig::Node("b", "rack-2")});
   rig.SyncAll();
   const AskNode first = rig.PlaceNew(1, "key-1");
@@ -103,7 +103,7 @@
   timed.hold.clear(), timed.due = rig.now + 24 * kHour, timed.rerunnable = true;
   rig.Submit(timed);
   commit();
-  ASSERT_TRUE(log.Snapshot(log.last(), rig.core.Snapshot(), &error)) << error;
+  ASSERT_TRUE(Succeeded(log.WriteSnapshot(log.last_sequence(), rig.core.Snapshot())));
   rig.PlaceNew(1);
   rig.Clear();
   rig.Submit(2);
@@ -115,10 +115,10 @@
 }
 
 void WriteLedger(storage::Files* files) {
-  std::string error, expected;
-  std::vector<std::string> told;
+  std::string expected;
+  std::vector<storage::RecoveryNotice> notices;
   storage::Log log(files, LogNamed("ledger"));
-  ASSERT_TRUE(log.Open({}, &told, &error)) << error;
+  ASSERT_TRUE(Succeeded(log.Open({}, &notices)));
   ledger::Book book(BillingRules());
   const Micros start = 1'796'083'200 * kSecond;
   const auto apply = [&](const ledger::Decision& decision) {
@@ -127,7 +127,7 @@
       records.push_back(ledger::Write(record));
       ASSERT_TRUE(book.Apply(record, &expected)) << expected;
     }
-    ASSERT_TRUE(log.Commit(records, &error)) << error;
+    ASSERT_TRUE(Succeeded(log.Commit(records)));
   };
   apply(book.Post(start + 20 * kHour,
                   {"1.d0/1", "t", "service", "small", start + kHour, start + 19 * kHour, 1500, 2048}));
@@ -142,10 +142,10 @@
   TemporaryFolder folder;
   std::string error;
   {
-    const auto files = storage::PosixFiles::Open(folder.path, &error);
-    ASSERT_NE(files, nullptr) << error;
-    WriteJobs(files.get());
-    WriteLedger(files.get());
+    const auto files = storage::PosixFiles::Open(folder.path);
+    ASSERT_TRUE(Succeeded(files));
+    WriteJobs(files->get());
+    WriteLedger(files->get());
   }
   ASSERT_TRUE(discovery::SaveSnapshot((folder.path / "view").string(), View(), &error)) << error;
   const auto written = FilesOf(folder.path);
@@ -169,9 +169,9 @@
     std::ofstream(folder.path / name, std::ios::binary) << bytes;
   }
   std::string error, expected;
-  const auto files = storage::PosixFiles::Open(folder.path, &error);
-  ASSERT_NE(files, nullptr) << error;
-  std::vector<std::string> told;
+  const auto files = storage::PosixFiles::Open(folder.path);
+  ASSERT_TRUE(Succeeded(files));
+  std::vector<storage::RecoveryNotice> notices;
 
   CoreRig rig(Durable());
   std::size_t snapshots = 0, records = 0;
@@ -185,8 +185,8 @@
     ++records;
     EXPECT_TRUE(restore(record)) << expected;
   };
-  storage::Log jobs(files.get(), LogNamed("jobs"));
-  ASSERT_TRUE(jobs.Open(replay, &told, &error)) << error;
+  storage::Log jobs(files->get(), LogNamed("jobs"));
+  ASSERT_TRUE(Succeeded(jobs.Open(replay, &notices)));
   EXPECT_EQ(snapshots, 1u);
   EXPECT_GT(records, 3u);
   ASSERT_TRUE(rig.core.Restored(rig.now + kSecond, &expected)) << expected;
@@ -217,9 +217,9 @@
     ASSERT_TRUE(ledger::Read(bytes, &record, &expected)) << expected;
     ASSERT_TRUE(book.Apply(record, &expected)) << expected;
   };
-  storage::Log ledger_log(files.get(), LogNamed("ledger"));
-  ASSERT_TRUE(ledger_log.Open(posted, &told, &error)) << error;
-  EXPECT_TRUE(told.empty()) << told[0];
+  storage::Log ledger_log(files->get(), LogNamed("ledger"));
+  ASSERT_TRUE(Succeeded(ledger_log.Open(posted, &notices)));
+  EXPECT_TRUE(notices.empty()) << Describe(notices[0]);
   EXPECT_TRUE(book.IsClosed("2026-12-01"));
   EXPECT_EQ(book.Find(1)->tenant, "t");
   EXPECT_GE(book.last(), 4u);
--- a/tests/support/faulty_files.hpp
+++ b/tests/support/faulty_files.hpp
@@ -6,6 +6,9 @@
 #include <map>
 #include <memory>
 #include <string>
+#include <string_view>
+#include <system_error>
+#include <utility>
 #include <vector>
 
 #include "storage/files.hpp"
@@ -14,115 +17,121 @@
 
 class FaultyFiles : public storage::Files {
  public:
+  // Thrown by the call at which the process crashes.
   struct Crash {};
   enum class Fault { kNone, kFail, kCrash };
-  // What is on disk after a crash beyond what was synced: nothing; all; half of each file's rest, and all
-  // names.
-  enum class Left { kNothing, kAll, kHalf };
+  // What a crash leaves of data and names that were not synced: nothing; everything; half of each file's
+  // data, and all names.
+  enum class Unsynced { kLost, kKept, kHalfKept };
 
   Fault fault = Fault::kNone;
-  std::size_t at_call = 0;  // counted from 1
-  bool lasting = false;     // kFail: all calls from there on
-  std::size_t calls = 0;
+  std::size_t fault_at_call = 0;  // counted from 1; 0: never
+  bool lasting = false;           // kFail: all calls from there on
+  std::size_t calls = 0;          // that change something
 
-  void AfterCrash(Left left) {
-    if (left == Left::kNothing) names_ = durable_;
-    for (auto& [name, file] : names_) {
-      const std::size_t rest = file->data.size() - file->synced;
-      const std::size_t kept = left == Left::kAll ? rest : left == Left::kHalf ? rest / 2 : 0;
-      file->data.resize(file->synced + kept);
-      file->synced = file->data.size();
+  // The files as they are found after a crash. Ends the fault.
+  void RecoverFromCrash(Unsynced unsynced) {
+    if (unsynced == Unsynced::kLost) files_ = durable_files_;
+    for (auto& [name, file] : files_) {
+      file->data.resize(file->synced_size + KeptBytes(file->data.size() - file->synced_size, unsynced));
+      file->synced_size = file->data.size();
     }
-    durable_ = names_;
+    durable_files_ = files_;
     fault = Fault::kNone;
   }
+
   FaultyFiles Clone() const {
-    FaultyFiles copy = *this;
-    std::map<const File*, std::shared_ptr<File>> of;
-    for (auto* names : {&copy.names_, &copy.durable_}) {
-      for (auto& [name, file] : *names) {
-        auto& one = of[file.get()];
-        if (!one) one = std::make_shared<File>(*file);
-        file = one;
+    FaultyFiles clone = *this;
+    std::map<const File*, std::shared_ptr<File>> copies;  // a file may have a name in both maps
+    for (auto* files : {&clone.files_, &clone.durable_files_}) {
+      for (auto& [name, file] : *files) {
+        auto& copy = copies[file.get()];
+        if (!copy) copy = std::make_shared<File>(*file);
+        file = copy;
       }
     }
-    return copy;
+    return clone;
   }
-  std::string& Data(const std::string& name) { return names_.at(name)->data; }
+
+  std::string& Data(const std::string& name) { return files_.at(name)->data; }
   std::vector<std::string> Names() const {
     std::vector<std::string> names;
-    for (const auto& [name, file] : names_) names.push_back(name);
+    for (const auto& [name, file] : files_) names.push_back(name);
     return names;
   }
 
-  bool List(std::vector<std::string>* names, std::string*) override {
-    *names = Names();
-    return true;
-  }
-  bool Read(const std::string& name, std::string* bytes, std::string* error) override {
-    if (names_.count(name) == 0) return Say(error, "no such file");
-    *bytes = names_[name]->data;
-    return true;
+  storage::StorageResult<std::vector<std::string>> List() override { return Names(); }
+  storage::StorageResult<std::string> Read(const std::string& name) override {
+    if (files_.count(name) == 0) return Error(std::errc::no_such_file_or_directory);
+    return files_[name]->data;
   }
-  bool Create(const std::string& name, std::string* error) override {
-    if (!Turn(error)) return false;
-    if (names_.count(name) > 0) return Say(error, "it is there");
-    names_[name] = std::make_shared<File>();
-    return true;
+  storage::StorageStatus Create(const std::string& name) override {
+    return CountCall().and_then([&]() -> storage::StorageStatus {
+      if (files_.count(name) > 0) return Error(std::errc::file_exists);
+      files_[name] = std::make_shared<File>();
+      return {};
+    });
   }
-  bool Append(const std::string& name, std::string_view bytes, std::string* error) override {
-    std::string& data = names_.at(name)->data;
-    const std::size_t before = data.size();
+  storage::StorageStatus Append(const std::string& name, std::string_view bytes) override {
+    std::string& data = files_.at(name)->data;
+    const std::size_t size_before = data.size();
     data += bytes.substr(0, bytes.size() / 2);  // a fault leaves a part
-    if (!Turn(error)) return false;
-    data.resize(before);
-    data += bytes;
-    return true;
+    return CountCall().map([&] {
+      data.resize(size_before);
+      data += bytes;
+    });
   }
-  bool Sync(const std::string& name, std::string* error) override {
-    if (!Turn(error)) return false;
-    names_.at(name)->synced = names_[name]->data.size();
-    return true;
+  storage::StorageStatus Sync(const std::string& name) override {
+    return CountCall().map([&] { files_.at(name)->synced_size = files_[name]->data.size(); });
   }
-  bool SyncFolder(std::string* error) override {
-    if (!Turn(error)) return false;
-    durable_ = names_;
-    return true;
+  storage::StorageStatus SyncDirectory() override {
+    return CountCall().map([&] { durable_files_ = files_; });
   }
-  bool Rename(const std::string& from, const std::string& to, std::string* error) override {
-    if (!Turn(error)) return false;
-    names_[to] = names_.at(from);
-    names_.erase(from);
-    return true;
+  storage::StorageStatus Rename(const std::string& from, const std::string& to) override {
+    return CountCall().map([&] {
+      files_[to] = files_.at(from);
+      files_.erase(from);
+    });
   }
-  bool Truncate(const std::string& name, std::size_t size, std::string* error) override {
-    if (!Turn(error)) return false;
-    File& file = *names_.at(name);
-    file.data.resize(size);
-    file.synced = std::min(file.synced, size);
-    return true;
+  storage::StorageStatus Truncate(const std::string& name, std::size_t size) override {
+    return CountCall().map([&] {
+      File& file = *files_.at(name);
+      file.data.resize(size);
+      file.synced_size = std::min(file.synced_size, size);
+    });
   }
-  bool Remove(const std::string& name, std::string* error) override {
-    if (!Turn(error)) return false;
-    return names_.erase(name) > 0 || Say(error, "no such file");
+  storage::StorageStatus Remove(const std::string& name) override {
+    return CountCall().and_then([&]() -> storage::StorageStatus {
+      if (files_.erase(name) == 0) return Error(std::errc::no_such_file_or_directory);
+      return {};
+    });
   }
 
  private:
   struct File {
     std::string data;
-    std::size_t synced = 0;
+    std::size_t synced_size = 0;
   };
-  static bool Say(std::string* error, const char* what) {
-    *error = what;
-    return false;
+
+  static std::size_t KeptBytes(std::size_t unsynced_bytes, Unsynced unsynced) {
+    if (unsynced == Unsynced::kKept) return unsynced_bytes;
+    return unsynced == Unsynced::kHalfKept ? unsynced_bytes / 2 : 0;
+  }
+  static tl::unexpected<storage::StorageError> Error(std::errc code) {
+    storage::StorageError error;
+    error.system = std::make_error_code(code);
+    return tl::unexpected(std::move(error));
   }
-  bool Turn(std::string* error) {
-    const bool here = ++calls == at_call || (lasting && at_call != 0 && calls > at_call);
-    if (!here || fault == Fault::kNone) return true;
+  storage::StorageStatus CountCall() {
+    ++calls;
+    const bool reached = calls == fault_at_call || (lasting && fault_at_call != 0 && calls > fault_at_call);
+    if (!reached || fault == Fault::kNone) return {};
     if (fault == Fault::kCrash) throw Crash();
-    return Say(error, "Input/output error");
+    return Error(std::errc::io_error);
   }
-  std::map<std::string, std::shared_ptr<File>> names_, durable_;
+
+  std::map<std::string, std::shared_ptr<File>> files_;
+  std::map<std::string, std::shared_ptr<File>> durable_files_;
 };
 
 }  // namespace mountflow::testing
--- a/tools/load_generator/ledger_bench.cpp
+++ b/tools/load_generator/ledger_bench.cpp
@@ -24,6 +24,11 @@
   return rules;
 }
 
+int Fail(const storage::StorageError& error) {
+  std::fprintf(stderr, "%s\n", Describe(error).c_str());
+  return 1;
+}
+
 ledger::Use UseOf(std::uint64_t i) {
   constexpr Micros kStart = 1'796'083'200'000'000;
   const Micros from = kStart + i * 1'000;
@@ -50,13 +55,11 @@
   CLI11_PARSE(app, argc, argv);
   std::string error;
   {
-    auto files = storage::PosixFiles::Open(folder, &error);
-    storage::Log log(files.get(), {});
-    std::vector<std::string> told;
-    if (!files || !log.Open({}, &told, &error)) {
-      std::fprintf(stderr, "%s\n", error.c_str());
-      return 1;
-    }
+    const auto files = storage::PosixFiles::Open(folder);
+    if (!files) return Fail(files.error());
+    storage::Log log(files->get(), {});
+    std::vector<storage::RecoveryNotice> notices;
+    if (const auto opened = log.Open({}, &notices); !opened) return Fail(opened.error());
     ledger::Book book(Rules());
     std::vector<std::string> records;
     const auto from = std::chrono::steady_clock::now();
@@ -67,18 +70,16 @@
         records.push_back(ledger::Write(r));
       }
       if (records.size() < batch && i + 1 < count) continue;
-      if (!log.Commit(records, &error)) {
-        std::fprintf(stderr, "%s\n", error.c_str());
-        return 1;
-      }
+      if (const auto committed = log.Commit(records); !committed) return Fail(committed.error());
       records.clear();
     }
     std::printf("%llu postings, %zu a commit: %.0f a second\n", static_cast<unsigned long long>(book.last()),
                 batch, static_cast<double>(book.last()) / Seconds(from));
   }
   const auto from = std::chrono::steady_clock::now();
-  auto files = storage::PosixFiles::Open(folder, &error);
-  storage::Log log(files.get(), {});
+  const auto files = storage::PosixFiles::Open(folder);
+  if (!files) return Fail(files.error());
+  storage::Log log(files->get(), {});
   ledger::Book book(Rules());
   storage::Replay replay;
   replay.record = [&](std::uint64_t, std::string_view bytes) {
@@ -86,8 +87,8 @@
     if (!ledger::Read(bytes, &record, &error) || !book.Apply(std::move(record), &error))
       std::fprintf(stderr, "%s\n", error.c_str());
   };
-  std::vector<std::string> told;
-  if (!log.Open(replay, &told, &error)) return 1;
+  std::vector<storage::RecoveryNotice> notices;
+  if (const auto opened = log.Open(replay, &notices); !opened) return Fail(opened.error());
   std::printf("read back %llu in %.2f s\n", static_cast<unsigned long long>(book.last()), Seconds(from));
   std::filesystem::remove_all(folder);
   return book.last() == count ? 0 : 1;
