--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -293,13 +293,16 @@
   if (root.contains("billing")) {
     const json& b = root["billing"];
     c.billing = true;
-    std::string expected;
-    if (!ledger::Zone::Parse(b.value("zone", "UTC0"), &c.billing_rules.zone, &expected))
-      bad("/billing/zone", expected);
+    const auto time_zone = ledger::TimeZone::Parse(b.value("zone", "UTC0"));
+    if (time_zone) {
+      c.billing_rules.time_zone = *time_zone;
+    } else {
+      bad("/billing/zone", time_zone.error().expected);
+    }
     const std::string period = b.value("period", "month");
-    c.billing_rules.period = period == "day"    ? ledger::PeriodKind::kDay
-                             : period == "year" ? ledger::PeriodKind::kYear
-                                                : ledger::PeriodKind::kMonth;
+    c.billing_rules.period_kind = period == "day"    ? ledger::PeriodKind::kDay
+                                  : period == "year" ? ledger::PeriodKind::kYear
+                                                     : ledger::PeriodKind::kMonth;
     c.billing_rules.grace = Time(b, "grace_s", c.billing_rules.grace);
     c.billing_rules.reopen = b.value("reopen", c.billing_rules.reopen);
     c.billing_rules.reopen_within = Time(b, "reopen_within_s", c.billing_rules.reopen_within);
@@ -317,7 +320,7 @@
       c.billing_rules.budgets[tenant] =
           static_cast<ledger::Amount>(hours.get<double>() * 3.6e12);  // core-hours
     }
-    c.billing_rules.refuse_beyond = b.value("refuse_beyond", false);
+    c.billing_rules.reject_over_budget = b.value("refuse_beyond", false);
     if (c.storage_folder.empty() || c.storage_folder == "none")
       bad("/billing", "a storage.folder, where its postings are kept");
   }
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -12,7 +12,7 @@
 
 #include "discovery/client.hpp"
 #include "job_manager/job_manager.hpp"
-#include "ledger/book.hpp"
+#include "ledger/billing_rules.hpp"
 #include "node_sessions/node_sessions.hpp"
 #include "pbs_server/pbs_server.hpp"
 #include "tls/context.hpp"
@@ -34,7 +34,7 @@
   Micros group_most_age = 5'000'000;
   std::string list_snapshot;  // file of the last view; empty: none is kept
   bool billing = false;
-  ledger::Rules billing_rules;
+  ledger::BillingRules billing_rules;
   std::string storage_folder;  // jobs are kept there over restarts; empty: not stated; "none": in memory only
   std::size_t storage_snapshot = 64u << 20;  // bytes of log after which a snapshot is written
   std::string log_file;                      // empty: standard error
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -302,8 +302,10 @@
 // ---- Durable state ----
 
 bool Daemon::TakeLedgerRecord(std::string_view bytes, std::string* expected) {
-  ledger::Record record;
-  return ledger::Read(bytes, &record, expected) && book_.Apply(std::move(record), expected);
+  const ledger::LedgerStatus applied = ledger::DecodeRecord(bytes).and_then(
+      [this](ledger::Record record) { return book_.Apply(std::move(record)); });
+  if (!applied) *expected = "a ledger record that follows (" + Describe(applied.error()) + ")";
+  return applied.has_value();
 }
 
 // Before the jobs' log is read: what that has more is put here.
@@ -334,14 +336,14 @@
   http_.SetBook(&book_);
   core_.SetDoor([this](const job_manager::JobSpec& spec) {
     const auto& tenants = core_.options().tenants;
-    return book_.Refusal(spec.tenant < tenants.size() ? tenants[spec.tenant] : "", loop_->Now());
+    return book_.RejectionReason(spec.tenant < tenants.size() ? tenants[spec.tenant] : "", loop_->Now());
   });
   return true;
 }
 
 void Daemon::PostUse(const job_manager::Used& used) {
   if (!ledger_committer_) return;
-  ledger::Use use;
+  ledger::AttemptUsage use;
   use.attempt = core_.NameOf(used.attempt);
   const job_manager::JobManagerOptions& o = core_.options();
   use.tenant = used.tenant < o.tenants.size() ? o.tenants[used.tenant] : "";
@@ -351,17 +353,19 @@
   use.start = used.started, use.end = used.ended;
   use.millicores = std::llround(used.cores * 1000.0);
   use.mebibytes = std::llround(used.memory * config_.front.words.memory_unit / 1048576.0);
-  const ledger::Decision decision = book_.Post(loop_->Now(), use);
-  if (decision.verdict != ledger::Verdict::kPosted) {
-    if (decision.verdict != ledger::Verdict::kTwice)
+  const auto records = book_.Post(loop_->Now(), use);
+  if (!records) {
+    if (records.error().code != ledger::LedgerErrorCode::kDuplicate)
       WriteLine(*log_, job_manager::Level::kWarn,
-                {{"event", "ledger"}, {"text", "not counted: " + decision.reason}});
+                {{"event", "ledger"}, {"text", "not counted: " + Describe(records.error())}});
     return;
   }
-  std::string expected;
-  for (const ledger::Record& record : decision.records) {
-    book_.Apply(record, &expected);
-    ledger_records_.push_back(ledger::Write(record));
+  for (const ledger::Record& record : *records) {
+    if (const auto applied = book_.Apply(record); !applied) {
+      WriteLine(*log_, job_manager::Level::kWarn,
+                {{"event", "ledger"}, {"text", "not applied: " + Describe(applied.error())}});
+    }
+    ledger_records_.push_back(ledger::EncodeRecord(record));
   }
 }
 
@@ -379,14 +383,16 @@
   auto log = std::make_unique<storage::Log>(files_.get(), options);
   std::string expected;
   const auto take = [&](std::string_view record) {
-    if (ledger::Outbox::Is(record)) {
+    if (ledger::Outbox::IsEntry(record)) {
       if (!ledger_committer_) return true;  // billing was switched off since
-      std::string of_ledger;
-      bool lacks = false;
-      if (!outbox_.Take(record, &of_ledger, &lacks, &expected)) return false;
-      if (!lacks) return true;
-      ledger_records_.push_back(of_ledger);
-      return TakeLedgerRecord(of_ledger, &expected);
+      const auto entry = outbox_.Decode(record);
+      if (!entry) {
+        expected = "an outbox entry that follows (" + Describe(entry.error()) + ")";
+        return false;
+      }
+      if (!entry->missing) return true;
+      ledger_records_.push_back(entry->record);
+      return TakeLedgerRecord(entry->record, &expected);
     }
     return core_.Restore(record, &expected);
   };
@@ -447,7 +453,7 @@
 bool Daemon::Hold() {
   now_held_.actions = std::exchange(links_.actions(), {});
   std::vector<std::string> records = core_.TakeJournal();
-  for (const std::string& record : ledger_records_) records.push_back(outbox_.Put(record));
+  for (const std::string& record : ledger_records_) records.push_back(outbox_.Encode(record));
   const bool something = !now_held_.actions.empty() || !now_held_.touched.empty() || !now_held_.http.empty();
   if (!records.empty() || something) {
     const std::uint64_t turn = committer_->Add(std::move(records));
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -15,6 +15,8 @@
 #include "event_loop/event_loop.hpp"
 #include "http/message.hpp"
 #include "job_manager/job_manager.hpp"
+#include "ledger/book.hpp"
+#include "ledger/outbox.hpp"
 #include "membership/membership.hpp"
 #include "node_sessions/node_sessions.hpp"
 #include "pbs_server/pbs_server.hpp"
--- a/src/daemon/http_front.cpp
+++ b/src/daemon/http_front.cpp
@@ -99,20 +99,23 @@
       json periods = json::array();
       for (const std::string& name : book_->Periods())
         periods.push_back({{"period", name}, {"closed", book_->IsClosed(name)}});
-      return Reply(r, 200, {{"postings", book_->last()}, {"periods", std::move(periods)}});
+      return Reply(r, 200, {{"postings", book_->last_sequence()}, {"periods", std::move(periods)}});
     }
     json lines = json::array();
-    for (const ledger::Line& line :
-         book_->Statement(r.path.substr(use.size() + 1), r.Query("restated") == "true")) {
-      lines.push_back({{"tenant", line.tenant},
-                       {"class", line.task_class},
-                       {"kind", line.kind},
-                       {"core_hour", line.core_hour},
-                       {"gib_hour", line.gib_hour},
-                       {"postings", line.sums.postings},
-                       {"millicore_us", ledger::ToText(line.sums.core)},  // beyond what JSON's numbers hold
-                       {"mebibyte_us", ledger::ToText(line.sums.memory)},
-                       {"money", ledger::ToText(line.money)}});
+    const auto statement_kind =
+        r.Query("restated") == "true" ? ledger::StatementKind::kRestated : ledger::StatementKind::kAsPosted;
+    for (const ledger::StatementLine& line :
+         book_->Statement(r.path.substr(use.size() + 1), statement_kind)) {
+      lines.push_back(
+          {{"tenant", line.tenant},
+           {"class", line.task_class},
+           {"kind", line.kind},
+           {"core_hour", line.core_hour_price},
+           {"gib_hour", line.gib_hour_price},
+           {"postings", line.totals.postings},
+           {"millicore_us", ledger::ToText(line.totals.millicore_us)},  // beyond what JSON's numbers hold
+           {"mebibyte_us", ledger::ToText(line.totals.mebibyte_us)},
+           {"money", ledger::ToText(line.money)}});
     }
     return Reply(r, 200, lines);
   }
--- a/src/ledger/book.cpp
+++ b/src/ledger/book.cpp
@@ -1,391 +1,231 @@
 #include "ledger/book.hpp"
 
-#include <xxhash.h>
-
 #include <algorithm>
-#include <tuple>
-
-#include "storage/fields.hpp"
 
 namespace mountflow::ledger {
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
-constexpr std::uint8_t kVersion = 1;
-constexpr std::size_t kMostText = 1024;
-// A use of this size and length keeps all sums far within 128 bits.
-constexpr std::int64_t kMostCores = 1'000'000'000, kMostMemory = 1'000'000'000'000;
-constexpr Micros kLongest = 100ull * 366 * 86'400 * kSecond;
 
-template <typename A, typename P>
-void Fields(A& a, P& p) {
-  a("sequence", p.sequence);
-  a("attempt", p.attempt);
-  a("tenant", p.tenant);
-  a("task_class", p.task_class);
-  a("kind", p.kind);
-  a("from", p.from);
-  a("to", p.to);
-  a("core", p.core);
-  a("memory", p.memory);
-  a("core_hour", p.core_hour);
-  a("gib_hour", p.gib_hour);
-  a("period", p.period);
-  a("refers", p.refers);
-  a("corrects", p.corrects);
-  a("who", p.who);
-  a("why", p.why);
-  a("posted", p.posted);
-}
+Micros EndOf(const Period& period) { return static_cast<Micros>(period.to) * kSecond; }
 
-std::uint64_t DigestOf(const Use& u) {
-  std::string text;
-  storage::FieldWriter write{&text};
-  write("tenant", u.tenant);
-  write("task_class", u.task_class);
-  write("kind", u.kind);
-  write("start", u.start);
-  write("end", u.end);
-  write("millicores", u.millicores);
-  write("mebibytes", u.mebibytes);
-  return XXH3_64bits(text.data(), text.size());
+tl::unexpected<LedgerError> Invalid(std::string subject, std::string expected) {
+  return MakeError(LedgerErrorCode::kInvalidArgument, std::move(subject), std::move(expected));
 }
 
-// Rounds half up; the divisor is positive.
-Amount Divide(Amount a, Amount by) {
-  const Amount doubled = 2 * a + by;
-  Amount q = doubled / (2 * by);
-  if (doubled % (2 * by) < 0) --q;
-  return q;
+Record PeriodRecord(RecordKind kind, const std::string& period, Micros at) {
+  Record record;
+  record.kind = kind;
+  record.period = period;
+  record.at = at;
+  return record;
 }
 
-Decision Bad(std::string reason) { return {Verdict::kBad, std::move(reason), {}}; }
+bool IsText(const std::string& text) { return !text.empty() && text.size() <= kMaxTextBytes; }
 
 }  // namespace
 
-std::string ToText(Amount amount) {
-  if (amount == 0) return "0";
-  std::string text;
-  const bool minus = amount < 0;
-  __extension__ unsigned __int128 left =
-      minus ? ~static_cast<unsigned __int128>(amount) + 1 : static_cast<unsigned __int128>(amount);
-  for (; left != 0; left /= 10) text.push_back(static_cast<char>('0' + static_cast<int>(left % 10)));
-  if (minus) text.push_back('-');
-  std::reverse(text.begin(), text.end());
-  return text;
-}
-
-std::string Write(const Record& record) {
-  std::string bytes = {static_cast<char>(record.kind), static_cast<char>(kVersion)};
-  storage::FieldWriter write{&bytes};
-  if (record.kind == RecordKind::kPosting) {
-    Fields(write, record.posting);
-    write("last", record.last);
-    write("digest", record.digest);
-  } else {
-    write("period", record.period);
-    write("at", record.at);
-  }
-  return bytes;
-}
+// ---- Periods ----
 
-bool Read(std::string_view bytes, Record* record, std::string* expected) {
-  if (bytes.size() < 2 || bytes[0] < 1 || bytes[0] > 3 || static_cast<std::uint8_t>(bytes[1]) != kVersion) {
-    *expected = "a record of the ledger, version 1";
-    return false;
-  }
-  record->kind = static_cast<RecordKind>(bytes[0]);
-  storage::FieldReader read(bytes.substr(2));
-  if (record->kind == RecordKind::kPosting) {
-    Fields(read, record->posting);
-    read("last", record->last);
-    read("digest", record->digest);
-  } else {
-    read("period", record->period);
-    read("at", record->at);
-  }
-  const auto whole = read.Finish();
-  if (!whole) *expected = Describe(whole.error());
-  return whole.has_value();
+Period Book::PeriodAt(Micros at) const {
+  return PeriodOf(rules_.time_zone, rules_.period_kind, static_cast<std::int64_t>(at / kSecond));
 }
 
-std::string Outbox::Put(std::string_view record) {
-  std::string bytes(1, kMark);
-  storage::FieldWriter write{&bytes};
-  write("number", ++last_);
-  bytes += record;
-  return bytes;
-}
+Period Book::NextPeriod(const Period& period) const { return PeriodAt(EndOf(period)); }
 
-bool Outbox::Take(std::string_view bytes, std::string* record, bool* lacks, std::string* expected) {
-  std::size_t end = 1;
-  while (end < bytes.size() && (bytes[end] & 0x80) != 0) ++end;
-  storage::FieldReader read(bytes.substr(1, end));
-  std::uint64_t number = 0;
-  read("number", number);
-  if (!read.ok()) {
-    *expected = Describe(*read.error());
-    return false;
-  }
-  *lacks = number > last_;
-  if (number > last_ + 1) {
-    *expected = "ledger record " + std::to_string(last_ + 1) + ", found " + std::to_string(number);
-    return false;
-  }
-  if (*lacks) last_ = number;
-  *record = bytes.substr(end + 1);
-  return true;
+Period Book::FirstOpenPeriod(Micros from) const {
+  Period period = PeriodAt(from);
+  while (IsClosed(period.name)) period = NextPeriod(period);
+  return period;
 }
 
-// ---- Small parts ----
-
-Book::Name Book::NameOf(std::string_view attempt) {
-  const XXH128_hash_t hash = XXH3_128bits(attempt.data(), attempt.size());
-  return {hash.low64, hash.high64};
+bool Book::MayReopen(const std::string& period, Micros now) const {
+  const Micros closed_at = closed_at_.at(period);
+  return rules_.reopen && now >= closed_at && now - closed_at <= rules_.reopen_within;
 }
 
-Period Book::PeriodAt(Micros at) const {
-  return PeriodOf(rules_.zone, rules_.period, static_cast<std::int64_t>(at / kSecond));
+std::string Book::CountingPeriod(Micros now, const Period& own, Records* records) const {
+  if (!IsClosed(own.name)) return own.name;
+  if (!MayReopen(own.name, now)) return FirstOpenPeriod(std::max(now, EndOf(own))).name;
+  const bool reopened = std::any_of(records->begin(), records->end(), [&own](const Record& record) {
+    return record.kind == RecordKind::kReopen && record.period == own.name;
+  });
+  if (!reopened) records->push_back(PeriodRecord(RecordKind::kReopen, own.name, now));
+  return own.name;
 }
 
-const Price* Book::PriceAt(const std::string& task_class, const std::string& kind, Micros at) const {
-  const Price* best = nullptr;
-  for (const Price& p : rules_.prices) {
-    if (p.from > at || (!p.task_class.empty() && p.task_class != task_class) ||
-        (!p.kind.empty() && p.kind != kind))
-      continue;
-    // The more closely named first, then the newer.
-    const auto rank = [](const Price& one) {
-      return std::make_tuple(!one.task_class.empty(), !one.kind.empty(), one.from);
-    };
-    if (best == nullptr || rank(p) > rank(*best)) best = &p;
+std::string Book::FindOpenPeriod(const std::string& period) const {
+  for (const auto& [name, by_tenant] : millicore_us_) {  // names sort by time
+    if (!IsClosed(name) && (period.empty() || name == period)) return name;
   }
-  return best;
+  return "";
 }
 
-std::string Book::OpenFor(Micros now, const Period& own, std::vector<Record>* records) const {
-  const auto closed = closed_.find(own.name);
-  if (closed == closed_.end()) return own.name;
-  if (rules_.reopen && now >= closed->second && now - closed->second <= rules_.reopen_within) {
-    Record reopen;
-    reopen.kind = RecordKind::kReopen;
-    reopen.period = own.name;
-    reopen.at = now;
-    const bool done = std::any_of(records->begin(), records->end(), [&own](const Record& r) {
-      return r.kind == RecordKind::kReopen && r.period == own.name;
-    });
-    if (!done) records->push_back(reopen);
-    return own.name;
+Micros Book::EndOfPeriod(const std::string& name) const {
+  Micros last_posted_at = 0;
+  for (const Posting& posting : postings_) {
+    if (posting.period != name) continue;
+    if (posting.refers_to_period.empty()) return EndOf(PeriodAt(posting.from));
+    last_posted_at = std::max(last_posted_at, posting.posted_at);
   }
-  // The first period after it that is open: with the clock set back, "now" may lie in a closed one.
-  Period open = PeriodAt(std::max<Micros>(now, static_cast<Micros>(own.to) * kSecond));
-  while (closed_.count(open.name) > 0) open = PeriodAt(static_cast<Micros>(open.to) * kSecond);
-  return open.name;
+  return last_posted_at;
 }
 
 // ---- Decisions ----
 
-Decision Book::Post(Micros now, const Use& use) const {
-  if (use.attempt.empty() || use.attempt.size() > kMostText) return Bad("attempt: expected a name");
-  if (use.tenant.size() > kMostText || use.task_class.size() > kMostText || use.kind.size() > kMostText)
-    return Bad("tenant, class and kind: expected at most 1024 bytes each");
-  if (use.end < use.start || use.end - use.start > kLongest)
-    return Bad("end: expected at or after the start, and within a hundred years");
-  if (use.millicores < 0 || use.millicores > kMostCores || use.mebibytes < 0 || use.mebibytes > kMostMemory)
-    return Bad("cores and memory: expected 0 to a million cores and an exbibyte");
-  if (const auto had = digests_.find(NameOf(use.attempt)); had != digests_.end()) {
-    if (had->second == DigestOf(use)) return {Verdict::kTwice, "", {}};
-    return {Verdict::kConflict, "attempt " + use.attempt + ": posted before with other figures", {}};
-  }
-  // Danger: names that were let go cannot be told from new ones; to count such a one might count it twice.
-  if (use.end <= too_old_)
-    return {Verdict::kTooOld, "attempt " + use.attempt + ": ended before what is remembered", {}};
-  Decision out;
-  std::uint64_t sequence = last_;
-  Micros from = use.start;
-  do {
-    const Period own = PeriodAt(from);
-    Micros to = std::min(use.end, static_cast<Micros>(own.to) * kSecond);
-    for (const Price& p : rules_.prices) {
-      if (p.from > from && p.from < to) to = p.from;
-    }
-    Record r;
-    Posting& p = r.posting;
-    p.attempt = use.attempt;
-    p.tenant = use.tenant, p.task_class = use.task_class, p.kind = use.kind;
-    p.from = from, p.to = to;
-    p.core = Amount{use.millicores} * static_cast<Amount>(to - from);
-    p.memory = Amount{use.mebibytes} * static_cast<Amount>(to - from);
-    if (const Price* price = PriceAt(use.task_class, use.kind, from)) {
-      p.core_hour = price->core_hour, p.gib_hour = price->gib_hour;
-    }
-    p.period = OpenFor(now, own, &out.records);
-    if (p.period != own.name) p.refers = own.name;
-    p.posted = now;
-    p.sequence = ++sequence;
-    r.last = to >= use.end;
-    if (r.last) r.digest = DigestOf(use);
-    out.records.push_back(std::move(r));
-    from = to;
-  } while (from < use.end);
-  return out;
+LedgerResult<Book::Records> Book::Post(Micros now, const AttemptUsage& usage) const {
+  if (LedgerStatus status = Validate(usage); !status) return tl::unexpected(status.error());
+  if (LedgerStatus status = CheckNotPosted(usage); !status) return tl::unexpected(status.error());
+  Records records;
+  std::uint64_t sequence = last_sequence_;
+  Micros from = usage.start;
+  do {  // an attempt without duration has one posting
+    Record record;
+    record.posting = PostingFrom(now, usage, from, &records);
+    record.posting.sequence = ++sequence;
+    from = record.posting.to;
+    record.ends_event = from >= usage.end;
+    if (record.ends_event) record.event_digest = DigestOf(usage);
+    records.push_back(std::move(record));
+  } while (from < usage.end);
+  return records;
+}
+
+LedgerStatus Book::CheckNotPosted(const AttemptUsage& usage) const {
+  const std::string subject = "attempt " + usage.attempt;
+  if (const auto digest = posted_attempts_.FindDigest(usage.attempt)) {
+    if (*digest == DigestOf(usage)) return MakeError(LedgerErrorCode::kDuplicate, subject, "one report");
+    return MakeError(LedgerErrorCode::kConflict, subject, "the figures that were posted before");
+  }
+  // Danger: a forgotten name cannot be told from a new one. To count such an attempt might count it twice.
+  if (usage.end <= posted_attempts_.forgotten_until()) {
+    return MakeError(LedgerErrorCode::kTooOld, subject,
+                     "an end after " + std::to_string(posted_attempts_.forgotten_until()) +
+                         " us, up to which attempts are forgotten",
+                     std::to_string(usage.end));
+  }
+  return {};
+}
+
+Posting Book::PostingFrom(Micros now, const AttemptUsage& usage, Micros from, Records* records) const {
+  const Period own = PeriodAt(from);
+  const Micros to = NextPriceChange(rules_.prices, from, std::min(usage.end, EndOf(own)));
+  Posting posting;
+  posting.attempt = usage.attempt;
+  posting.tenant = usage.tenant;
+  posting.task_class = usage.task_class;
+  posting.kind = usage.kind;
+  posting.from = from;
+  posting.to = to;
+  posting.millicore_us = Amount{usage.millicores} * static_cast<Amount>(to - from);
+  posting.mebibyte_us = Amount{usage.mebibytes} * static_cast<Amount>(to - from);
+  if (const Price* price = FindPrice(rules_.prices, usage.task_class, usage.kind, from)) {
+    posting.core_hour_price = price->core_hour;
+    posting.gib_hour_price = price->gib_hour;
+  }
+  posting.period = CountingPeriod(now, own, records);
+  if (posting.period != own.name) posting.refers_to_period = own.name;
+  posting.posted_at = now;
+  return posting;
+}
+
+LedgerResult<Book::Records> Book::Correct(Micros now, const Correction& correction) const {
+  const Posting* corrected = Find(correction.sequence);
+  if (corrected == nullptr) return Invalid("sequence " + std::to_string(correction.sequence), "a posting");
+  if (!IsText(correction.author) || !IsText(correction.reason))
+    return Invalid("author and reason", "1 to 1024 bytes each");
+  if (correction.millicore_us == 0 && correction.mebibyte_us == 0) return Invalid("correction", "an amount");
+  Record record;
+  Posting& posting = record.posting;
+  posting = *corrected;
+  posting.sequence = last_sequence_ + 1;
+  posting.millicore_us = correction.millicore_us;
+  posting.mebibyte_us = correction.mebibyte_us;
+  posting.corrects_sequence = correction.sequence;
+  posting.author = correction.author;
+  posting.reason = correction.reason;
+  posting.posted_at = now;
+  // Never into a closed period, and without reopening it: the correction shows where it is made.
+  posting.period = FirstOpenPeriod(std::max(now, corrected->from)).name;
+  const std::string& work_period = corrected->work_period();
+  posting.refers_to_period = posting.period == work_period ? "" : work_period;
+  return Records{std::move(record)};
+}
+
+LedgerResult<Book::Records> Book::Close(Micros now, const std::string& period) const {
+  const std::string name = FindOpenPeriod(period);
+  if (name.empty()) return Invalid(period.empty() ? "period" : period, "an open period with postings");
+  if (now < EndOfPeriod(name) + rules_.grace)
+    return Invalid(name, "a period whose end and grace have passed");
+  return Records{PeriodRecord(RecordKind::kClose, name, now)};
 }
 
-Decision Book::Correct(Micros now, std::uint64_t sequence, Amount core, Amount memory, const std::string& who,
-                       const std::string& why) const {
-  const Posting* was = Find(sequence);
-  if (was == nullptr)
-    return Bad("sequence " + std::to_string(sequence) + ": expected a posting that is here");
-  if (who.empty() || why.empty() || who.size() > kMostText || why.size() > kMostText)
-    return Bad("who and why: expected a text each");
-  if (core == 0 && memory == 0) return Bad("a correction by nothing");
-  Decision out;
-  Record r;
-  Posting& p = r.posting;
-  p = *was;
-  p.sequence = last_ + 1;
-  p.core = core, p.memory = memory;
-  p.corrects = sequence;
-  p.who = who, p.why = why;
-  p.posted = now;
-  const std::string about = was->refers.empty() ? was->period : was->refers;
-  // Never into a closed period, and no reopening: the correction shows where it is made.
-  Period open = PeriodAt(std::max(now, was->from));
-  while (closed_.count(open.name) > 0) open = PeriodAt(static_cast<Micros>(open.to) * kSecond);
-  p.period = open.name;
-  p.refers = p.period == about ? "" : about;
-  out.records.push_back(std::move(r));
-  return out;
-}
+// ---- State ----
 
-Decision Book::Close(Micros now, const std::string& period) const {
-  Micros end = 0;
-  std::string name;
-  for (const auto& [open, used] : used_) {
-    if (closed_.count(open) > 0 || (!period.empty() && open != period)) continue;
-    name = open;  // names sort by time
-    break;
-  }
-  if (name.empty())
-    return Bad(period.empty() ? "no open period has postings"
-                              : period + ": expected an open period with postings");
-  for (const Posting& p : postings_) {
-    if (p.period == name && p.refers.empty()) {
-      end = static_cast<Micros>(PeriodAt(p.from).to) * kSecond;
+LedgerStatus Book::Apply(Record record) {
+  switch (record.kind) {
+    case RecordKind::kClose:
+      closed_at_[record.period] = record.at;
+      return {};
+    case RecordKind::kReopen:
+      closed_at_.erase(record.period);
+      return {};
+    case RecordKind::kPosting:
       break;
-    }
-    if (p.period == name) end = std::max(end, p.posted);
   }
-  if (now < end + rules_.grace) return Bad(name + ": expected to be over, and its grace with it");
-  Decision out;
-  Record r;
-  r.kind = RecordKind::kClose;
-  r.period = name;
-  r.at = now;
-  out.records.push_back(std::move(r));
-  return out;
+  return ApplyPosting(std::move(record));
 }
 
-// ---- State ----
-
-bool Book::Apply(Record record, std::string* expected) {
-  if (record.kind == RecordKind::kClose) {
-    closed_[record.period] = record.at;
-    return true;
-  }
-  if (record.kind == RecordKind::kReopen) {
-    closed_.erase(record.period);
-    return true;
-  }
-  Posting& p = record.posting;
-  if (p.sequence == last_ + 1) pending_.clear();  // of an event whose rest never came
-  const std::uint64_t next = last_ + pending_.size() + 1;
-  if (p.sequence != next) {
-    *expected = "sequence " + std::to_string(next) + ", found " + std::to_string(p.sequence);
-    return false;
-  }
-  if (closed_.count(p.period) > 0) {
-    *expected = "an open period, found " + p.period;
-    return false;
+LedgerStatus Book::ApplyPosting(Record record) {
+  const std::uint64_t sequence = record.posting.sequence;
+  if (sequence == last_sequence_ + 1) pending_.clear();  // of an event whose rest never came
+  const std::uint64_t next = last_sequence_ + pending_.size() + 1;
+  if (sequence != next) {
+    return MakeError(LedgerErrorCode::kOutOfSequence, "", "sequence " + std::to_string(next),
+                     std::to_string(sequence));
   }
+  if (IsClosed(record.posting.period))
+    return MakeError(LedgerErrorCode::kPeriodClosed, "", "an open period", record.posting.period);
   pending_.push_back(std::move(record.posting));
-  if (!record.last) return true;
-  for (Posting& one : pending_) {
-    used_[one.period][one.tenant] += one.core;
-    last_ = one.sequence;
-    postings_.push_back(std::move(one));
+  if (!record.ends_event) return {};
+  for (Posting& posting : pending_) {
+    millicore_us_[posting.period][posting.tenant] += posting.millicore_us;
+    last_sequence_ = posting.sequence;
+    postings_.push_back(std::move(posting));
   }
   pending_.clear();
-  const Posting& whole = postings_.back();
-  if (whole.corrects != 0) return true;
-  const Name name = NameOf(whole.attempt);
-  digests_[name] = record.digest;
-  by_end_.push({whole.to, name});
-  while (by_end_.size() > rules_.most_names) {
-    too_old_ = by_end_.top().first;
-    digests_.erase(by_end_.top().second);
-    by_end_.pop();
-  }
-  return true;
+  const Posting& last = postings_.back();
+  if (last.corrects_sequence == 0) posted_attempts_.Add(last.attempt, record.event_digest, last.to);
+  return {};
 }
 
 // ---- Reading ----
 
 const Posting* Book::Find(std::uint64_t sequence) const {
-  return sequence == 0 || sequence > postings_.size() ? nullptr : &postings_[sequence - 1];
+  if (sequence == 0 || sequence > postings_.size()) return nullptr;
+  return &postings_[sequence - 1];
 }
 
 std::vector<std::string> Book::Periods() const {
   std::vector<std::string> names;
-  for (const auto& [name, used] : used_) names.push_back(name);
+  names.reserve(millicore_us_.size());
+  for (const auto& [name, by_tenant] : millicore_us_) names.push_back(name);
   return names;
 }
 
-std::vector<Line> Book::Statement(const std::string& period, bool restated) const {
-  std::map<std::tuple<std::string, std::string, std::string, std::int64_t, std::int64_t>, Sums> lines;
-  for (const Posting& p : postings_) {
-    const std::string& in = restated && !p.refers.empty() ? p.refers : p.period;
-    if (in != period) continue;
-    Sums& s = lines[{p.tenant, p.task_class, p.kind, p.core_hour, p.gib_hour}];
-    s.core += p.core, s.memory += p.memory;
-    ++s.postings;
-  }
-  std::vector<Line> all;
-  for (const auto& [key, sums] : lines) {
-    Line line;
-    std::tie(line.tenant, line.task_class, line.kind, line.core_hour, line.gib_hour) = key;
-    line.sums = sums;
-    constexpr Amount kHour = Amount{3'600} * kSecond;
-    // Over the least common divisor, rounded once: millicore-microseconds and MiB-microseconds.
-    line.money =
-        Divide(sums.core * line.core_hour * 1024 + sums.memory * line.gib_hour * 1000, kHour * 1000 * 1024);
-    all.push_back(std::move(line));
-  }
-  return all;
-}
-
-std::map<std::string, Sums> Book::TrialBalance() const {
-  std::map<std::string, Sums> accounts;
-  for (const Posting& p : postings_) {
-    Sums& debit = accounts["tenant/" + p.tenant];
-    Sums& credit = accounts["fleet/" + p.task_class + "/" + p.kind];
-    debit.core += p.core, debit.memory += p.memory, ++debit.postings;
-    credit.core -= p.core, credit.memory -= p.memory, ++credit.postings;
-  }
-  return accounts;
-}
-
-std::string Book::Refusal(const std::string& tenant, Micros now) const {
-  if (postings_.size() >= rules_.most_postings) return "the ledger holds as many postings as it may";
-  const auto left = rules_.refuse_beyond ? Left(tenant, now) : std::nullopt;
-  return left && *left <= 0 ? "the budget of tenant '" + tenant + "' for this period is spent" : "";
+std::string Book::RejectionReason(const std::string& tenant, Micros now) const {
+  if (postings_.size() >= rules_.max_postings) return "the ledger holds as many postings as it may";
+  if (!rules_.reject_over_budget) return "";
+  const std::optional<Amount> remaining = RemainingBudget(tenant, now);
+  if (!remaining || *remaining > 0) return "";
+  return "the budget of tenant '" + tenant + "' for this period is spent";
 }
 
-std::optional<Amount> Book::Left(const std::string& tenant, Micros now) const {
+std::optional<Amount> Book::RemainingBudget(const std::string& tenant, Micros now) const {
   const auto budget = rules_.budgets.find(tenant);
   if (budget == rules_.budgets.end()) return std::nullopt;
-  const auto period = used_.find(PeriodAt(now).name);
-  if (period == used_.end()) return budget->second;
+  const auto period = millicore_us_.find(PeriodAt(now).name);
+  if (period == millicore_us_.end()) return budget->second;
   const auto used = period->second.find(tenant);
   return used == period->second.end() ? budget->second : budget->second - used->second;
 }
--- a/tests/storage/stored_state_test.cpp
+++ b/tests/storage/stored_state_test.cpp
@@ -63,11 +63,12 @@
   return o;
 }
 
-ledger::Rules BillingRules() {
-  ledger::Rules rules;
-  std::string expected;
-  EXPECT_TRUE(ledger::Zone::Parse("SAST-2", &rules.zone, &expected)) << expected;
-  rules.period = ledger::PeriodKind::kDay;
+ledger::BillingRules BillingRules() {
+  ledger::BillingRules rules;
+  const auto time_zone = ledger::TimeZone::Parse("SAST-2");
+  EXPECT_TRUE(time_zone) << Describe(time_zone.error());
+  if (time_zone) rules.time_zone = *time_zone;
+  rules.period_kind = ledger::PeriodKind::kDay;
   rules.grace = kHour;
   rules.prices = {{"", "", 0, 3'600'000, 1'024'000}};
   return rules;
@@ -115,17 +116,18 @@
 }
 
 void WriteLedger(storage::Files* files) {
-  std::string expected;
   std::vector<storage::RecoveryNotice> notices;
   storage::Log log(files, LogNamed("ledger"));
   ASSERT_TRUE(Succeeded(log.Open({}, &notices)));
   ledger::Book book(BillingRules());
   const Micros start = 1'796'083'200 * kSecond;
-  const auto apply = [&](const ledger::Decision& decision) {
+  const auto apply = [&](const ledger::LedgerResult<ledger::Book::Records>& decided) {
+    ASSERT_TRUE(decided) << Describe(decided.error());
     std::vector<std::string> records;
-    for (const ledger::Record& record : decision.records) {
-      records.push_back(ledger::Write(record));
-      ASSERT_TRUE(book.Apply(record, &expected)) << expected;
+    for (const ledger::Record& record : *decided) {
+      records.push_back(ledger::EncodeRecord(record));
+      const ledger::LedgerStatus applied = book.Apply(record);
+      ASSERT_TRUE(applied) << Describe(applied.error());
     }
     ASSERT_TRUE(Succeeded(log.Commit(records)));
   };
@@ -133,7 +135,7 @@
                   {"1.d0/1", "t", "service", "small", start + kHour, start + 19 * kHour, 1500, 2048}));
   apply(book.Post(start + 27 * kHour,
                   {"2.d0/1", "u", "batch", "small", start + 20 * kHour, start + 26 * kHour, 500, 64}));
-  apply(book.Correct(start + 30 * kHour, 1, -1000, 0, "thandi", "wrong meter"));
+  apply(book.Correct(start + 30 * kHour, {1, -1000, 0, "thandi", "wrong meter"}));
   apply(book.Close(start + 60 * kHour));
 }
 
@@ -213,16 +215,17 @@
   ledger::Book book(BillingRules());
   storage::Replay posted;
   posted.record = [&](std::uint64_t, std::string_view bytes) {
-    ledger::Record record;
-    ASSERT_TRUE(ledger::Read(bytes, &record, &expected)) << expected;
-    ASSERT_TRUE(book.Apply(record, &expected)) << expected;
+    const ledger::LedgerResult<ledger::Record> record = ledger::DecodeRecord(bytes);
+    ASSERT_TRUE(record) << Describe(record.error());
+    const ledger::LedgerStatus applied = book.Apply(*record);
+    ASSERT_TRUE(applied) << Describe(applied.error());
   };
   storage::Log ledger_log(files->get(), LogNamed("ledger"));
   ASSERT_TRUE(Succeeded(ledger_log.Open(posted, &notices)));
   EXPECT_TRUE(notices.empty()) << Describe(notices[0]);
   EXPECT_TRUE(book.IsClosed("2026-12-01"));
   EXPECT_EQ(book.Find(1)->tenant, "t");
-  EXPECT_GE(book.last(), 4u);
+  EXPECT_GE(book.last_sequence(), 4u);
 
   discovery::Snapshot view;
   ASSERT_TRUE(discovery::LoadSnapshot((folder.path / "view").string(), &view, &error)) << error;
--- a/tools/load_generator/ledger_bench.cpp
+++ b/tools/load_generator/ledger_bench.cpp
@@ -6,6 +6,7 @@
 #include <filesystem>
 
 #include "ledger/book.hpp"
+#include "storage/files.hpp"
 #include "storage/log.hpp"
 
 namespace {
@@ -16,20 +17,19 @@
   return std::chrono::duration<double>(std::chrono::steady_clock::now() - since).count();
 }
 
-ledger::Rules Rules() {
-  ledger::Rules rules;
-  std::string expected;
-  ledger::Zone::Parse("UTC0", &rules.zone, &expected);
+ledger::BillingRules Rules() {
+  ledger::BillingRules rules;
   rules.prices = {{"", "", 0, 3'600'000, 1'000}};
   return rules;
 }
 
-int Fail(const storage::StorageError& error) {
+template <typename Error>
+int Fail(const Error& error) {
   std::fprintf(stderr, "%s\n", Describe(error).c_str());
   return 1;
 }
 
-ledger::Use UseOf(std::uint64_t i) {
+ledger::AttemptUsage UseOf(std::uint64_t i) {
   constexpr Micros kStart = 1'796'083'200'000'000;
   const Micros from = kStart + i * 1'000;
   return {std::to_string(1'796'083'200'000'00ull + i) + ".d0/1",
@@ -53,7 +53,6 @@
   app.add_option("--count", count, "postings");
   app.add_option("--batch", batch, "postings a commit")->check(CLI::Range(1, 1'000'000));
   CLI11_PARSE(app, argc, argv);
-  std::string error;
   {
     const auto files = storage::PosixFiles::Open(folder);
     if (!files) return Fail(files.error());
@@ -64,17 +63,19 @@
     std::vector<std::string> records;
     const auto from = std::chrono::steady_clock::now();
     for (std::uint64_t i = 0; i < count; ++i) {
-      const ledger::Decision decision = book.Post(0, UseOf(i));
-      for (const ledger::Record& r : decision.records) {
-        if (!book.Apply(r, &error)) return 1;
-        records.push_back(ledger::Write(r));
+      const auto posted = book.Post(0, UseOf(i));
+      if (!posted) return Fail(posted.error());
+      for (const ledger::Record& record : *posted) {
+        if (const auto applied = book.Apply(record); !applied) return Fail(applied.error());
+        records.push_back(ledger::EncodeRecord(record));
       }
       if (records.size() < batch && i + 1 < count) continue;
       if (const auto committed = log.Commit(records); !committed) return Fail(committed.error());
       records.clear();
     }
-    std::printf("%llu postings, %zu a commit: %.0f a second\n", static_cast<unsigned long long>(book.last()),
-                batch, static_cast<double>(book.last()) / Seconds(from));
+    std::printf("%llu postings, %zu a commit: %.0f a second\n",
+                static_cast<unsigned long long>(book.last_sequence()), batch,
+                static_cast<double>(book.last_sequence()) / Seconds(from));
   }
   const auto from = std::chrono::steady_clock::now();
   const auto files = storage::PosixFiles::Open(folder);
@@ -83,13 +84,14 @@
   ledger::Book book(Rules());
   storage::Replay replay;
   replay.record = [&](std::uint64_t, std::string_view bytes) {
-    ledger::Record record;
-    if (!ledger::Read(bytes, &record, &error) || !book.Apply(std::move(record), &error))
-      std::fprintf(stderr, "%s\n", error.c_str());
+    const ledger::LedgerStatus applied = ledger::DecodeRecord(bytes).and_then(
+        [&](ledger::Record record) { return book.Apply(std::move(record)); });
+    if (!applied) Fail(applied.error());
   };
   std::vector<storage::RecoveryNotice> notices;
   if (const auto opened = log.Open(replay, &notices); !opened) return Fail(opened.error());
-  std::printf("read back %llu in %.2f s\n", static_cast<unsigned long long>(book.last()), Seconds(from));
+  std::printf("read back %llu in %.2f s\n", static_cast<unsigned long long>(book.last_sequence()),
+              Seconds(from));
   std::filesystem::remove_all(folder);
-  return book.last() == count ? 0 : 1;
+  return book.last_sequence() == count ? 0 : 1;
 }
