--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -64,9 +64,9 @@
   return o;
 }
 
-storage::GateOptions GateOf(const config::DaemonConfig& config) {
-  storage::GateOptions o;
-  o.snapshot_after = config.storage_snapshot;
+storage::CommitGateOptions GateOf(const config::DaemonConfig& config) {
+  storage::CommitGateOptions o;
+  o.snapshot_after_bytes = config.storage_snapshot;
   return o;
 }
 
@@ -303,8 +303,10 @@
 // ---- Durable state ----
 
 bool Daemon::TakeLedgerRecord(std::string_view bytes, std::string* expected) {
-  ledger::Record record;
-  return ledger::Read(bytes, &record, expected) && book_.Apply(std::move(record), expected);
+  const ledger::LedgerStatus applied = ledger::DecodeRecord(bytes).and_then(
+      [this](ledger::Record record) { return book_.Apply(std::move(record)); });
+  if (!applied) *expected = "a ledger record that follows (" + Describe(applied.error()) + ")";
+  return applied.has_value();
 }
 
 // Before the jobs' log is read: what that has more is put here.
@@ -318,14 +320,15 @@
     if (expected.empty() && !TakeLedgerRecord(record, &expected))
       expected = "ledger record " + std::to_string(sequence) + ": expected " + expected;
   };
-  std::vector<std::string> told;
-  const bool open = log->Open(replay, &told, error);
-  for (const std::string& text : told) {
-    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", text}});
+  std::vector<storage::RecoveryNotice> notices;
+  const storage::StorageStatus open = log->Open(replay, &notices);
+  for (const storage::RecoveryNotice& notice : notices) {
+    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", Describe(notice)}});
   }
+  if (!open) *error = Describe(open.error());
   if (open && !expected.empty()) *error = config_.storage_folder + ": " + expected;
   if (!open || !expected.empty()) return false;
-  outbox_ = ledger::Outbox(log->last());
+  outbox_ = ledger::Outbox(log->last_sequence());
   const int fd = durable_fd_;
   ledger_committer_ = std::make_unique<storage::Committer>(std::move(log), [fd] {
     const std::uint64_t one = 1;
@@ -334,14 +337,14 @@
   http_.SetBook(&book_);
   core_.SetDoor([this](const job_manager::JobSpec& spec) {
     const auto& tenants = core_.options().tenants;
-    return book_.Refusal(spec.tenant < tenants.size() ? tenants[spec.tenant] : "", loop_->Now());
+    return book_.RejectionReason(spec.tenant < tenants.size() ? tenants[spec.tenant] : "", loop_->Now());
   });
   return true;
 }
 
 void Daemon::PostUse(const job_manager::Used& used) {
   if (!ledger_committer_) return;
-  ledger::Use use;
+  ledger::AttemptUsage use;
   use.attempt = core_.NameOf(used.attempt);
   const job_manager::JobManagerOptions& o = core_.options();
   use.tenant = used.tenant < o.tenants.size() ? o.tenants[used.tenant] : "";
@@ -351,23 +354,29 @@
   use.start = used.started, use.end = used.ended;
   use.millicores = std::llround(used.cores * 1000.0);
   use.mebibytes = std::llround(used.memory * config_.front.words.memory_unit / 1048576.0);
-  const ledger::Decision decision = book_.Post(loop_->Now(), use);
-  if (decision.verdict != ledger::Verdict::kPosted) {
-    if (decision.verdict != ledger::Verdict::kTwice)
+  const auto records = book_.Post(loop_->Now(), use);
+  if (!records) {
+    if (records.error().code != ledger::LedgerErrorCode::kDuplicate)
       WriteLine(*log_, job_manager::Level::kWarn,
-                {{"event", "ledger"}, {"text", "not counted: " + decision.reason}});
+                {{"event", "ledger"}, {"text", "not counted: " + Describe(records.error())}});
     return;
   }
-  std::string expected;
-  for (const ledger::Record& record : decision.records) {
-    book_.Apply(record, &expected);
-    ledger_records_.push_back(ledger::Write(record));
+  for (const ledger::Record& record : *records) {
+    if (const auto applied = book_.Apply(record); !applied) {
+      WriteLine(*log_, job_manager::Level::kWarn,
+                {{"event", "ledger"}, {"text", "not applied: " + Describe(applied.error())}});
+    }
+    ledger_records_.push_back(ledger::EncodeRecord(record));
   }
 }
 
 bool Daemon::OpenStorage(std::string* error) {
-  files_ = storage::PosixFiles::Open(config_.storage_folder, error);
-  if (!files_) return false;
+  auto files = storage::PosixFiles::Open(config_.storage_folder);
+  if (!files) {
+    *error = Describe(files.error());
+    return false;
+  }
+  files_ = std::move(*files);
   durable_fd_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
   if (config_.billing && !OpenLedger(error)) return false;
   storage::LogOptions options;
@@ -375,14 +384,16 @@
   auto log = std::make_unique<storage::Log>(files_.get(), options);
   std::string expected;
   const auto take = [&](std::string_view record) {
-    if (ledger::Outbox::Is(record)) {
+    if (ledger::Outbox::IsEntry(record)) {
       if (!ledger_committer_) return true;  // billing was switched off since
-      std::string of_ledger;
-      bool lacks = false;
-      if (!outbox_.Take(record, &of_ledger, &lacks, &expected)) return false;
-      if (!lacks) return true;
-      ledger_records_.push_back(of_ledger);
-      return TakeLedgerRecord(of_ledger, &expected);
+      const auto entry = outbox_.Decode(record);
+      if (!entry) {
+        expected = "an outbox entry that follows (" + Describe(entry.error()) + ")";
+        return false;
+      }
+      if (!entry->missing) return true;
+      ledger_records_.push_back(entry->record);
+      return TakeLedgerRecord(entry->record, &expected);
     }
     return core_.Restore(record, &expected);
   };
@@ -395,11 +406,12 @@
     if (expected.empty() && !take(record))
       expected = "record " + std::to_string(sequence) + ": expected " + expected;
   };
-  std::vector<std::string> told;
-  const bool open = log->Open(replay, &told, error);
-  for (const std::string& text : told) {
-    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", text}});
+  std::vector<storage::RecoveryNotice> notices;
+  const storage::StorageStatus open = log->Open(replay, &notices);
+  for (const storage::RecoveryNotice& notice : notices) {
+    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", Describe(notice)}});
   }
+  if (!open) *error = Describe(open.error());
   if (!open) return false;
   if (!expected.empty() || !core_.Restored(loop_->Now(), &expected)) {
     *error = config_.storage_folder + ": " + expected;
@@ -423,7 +435,7 @@
 void Daemon::Say(HttpReply reply, bool nothing_kept) {
   if (committer_ && !nothing_kept && gate_.Full()) {
     reply.bytes =
-        http::WriteReply(503, {{"Content-Type", "text/plain"}}, gate_.Refusal() + "\n", !reply.close);
+        http::WriteReply(503, {{"Content-Type", "text/plain"}}, gate_.RejectionReason() + "\n", !reply.close);
     nothing_kept = true;
   }
   if (committer_ && (!nothing_kept || http_behind_.count(reply.conn) > 0)) {
@@ -442,7 +454,7 @@
 bool Daemon::Hold() {
   now_held_.actions = std::exchange(links_.actions(), {});
   std::vector<std::string> records = core_.TakeJournal();
-  for (const std::string& record : ledger_records_) records.push_back(outbox_.Put(record));
+  for (const std::string& record : ledger_records_) records.push_back(outbox_.Encode(record));
   const bool something = !now_held_.actions.empty() || !now_held_.touched.empty() || !now_held_.http.empty();
   if (!records.empty() || something) {
     const std::uint64_t turn = committer_->Add(std::move(records));
@@ -462,7 +474,7 @@
 bool Daemon::Release() {
   CheckStorage();
   bool more = false;
-  while (const auto number = gate_.Next()) {
+  while (const auto number = gate_.ReleaseNext()) {
     const auto node = held_.extract(*number);
     const Held& held = node.mapped();
     for (const node_sessions::SessionAction& action : held.actions) link_side_->Do(action);
@@ -488,11 +500,11 @@
   const storage::CommitStatus jobs = committer_->Status();
   storage::CommitStatus ledger;
   if (ledger_committer_) ledger = ledger_committer_->Status();
-  gate_.Saw(jobs, ledger_committer_ ? &ledger : nullptr, ledger_turn_);
-  for (const std::string& text : gate_.TakeComplaints()) {
+  gate_.UpdateStatus(jobs, ledger_committer_ ? &ledger : nullptr, ledger_turn_);
+  for (const std::string& text : gate_.TakeWarnings()) {
     WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", text}});
   }
-  core_.RefuseNew(gate_.Refusal());
+  core_.RefuseNew(gate_.RejectionReason());
   door_.DiskOwes(held_.empty() ? 0 : loop_->Now() - held_.begin()->second.since);
 }
 
--- a/tests/storage/stored_state_test.cpp
+++ b/tests/storage/stored_state_test.cpp
@@ -15,6 +15,7 @@
 #include "ledger/book.hpp"
 #include "storage/log.hpp"
 #include "tests/support/job_manager_fixture.hpp"
+#include "tests/support/storage_checks.hpp"
 
 namespace mountflow::testing {
 namespace {
@@ -62,11 +63,12 @@
   return o;
 }
 
-ledger::Rules BillingRules() {
-  ledger::Rules rules;
-  std::string expected;
-  EXPECT_TRUE(ledger::Zone::Parse("SAST-2", &rules.zone, &expected)) << expected;
-  rules.period = ledger::PeriodKind::kDay;
+ledger::BillingRules BillingRules() {
+  ledger::BillingRules rules;
+  const auto time_zone = ledger::TimeZone::Parse("SAST-2");
+  EXPECT_TRUE(time_zone) << Describe(time_zone.error());
+  if (time_zone) rules.time_zone = *time_zone;
+  rules.period_kind = ledger::PeriodKind::kDay;
   rules.grace = kHour;
   rules.prices = {{"", "", 0, 3'600'000, 1'024'000}};
   return rules;
@@ -83,12 +85,11 @@
 // Jobs 1 complete, 2 running, 3 held, 4 waiting for its time; then the snapshot; 5 running, 6 in doubt, 7
 // deleted.
 void WriteJobs(storage::Files* files) {
-  std::string error;
-  std::vector<std::string> told;
+  std::vector<storage::RecoveryNotice> notices;
   storage::Log log(files, LogNamed("jobs"));
-  ASSERT_TRUE(log.Open({}, &told, &error)) << error;
+  ASSERT_TRUE(Succeeded(log.Open({}, &notices)));
   CoreRig rig(Durable());
-  const auto commit = [&] { ASSERT_TRUE(log.Commit(rig.core.TakeJournal(), &error)) << error; };
+  const auto commit = [&] { ASSERT_TRUE(Succeeded(log.Commit(rig.core.TakeJournal()))); };
   rig.List({CoreRig::Node("a"), CoreRig::Node("b", "rack-2")});
   rig.SyncAll();
   const AskNode first = rig.PlaceNew(1, "key-1");
@@ -103,7 +104,7 @@
   timed.hold.clear(), timed.due = rig.now + 24 * kHour, timed.rerunnable = true;
   rig.Submit(timed);
   commit();
-  ASSERT_TRUE(log.Snapshot(log.last(), rig.core.Snapshot(), &error)) << error;
+  ASSERT_TRUE(Succeeded(log.WriteSnapshot(log.last_sequence(), rig.core.Snapshot())));
   rig.PlaceNew(1);
   rig.Clear();
   rig.Submit(2);
@@ -115,25 +116,26 @@
 }
 
 void WriteLedger(storage::Files* files) {
-  std::string error, expected;
-  std::vector<std::string> told;
+  std::vector<storage::RecoveryNotice> notices;
   storage::Log log(files, LogNamed("ledger"));
-  ASSERT_TRUE(log.Open({}, &told, &error)) << error;
+  ASSERT_TRUE(Succeeded(log.Open({}, &notices)));
   ledger::Book book(BillingRules());
   const Micros start = 1'796'083'200 * kSecond;
-  const auto apply = [&](const ledger::Decision& decision) {
+  const auto apply = [&](const ledger::LedgerResult<ledger::Book::Records>& decided) {
+    ASSERT_TRUE(decided) << Describe(decided.error());
     std::vector<std::string> records;
-    for (const ledger::Record& record : decision.records) {
-      records.push_back(ledger::Write(record));
-      ASSERT_TRUE(book.Apply(record, &expected)) << expected;
+    for (const ledger::Record& record : *decided) {
+      records.push_back(ledger::EncodeRecord(record));
+      const ledger::LedgerStatus applied = book.Apply(record);
+      ASSERT_TRUE(applied) << Describe(applied.error());
     }
-    ASSERT_TRUE(log.Commit(records, &error)) << error;
+    ASSERT_TRUE(Succeeded(log.Commit(records)));
   };
   apply(book.Post(start + 20 * kHour,
                   {"1.d0/1", "t", "service", "small", start + kHour, start + 19 * kHour, 1500, 2048}));
   apply(book.Post(start + 27 * kHour,
                   {"2.d0/1", "u", "batch", "small", start + 20 * kHour, start + 26 * kHour, 500, 64}));
-  apply(book.Correct(start + 30 * kHour, 1, -1000, 0, "thandi", "wrong meter"));
+  apply(book.Correct(start + 30 * kHour, {1, -1000, 0, "thandi", "wrong meter"}));
   apply(book.Close(start + 60 * kHour));
 }
 
@@ -142,10 +144,10 @@
   TemporaryFolder folder;
   std::string error;
   {
-    const auto files = storage::PosixFiles::Open(folder.path, &error);
-    ASSERT_NE(files, nullptr) << error;
-    WriteJobs(files.get());
-    WriteLedger(files.get());
+    const auto files = storage::PosixFiles::Open(folder.path);
+    ASSERT_TRUE(Succeeded(files));
+    WriteJobs(files->get());
+    WriteLedger(files->get());
   }
   ASSERT_TRUE(discovery::SaveSnapshot((folder.path / "view").string(), View(), &error)) << error;
   const auto written = FilesOf(folder.path);
@@ -169,9 +171,9 @@
     std::ofstream(folder.path / name, std::ios::binary) << bytes;
   }
   std::string error, expected;
-  const auto files = storage::PosixFiles::Open(folder.path, &error);
-  ASSERT_NE(files, nullptr) << error;
-  std::vector<std::string> told;
+  const auto files = storage::PosixFiles::Open(folder.path);
+  ASSERT_TRUE(Succeeded(files));
+  std::vector<storage::RecoveryNotice> notices;
 
   CoreRig rig(Durable());
   std::size_t snapshots = 0, records = 0;
@@ -185,8 +187,8 @@
     ++records;
     EXPECT_TRUE(restore(record)) << expected;
   };
-  storage::Log jobs(files.get(), LogNamed("jobs"));
-  ASSERT_TRUE(jobs.Open(replay, &told, &error)) << error;
+  storage::Log jobs(files->get(), LogNamed("jobs"));
+  ASSERT_TRUE(Succeeded(jobs.Open(replay, &notices)));
   EXPECT_EQ(snapshots, 1u);
   EXPECT_GT(records, 3u);
   ASSERT_TRUE(rig.core.Restored(rig.now + kSecond, &expected)) << expected;
@@ -213,16 +215,17 @@
   ledger::Book book(BillingRules());
   storage::Replay posted;
   posted.record = [&](std::uint64_t, std::string_view bytes) {
-    ledger::Record record;
-    ASSERT_TRUE(ledger::Read(bytes, &record, &expected)) << expected;
-    ASSERT_TRUE(book.Apply(record, &expected)) << expected;
+    const ledger::LedgerResult<ledger::Record> record = ledger::DecodeRecord(bytes);
+    ASSERT_TRUE(record) << Describe(record.error());
+    const ledger::LedgerStatus applied = book.Apply(*record);
+    ASSERT_TRUE(applied) << Describe(applied.error());
   };
-  storage::Log ledger_log(files.get(), LogNamed("ledger"));
-  ASSERT_TRUE(ledger_log.Open(posted, &told, &error)) << error;
-  EXPECT_TRUE(told.empty()) << told[0];
+  storage::Log ledger_log(files->get(), LogNamed("ledger"));
+  ASSERT_TRUE(Succeeded(ledger_log.Open(posted, &notices)));
+  EXPECT_TRUE(notices.empty()) << Describe(notices[0]);
   EXPECT_TRUE(book.IsClosed("2026-12-01"));
   EXPECT_EQ(book.Find(1)->tenant, "t");
-  EXPECT_GE(book.last(), 4u);
+  EXPECT_GE(book.last_sequence(), 4u);
 
   discovery::Snapshot view;
   ASSERT_TRUE(discovery::LoadSnapshot((folder.path / "view").string(), &view, &error)) << error;
