--- a/src/platform/client_codec.hpp
+++ b/src/platform/client_codec.hpp
@@ -1,70 +1,84 @@
-// The owners' wire: JSON lines, both ways. Sans-I/O and incremental: any split of the bytes reads the same.
+// The protocol between the scheduler and its clients: one JSON object a line, in both directions.
 //
-// Bounds: a line of kMostMessage bytes with its line feed; kMostFields fields of a set-up. What is kept
-// between reads is less than one line, plus what was fed and not yet taken by Next().
-// Bad input is a value: a line whose id can be read is kUnusable, any other ends the stream as kBroken.
+//   {"kind":"launch","uid":"9b1f03aa5c7e2d41","meta":{"class":"batch",...},"reason":16,"body":"..."}
+//
+// `kind` and `uid` are required; `meta` holds strings or numbers, `reason` is a cause code, `body` is the
+// description. Other members are ignored.
 #ifndef MOUNTFLOW_PLATFORM_CLIENT_CODEC_HPP_
 #define MOUNTFLOW_PLATFORM_CLIENT_CODEC_HPP_
 
+#include <cstddef>
 #include <map>
 #include <optional>
 #include <string>
 #include <string_view>
 
+#include "platform/read_buffer.hpp"
+#include "platform/text_encoding.hpp"
 #include "platform/transport.hpp"
 
 namespace mountflow::platform {
 
+// Most members of one message's `meta`.
 inline constexpr std::size_t kMaxFields = 32;
 
+// The `kind` of a message. The scheduler ignores, and never sends, those without a direction here.
 enum class ClientMessageKind {
-  kLaunch,
+  kLaunch,  // client: start a task
   kProgress,
-  kAnswer,
-  kStop,
+  kAnswer,  // scheduler: the task has started
+  kStop,    // client: cancel or terminate; scheduler: rejected, failed or ended
   kStopped,
-  kHealthCheck,
-  kHealthCheckReply,
+  kHealthCheck,       // client: is the scheduler ready?
+  kHealthCheckReply,  // scheduler: the answer, as a cause code
   kNote,
-  kMigrate
+  kMigrate  // scheduler: the task is stopped and is to be asked for again
 };
 
 struct ClientMessage {
   ClientMessageKind kind = ClientMessageKind::kLaunch;
   RequestUid uid = 0;
-  std::map<std::string, std::string> fields;  // numbers as their text
+  std::map<std::string, std::string> fields;  // numbers as their JSON text
   std::optional<int> cause;                   // 0 to 255
-  std::string description;                    // UTF-8, byte for byte as its JSON string says
+  std::string description;                    // UTF-8; empty: absent
   bool operator==(const ClientMessage&) const = default;
 };
 
+// Reads messages from the bytes of one connection. How the bytes are split between calls of Feed() makes no
+// difference. Holds less than one message between reads, plus what was fed and not yet taken by Next(). Not
+// thread-safe.
 class ClientMessageReader {
  public:
-  enum class State { kMore, kMessage, kUnusable, kBroken };
+  enum class State {
+    kMore,      // no whole message is left: feed more
+    kMessage,   // a message was read
+    kUnusable,  // a message breaks the protocol, but its uid could be read; the next one may be fine
+    kBroken     // the stream cannot be read; final
+  };
 
+  // Ignored once the stream is broken.
   void Feed(std::string_view bytes);
-  // kMessage: `message` is whole. kUnusable: only its uid is; error() says why. kBroken: nothing more can be
-  // read, ever.
-  State Next(ClientMessage* message);
-  bool within_message() const { return at_ < bytes_.size(); }  // bytes are there that Next() has not taken
+
+  // Reads the next message into `*message`. After kUnusable only its uid is meaningful. After kUnusable and
+  // kBroken error() says what was expected and what came.
+  [[nodiscard]] State Next(ClientMessage* message);
+
+  // Whether bytes were fed that Next() has not consumed.
+  bool within_message() const { return !buffer_.empty(); }
   const std::string& error() const { return error_; }
 
  private:
-  State Read(std::string_view line, ClientMessage* message);
-  State Break(std::string why);
+  State ReadLine(std::string_view line, ClientMessage* message);
+  State Break(std::string error);
 
-  std::string bytes_;
-  std::size_t at_ = 0, searched_ = 0;
+  ReadBuffer buffer_;
+  std::size_t searched_ = 0;  // unread bytes that are known to hold no line feed
   bool broken_ = false;
   std::string error_;
 };
 
-// One line. The description must be valid UTF-8: see IsUtf8.
+// One line with its line feed. Text that is not UTF-8 (see IsUtf8()) is written with replacement characters.
 std::string EncodeClientMessage(const ClientMessage& message);
-bool IsUtf8(std::string_view text);
-// 1 to 16 lower-case hex digits, exactly `digits` of them.
-bool ReadHex(std::string_view text, std::size_t digits, std::uint64_t* value);
-std::string WriteHex(std::uint64_t value);  // 16 digits
 
 }  // namespace mountflow::platform
 
--- a/src/platform/node_codec.cpp
+++ b/src/platform/node_codec.cpp
@@ -1,13 +1,28 @@
 #include "platform/node_codec.hpp"
 
+#include <cstddef>
+#include <tl/expected.hpp>
 #include <utility>
 
 namespace mountflow::platform {
 namespace {
 
-constexpr std::size_t kHead = 2 + 1 + 8;
+constexpr std::size_t kLengthBytes = 2;
+constexpr std::size_t kTypeBytes = 1;
+constexpr std::size_t kUidBytes = 8;
+constexpr std::size_t kHeaderBytes = kLengthBytes + kTypeBytes + kUidBytes;
+constexpr std::size_t kParameterHeaderBytes = 1 + kLengthBytes;
+constexpr std::size_t kCauseBytes = 1;
+constexpr int kBitsPerByte = 8;
 
-bool Known(std::uint8_t type) {
+// Nothing, or what was expected and what came.
+using ReadResult = tl::expected<void, std::string>;
+
+tl::unexpected<std::string> Expected(const std::string& expected, std::size_t got) {
+  return tl::unexpected<std::string>(expected + ", got " + std::to_string(got));
+}
+
+bool IsKnownKind(std::uint8_t type) {
   switch (static_cast<NodeMessageKind>(type)) {
     case NodeMessageKind::kLaunch:
     case NodeMessageKind::kProgress:
@@ -23,90 +38,128 @@
   return false;
 }
 
-void Put16(std::size_t value, std::string* to) {
-  to->push_back(static_cast<char>(value >> 8));
-  to->push_back(static_cast<char>(value & 255));
+// Reads the first `size` bytes of `bytes` as one number.
+std::uint64_t ReadNumber(std::string_view bytes, std::size_t size) {
+  std::uint64_t value = 0;
+  for (const char byte : bytes.substr(0, size))
+    value = value << kBitsPerByte | static_cast<std::uint8_t>(byte);
+  return value;
+}
+
+void AppendNumber(std::uint64_t value, std::size_t size, std::string* bytes) {
+  for (std::size_t i = size; i-- > 0;) {
+    bytes->push_back(static_cast<char>(value >> (kBitsPerByte * i) & 0xff));
+  }
+}
+
+void AppendParameter(std::uint8_t code, std::string_view value, std::string* bytes) {
+  bytes->push_back(static_cast<char>(code));
+  AppendNumber(value.size(), kLengthBytes, bytes);
+  bytes->append(value);
+}
+
+// The size of the message that `unread` begins with, its length field included; 0: not known yet.
+std::size_t MessageSize(std::string_view unread) {
+  return unread.size() < kLengthBytes ? 0 : kLengthBytes + ReadNumber(unread, kLengthBytes);
+}
+
+// Checks as much of a message's header as has come.
+ReadResult CheckHeader(std::string_view unread) {
+  if (unread.size() < kLengthBytes) return {};
+  const std::size_t size = MessageSize(unread);
+  if (size < kHeaderBytes || size > kMaxMessageBytes) {
+    return Expected("message: expected " + std::to_string(kHeaderBytes) + " to " +
+                        std::to_string(kMaxMessageBytes) + " bytes",
+                    size);
+  }
+  if (unread.size() < kLengthBytes + kTypeBytes) return {};
+  const auto type = static_cast<std::uint8_t>(unread[kLengthBytes]);
+  if (!IsKnownKind(type)) return Expected("message type: expected one of the protocol", type);
+  return {};
+}
+
+ReadResult AddParameter(std::uint8_t code, std::string_view value, NodeMessage* message) {
+  const std::string name = "parameter " + std::to_string(code);
+  if (code == kCauseCode) {
+    if (value.size() != kCauseBytes) return Expected(name + ": expected one byte", value.size());
+    if (message->cause) return tl::unexpected<std::string>(name + ": expected once, got again");
+    message->cause = static_cast<std::uint8_t>(value[0]);
+  } else if (!message->params.emplace(code, value).second) {
+    return tl::unexpected<std::string>(name + ": expected once, got again");
+  }
+  return {};
+}
+
+ReadResult ReadParameters(std::string_view bytes, NodeMessage* message) {
+  while (!bytes.empty()) {
+    if (bytes.size() < kParameterHeaderBytes) {
+      return Expected("parameter: expected a header of " + std::to_string(kParameterHeaderBytes) + " bytes",
+                      bytes.size());
+    }
+    const auto code = static_cast<std::uint8_t>(bytes[0]);
+    const std::size_t size = ReadNumber(bytes.substr(1), kLengthBytes);
+    bytes.remove_prefix(kParameterHeaderBytes);
+    if (size > bytes.size()) {
+      return Expected("parameter " + std::to_string(code) + ": expected " + std::to_string(size) + " bytes",
+                      bytes.size());
+    }
+    ReadResult added = AddParameter(code, bytes.substr(0, size), message);
+    if (!added) return added;
+    bytes.remove_prefix(size);
+  }
+  return {};
 }
 
 }  // namespace
 
 const std::string& NodeMessage::Text(std::uint8_t code) const {
-  static const std::string none;
+  static const std::string kAbsent;
   const auto it = params.find(code);
-  return it == params.end() ? none : it->second;
+  return it == params.end() ? kAbsent : it->second;
 }
 
 void NodeMessageReader::Feed(std::string_view bytes) {
-  if (broken_) return;
-  if (at_ > 0) {
-    bytes_.erase(0, at_);
-    at_ = 0;
-  }
-  bytes_.append(bytes);
+  if (!broken_) buffer_.Append(bytes);
 }
 
-NodeMessageReader::State NodeMessageReader::Break(const char* why) {
-  error_ = why;
+NodeMessageReader::State NodeMessageReader::Break(std::string error) {
+  error_ = std::move(error);
   broken_ = true;
-  std::string().swap(bytes_);
-  at_ = 0;
+  buffer_.Clear();
   return State::kBroken;
 }
 
 NodeMessageReader::State NodeMessageReader::Next(NodeMessage* message) {
   if (broken_) return State::kBroken;
-  const auto byte = [&](std::size_t i) { return static_cast<std::uint8_t>(bytes_[at_ + i]); };
-  const std::size_t there = bytes_.size() - at_;
-  // What is wrong is told as soon as the bytes that are there show it: more may never come.
-  const std::size_t size = there >= 2 ? 2 + (static_cast<std::size_t>(byte(0)) << 8 | byte(1)) : 0;
-  if (there >= 2 && (size < kHead || size > kMaxMessageBytes)) return Break("a length that cannot be");
-  if (there >= 3 && !Known(byte(2))) return Break("an unknown type of message");
-  if (there < 2 || there < size) {
-    if (there == 0 && at_ > 0) {  // a large buffer is given back
-      if (bytes_.capacity() > kMaxMessageBytes) std::string().swap(bytes_);
-      bytes_.clear();
-      at_ = 0;
-    }
+  const std::string_view unread = buffer_.unread();
+  // Before the whole message is there: the rest of a faulty one may never come.
+  if (const ReadResult header = CheckHeader(unread); !header) return Break(header.error());
+  const std::size_t size = MessageSize(unread);
+  if (size == 0 || unread.size() < size) {
+    buffer_.ReleaseIfEmpty();
     return State::kMore;
   }
   *message = {};
-  message->kind = static_cast<NodeMessageKind>(byte(2));
-  for (std::size_t i = 3; i < kHead; ++i) message->uid = message->uid << 8 | byte(i);
-  for (std::size_t at = kHead; at < size;) {
-    if (size - at < 3) return Break("a parameter that is cut off");
-    const std::uint8_t code = byte(at);
-    const std::size_t length = static_cast<std::size_t>(byte(at + 1)) << 8 | byte(at + 2);
-    at += 3;
-    if (length > size - at) return Break("a parameter longer than its message");
-    if (code == kCauseCode) {
-      if (length != 1 || message->cause) return Break("a cause that is not one byte");
-      message->cause = byte(at);
-    } else if (!message->params.emplace(code, bytes_.substr(at_ + at, length)).second) {
-      return Break("a parameter given twice");
-    }
-    at += length;
-  }
-  at_ += size;
+  message->kind = static_cast<NodeMessageKind>(unread[kLengthBytes]);
+  message->uid = ReadNumber(unread.substr(kLengthBytes + kTypeBytes), kUidBytes);
+  const std::string_view parameters = unread.substr(kHeaderBytes, size - kHeaderBytes);
+  if (const ReadResult read = ReadParameters(parameters, message); !read) return Break(read.error());
+  buffer_.Consume(size);
   return State::kMessage;
 }
 
 std::string EncodeNodeMessage(const NodeMessage& message) {
-  std::string rest(1, static_cast<char>(message.kind));
-  for (int shift = 56; shift >= 0; shift -= 8) rest.push_back(static_cast<char>(message.uid >> shift & 255));
-  const auto put = [&](std::uint8_t code, std::string_view value) {
-    rest.push_back(static_cast<char>(code));
-    Put16(value.size(), &rest);
-    rest.append(value);
-  };
+  std::string body(1, static_cast<char>(message.kind));
+  AppendNumber(message.uid, kUidBytes, &body);
   for (const auto& [code, value] : message.params) {
     if (value.size() > kMaxMessageBytes) return {};
-    put(code, value);
+    AppendParameter(code, value, &body);
   }
-  if (message.cause) put(kCauseCode, std::string(1, static_cast<char>(*message.cause)));
-  if (rest.size() + 2 > kMaxMessageBytes) return {};
+  if (message.cause) AppendParameter(kCauseCode, std::string(1, static_cast<char>(*message.cause)), &body);
+  if (kLengthBytes + body.size() > kMaxMessageBytes) return {};
   std::string bytes;
-  Put16(rest.size(), &bytes);
-  return bytes + rest;
+  AppendNumber(body.size(), kLengthBytes, &bytes);
+  return bytes + body;
 }
 
 }  // namespace mountflow::platform
--- a/src/platform/node_watch.cpp
+++ b/src/platform/node_watch.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cmath>
+#include <iterator>
 #include <nlohmann/json.hpp>
 #include <utility>
 
@@ -10,165 +11,240 @@
 
 using nlohmann::json;
 
-bool Whole(const json& object, const char* key, std::uint64_t* to) {
+constexpr int kStatusOk = 200;
+constexpr double kMicrosPerMilli = 1000.0;
+constexpr double kMaxStartMillis = 9e12;  // beyond it a start time is not believed
+
+using Code = NodeListError::Code;
+
+tl::unexpected<NodeListError> Unusable(Code code, std::size_t event, std::string got) {
+  return tl::unexpected<NodeListError>({code, event, std::move(got)});
+}
+
+// The JSON type of a member, for error messages.
+std::string TypeOf(const json& object, const char* key) {
   const auto it = object.find(key);
-  if (it == object.end() || !it->is_number_unsigned()) return false;
-  *to = it->get<std::uint64_t>();
-  return true;
+  return it == object.end() ? "nothing" : it->type_name();
 }
 
-bool Text(const json& object, const char* key, std::string* to) {
+std::optional<std::uint64_t> WholeNumber(const json& object, const char* key) {
   const auto it = object.find(key);
-  if (it == object.end() || !it->is_string()) return false;
-  *to = it->get_ref<const std::string&>();
-  return true;
+  if (it == object.end() || !it->is_number_unsigned()) return std::nullopt;
+  return it->get<std::uint64_t>();
+}
+
+std::optional<std::string> Text(const json& object, const char* key) {
+  const auto it = object.find(key);
+  if (it == object.end() || !it->is_string()) return std::nullopt;
+  return it->get_ref<const std::string&>();
+}
+
+void ReadStart(const json& entry, ListedNode* node) {
+  const auto since = entry.find("since_ms");
+  if (since == entry.end() || !since->is_number()) return;
+  const auto millis = since->get<double>();
+  if (!std::isfinite(millis) || millis <= 0 || millis >= kMaxStartMillis) return;
+  node->started_at = static_cast<Micros>(millis * kMicrosPerMilli);
 }
 
-// An entry that lacks its name or state says nothing; the rest may be absent where a machine has gone.
-bool ReadEntry(const json& entry, ListedNode* machine) {
-  if (!entry.is_object() || !Text(entry, "name", &machine->name) || machine->name.empty()) return false;
-  if (!Text(entry, "status", &machine->status)) return false;
-  Text(entry, "address", &machine->address);
-  Text(entry, "zone", &machine->zone);
-  Text(entry, "type", &machine->kind);
-  std::uint64_t number = 0;
-  if (Whole(entry, "group", &number)) machine->rack = static_cast<unsigned>(number);
-  if (const auto since = entry.find("since_ms"); since != entry.end() && since->is_number()) {
-    const double ms = since->get<double>();
-    if (std::isfinite(ms) && ms > 0 && ms < 9e12) machine->started_at = static_cast<Micros>(ms * 1000.0);
+// `free` is the pair of free cores and free memory.
+void ReadFreeCapacity(const json& entry, ListedNode* node) {
+  const auto free = entry.find("free");
+  if (free == entry.end() || !free->is_array() || free->size() != 2) return;
+  if (!(*free)[0].is_number() || !(*free)[1].is_number()) return;
+  node->free_cores = (*free)[0].get<double>();
+  node->free_memory = (*free)[1].get<double>();
+}
+
+// An entry without a name or status says nothing. The rest may be absent where a node has gone.
+std::optional<ListedNode> ReadEntry(const json& entry) {
+  if (!entry.is_object()) return std::nullopt;
+  std::optional<std::string> name = Text(entry, "name");
+  std::optional<std::string> status = Text(entry, "status");
+  if (!name || name->empty() || !status) return std::nullopt;
+  ListedNode node;
+  node.name = std::move(*name);
+  node.status = std::move(*status);
+  node.address = Text(entry, "address").value_or("");
+  node.zone = Text(entry, "zone").value_or("");
+  node.kind = Text(entry, "type").value_or("");
+  node.rack = static_cast<unsigned>(WholeNumber(entry, "group").value_or(0));
+  ReadStart(entry, &node);
+  ReadFreeCapacity(entry, &node);
+  return node;
+}
+
+// Reads the `fleet` member of the event with this index.
+tl::expected<void, NodeListError> ReadFleet(const json& fleet, std::size_t index, NodeListChange* change) {
+  if (!fleet.is_object()) return Unusable(Code::kFleetNotAnObject, index, fleet.type_name());
+  const auto snapshot = fleet.find("snapshot");
+  change->whole = snapshot != fleet.end() && snapshot->is_boolean() && snapshot->get<bool>();
+  const auto entries = fleet.find("endpoints");
+  if (entries == fleet.end() || !entries->is_array()) {
+    return Unusable(Code::kNoEndpoints, index, TypeOf(fleet, "endpoints"));
   }
-  if (const auto free = entry.find("free"); free != entry.end() && free->is_array() && free->size() == 2 &&
-                                            (*free)[0].is_number() && (*free)[1].is_number()) {
-    machine->free_cores = (*free)[0].get<double>();
-    machine->free_memory = (*free)[1].get<double>();
+  if (entries->size() > kMaxNodes) {
+    return Unusable(Code::kTooManyNodes, index, std::to_string(entries->size()));
   }
-  return true;
+  for (const json& entry : *entries) {
+    if (std::optional<ListedNode> node = ReadEntry(entry)) change->nodes.push_back(std::move(*node));
+  }
+  return {};
 }
 
 }  // namespace
 
-bool ReadChanges(const json& reply, std::uint64_t since, std::vector<NodeListChange>* changes,
-                 std::uint64_t* last, bool* gap) {
-  *last = since;
-  *gap = false;
-  if (!reply.is_object()) return false;
+std::string Describe(const NodeListError& error) {
+  const std::string event = "results[" + std::to_string(error.event) + "]";
+  const auto sentence = [&]() -> std::string {
+    switch (error.code) {
+      case Code::kNotAnObject:
+        return "reply: expected a JSON object";
+      case Code::kNoResults:
+        return "results: expected an array";
+      case Code::kNoNumber:
+        return event + ".seq: expected a whole number";
+      case Code::kFleetNotAnObject:
+        return event + ".fleet: expected an object";
+      case Code::kNoEndpoints:
+        return event + ".fleet.endpoints: expected an array";
+      case Code::kTooManyNodes:
+        return event + ".fleet.endpoints: expected at most " + std::to_string(kMaxNodes) + " entries";
+    }
+    return "reply: expected events of the node list";
+  };
+  return sentence() + ", got " + error.got;
+}
+
+tl::expected<NodeListEvents, NodeListError> ReadNodeListEvents(const json& reply, std::uint64_t since) {
+  NodeListEvents events;
+  events.last = since;
+  if (!reply.is_object()) return Unusable(Code::kNotAnObject, 0, reply.type_name());
   const auto results = reply.find("results");
-  if (results == reply.end() || !results->is_array()) return false;
-  for (const json& event : *results) {
+  if (results == reply.end() || !results->is_array()) {
+    return Unusable(Code::kNoResults, 0, TypeOf(reply, "results"));
+  }
+  for (std::size_t i = 0; i < results->size(); ++i) {
+    const json& event = (*results)[i];
+    if (!event.is_object()) return Unusable(Code::kNoNumber, i, event.type_name());
+    const std::optional<std::uint64_t> number = WholeNumber(event, "seq");
+    if (!number) return Unusable(Code::kNoNumber, i, TypeOf(event, "seq"));
+    if (*number <= events.last) continue;
     NodeListChange change;
-    if (!event.is_object() || !Whole(event, "seq", &change.number)) return false;
-    if (change.number <= *last) continue;
+    change.number = *number;
     const auto fleet = event.find("fleet");
     if (fleet != event.end()) {
-      if (!fleet->is_object()) return false;
-      const auto whole = fleet->find("snapshot");
-      change.whole = whole != fleet->end() && whole->is_boolean() && whole->get<bool>();
-      const auto entries = fleet->find("endpoints");
-      if (entries == fleet->end() || !entries->is_array() || entries->size() > kMaxNodes) return false;
-      for (const json& entry : *entries) {
-        ListedNode machine;
-        if (ReadEntry(entry, &machine)) change.nodes.push_back(std::move(machine));
-      }
+      const auto read = ReadFleet(*fleet, i, &change);
+      if (!read) return tl::unexpected(read.error());
     }
-    if (!change.whole && change.number != *last + 1) {
-      *gap = true;
-      return true;
+    if (!change.whole && change.number != events.last + 1) {
+      events.gap = true;
+      return events;
     }
-    *last = change.number;
-    if (fleet != event.end()) changes->push_back(std::move(change));
+    events.last = change.number;
+    if (fleet != event.end()) events.changes.push_back(std::move(change));
   }
-  return true;
+  return events;
 }
 
 std::vector<NodeListChange> NodeWatch::Take() { return std::exchange(changes_, {}); }
 
 void NodeWatch::Follow(Micros now, const std::string& address) {
   address_ = address;
-  if (conn_ != 0) port_->Close(std::exchange(conn_, 0), false);
-  wait_ = 0;
+  if (conn_ != 0) transport_->Close(std::exchange(conn_, 0), false);
+  poll_delay_ = 0;
   Connect(now);
 }
 
 void NodeWatch::Connect(Micros now) {
-  up_ = false;
+  connected_ = false;
   reader_.emplace(http::Reader::Side::kReplies, kMaxReplyBytes);
-  conn_ = port_->Connect(address_);
-  due_ = now + kConnectWait;
+  conn_ = transport_->Connect(address_);
+  due_ = now + kWatchConnectTimeout;
 }
 
-void NodeWatch::Ask(Micros now) {
+void NodeWatch::Poll(Micros now) {
   const std::string target =
-      "/changes?since=" + std::to_string(last_) + "&timeout=" + std::to_string(kAskedWait / 1000);
-  port_->Send(conn_, http::WriteRequest("GET", target, {{"Host", address_}}, ""));
-  due_ = now + kAskedWait + kLate;
+      "/changes?since=" + std::to_string(last_) + "&timeout=" + std::to_string(kLongPollTimeout / 1000);
+  transport_->Send(conn_, http::WriteRequest("GET", target, {{"Host", address_}}, ""));
+  due_ = now + kLongPollTimeout + kReplyGracePeriod;
 }
 
 void NodeWatch::OnConnected(Micros now, ConnId conn) {
   if (!Owns(conn)) return;
-  up_ = true;
-  Ask(now);
+  connected_ = true;
+  Poll(now);
 }
 
-void NodeWatch::Break(Micros now, const std::string& why) {
-  port_->Log("change log at " + address_ + ": asked again after " + std::to_string(last_) + ": " + why);
-  if (conn_ != 0) port_->Close(std::exchange(conn_, 0), false);
-  up_ = false;
-  due_ = now + wait_;
-  wait_ = std::min(kAskMost, std::max(kAskFirst, wait_ * 2));
+void NodeWatch::Break(Micros now, const std::string& reason) {
+  transport_->Log("node list at " + address_ + ": asked again after event " + std::to_string(last_) + ": " +
+                  reason);
+  if (conn_ != 0) transport_->Close(std::exchange(conn_, 0), false);
+  connected_ = false;
+  due_ = now + poll_delay_;
+  poll_delay_ = std::min(kMaxPollDelay, std::max(kMinPollDelay, poll_delay_ * 2));
 }
 
-bool NodeWatch::TakeReply(Micros now, const http::Message& reply) {
-  const json read = reply.status == 200 ? json::parse(reply.body, nullptr, false) : json();
-  std::uint64_t last = last_;
-  bool gap = false;
-  std::vector<NodeListChange> changes;
-  if (!ReadChanges(read, last_, &changes, &last, &gap)) {
-    Break(now, "a reply that cannot be used, status " + std::to_string(reply.status));
+bool NodeWatch::HandleReply(Micros now, const http::Message& reply) {
+  if (reply.status != kStatusOk) {
+    Break(now, "reply: expected status 200, got " + std::to_string(reply.status));
+    return false;
+  }
+  auto events = ReadNodeListEvents(json::parse(reply.body, nullptr, false), last_);
+  if (!events) {
+    Break(now, Describe(events.error()));
     return false;
   }
-  if (last != last_) wait_ = 0;
-  last_ = last;
-  std::move(changes.begin(), changes.end(), std::back_inserter(changes_));
-  if (gap) {
-    if (++gaps_ >= kGapTries) last_ = 0, gaps_ = 0;  // from the whole list on
-    Break(now, "a number is missing");
+  if (events->last != last_) poll_delay_ = 0;
+  last_ = events->last;
+  std::move(events->changes.begin(), events->changes.end(), std::back_inserter(changes_));
+  if (events->gap) {
+    if (++gaps_ >= kMaxGaps) {
+      last_ = 0;  // asks for the whole list
+      gaps_ = 0;
+    }
+    Break(now, "an event number is missing");
     return false;
   }
   gaps_ = 0;
-  wait_ = 0;
+  poll_delay_ = 0;
   return true;
 }
 
+std::optional<http::Message> NodeWatch::NextReply() {
+  if (reader_->messages().empty()) return std::nullopt;
+  http::Message reply = std::move(reader_->messages().front());
+  reader_->messages().pop_front();
+  return reply;
+}
+
 void NodeWatch::OnBytes(Micros now, ConnId conn, std::string_view bytes) {
   if (!Owns(conn)) return;
-  const bool good = reader_->Feed(bytes);
-  bool keep = true;
-  while (!reader_->messages().empty()) {
-    const http::Message reply = std::move(reader_->messages().front());
-    reader_->messages().pop_front();
-    keep = reply.keep_alive;
-    if (!TakeReply(now, reply)) return;
-    if (keep) Ask(now);
+  const bool valid = reader_->Feed(bytes);
+  bool keep_alive = true;
+  while (const std::optional<http::Message> reply = NextReply()) {
+    keep_alive = reply->keep_alive;
+    if (!HandleReply(now, *reply)) return;
+    if (keep_alive) Poll(now);
   }
-  if (!good) return Break(now, reader_->error());
-  if (!keep) Break(now, "closed after its reply");
+  if (!valid) return Break(now, reader_->error());
+  if (!keep_alive) Break(now, "closed after its reply");
 }
 
 void NodeWatch::OnClosed(Micros now, ConnId conn) {
   if (!Owns(conn)) return;
   conn_ = 0;
-  // A body that runs to the end of the connection is only now whole; what is no JSON was cut off.
+  // A body that runs to the end of the connection is only now whole. Where it was cut off it is not JSON.
   reader_->Finish();
-  if (!reader_->messages().empty()) {
-    const http::Message reply = std::move(reader_->messages().front());
-    if (!TakeReply(now, reply)) return;
+  if (const std::optional<http::Message> reply = NextReply()) {
+    if (!HandleReply(now, *reply)) return;
   }
-  Break(now, up_ ? "the connection ended" : "no connection");
+  Break(now, connected_ ? "the connection ended" : "no connection");
 }
 
 void NodeWatch::Tick(Micros now) {
   if (now < due_) return;
-  if (conn_ != 0) return Break(now, up_ ? "no reply in time" : "no connection in time");
+  if (conn_ != 0) return Break(now, connected_ ? "no reply in time" : "no connection in time");
   Connect(now);
 }
 
--- a/src/platform/platform_config.cpp
+++ b/src/platform/platform_config.cpp
@@ -2,153 +2,225 @@
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
+#include <utility>
 
-#include "platform/client_codec.hpp"
+#include "platform/text_encoding.hpp"
 
 namespace mountflow::platform {
 namespace {
 
 using nlohmann::json;
+using Code = ConfigError::Code;
 
-constexpr std::size_t kDeepest = 16;
-// Standard streams, the loop's own, the listener, the change log with one connection more while it changes.
+constexpr std::size_t kMaxSettingsDepth = 16;
+constexpr std::size_t kMaxPortDigits = 5;
+constexpr double kMaxLimit = 1e9;
+
+// Descriptors that are not connections of clients or nodes: standard streams, the event loop's, the listener,
+// and the node watch, which holds two connections while its address changes.
 constexpr std::size_t kOwnDescriptors = 16;
+constexpr std::size_t kMinDescriptors = 2;
+constexpr std::size_t kClientsDivisor = 3;
+constexpr std::size_t kSilentClientsDivisor = 8;
 
 std::string TextOf(const json& value) {
   if (!value.is_string()) return value.dump();
-  std::string text = value.get<std::string>();
-  for (char& c : text) {
-    if (c == ' ' || c == ',' || c == '\n') c = '_';  // as the simulator writes them
-  }
+  auto text = value.get<std::string>();
+  // The simulator writes these characters so.
+  std::replace_if(
+      text.begin(), text.end(),
+      [](char character) { return character == ' ' || character == ',' || character == '\n'; }, '_');
   return text;
 }
 
-void LayOut(const json& value, const std::string& path, std::size_t depth, std::string* lines) {
-  if (depth > kDeepest) return;
-  const std::string dot = path.empty() ? "" : path + ".";
+void LayOutValue(const json& value, const std::string& path, std::size_t depth, std::string* lines) {
+  if (depth > kMaxSettingsDepth) return;
+  const std::string prefix = path.empty() ? "" : path + ".";
   if (value.is_object()) {
-    for (const auto& [key, one] : value.items()) LayOut(one, dot + key, depth + 1, lines);
+    for (const auto& [key, member] : value.items()) LayOutValue(member, prefix + key, depth + 1, lines);
   } else if (value.is_array() && !value.empty() && value[0].is_object()) {
-    *lines += dot + "count=" + std::to_string(value.size()) + "\n";
-    for (std::size_t i = 0; i < value.size(); ++i)
-      LayOut(value[i], dot + std::to_string(i), depth + 1, lines);
+    *lines += prefix + "count=" + std::to_string(value.size()) + "\n";
+    for (std::size_t i = 0; i < value.size(); ++i) {
+      LayOutValue(value[i], prefix + std::to_string(i), depth + 1, lines);
+    }
   } else if (value.is_array()) {
     std::string items;
-    for (const json& one : value) items += (items.empty() ? "" : ",") + TextOf(one);
+    for (const json& item : value) items += (items.empty() ? "" : ",") + TextOf(item);
     *lines += path + "=" + items + "\n";
   } else if (!value.is_null()) {
     *lines += path + "=" + TextOf(value) + "\n";
   }
 }
 
-bool IsAddress(const std::string& text) {
+// Whether `text` is HOST:PORT with a port of one to five digits.
+bool IsAddress(std::string_view text) {
   const std::size_t colon = text.rfind(':');
-  if (colon == std::string::npos || colon == 0 || colon + 1 == text.size() || text.size() - colon > 6)
-    return false;
-  return std::all_of(text.begin() + static_cast<std::ptrdiff_t>(colon) + 1, text.end(),
-                     [](char c) { return c >= '0' && c <= '9'; });
+  if (colon == std::string_view::npos || colon == 0) return false;
+  const std::string_view port = text.substr(colon + 1);
+  return !port.empty() && port.size() <= kMaxPortDigits &&
+         std::all_of(port.begin(), port.end(), [](char digit) { return digit >= '0' && digit <= '9'; });
 }
 
-}  // namespace
-
-Descriptors SplitDescriptors(std::size_t all) {
-  const std::size_t free = all > kOwnDescriptors ? all - kOwnDescriptors : 2;
-  Descriptors split;
-  const std::size_t silent = std::max<std::size_t>(kSilentOwners, all / 8);
-  split.owners = std::clamp<std::size_t>(all / 3 + silent, 1, std::max<std::size_t>(1, free / 3 * 2));
-  split.machines = std::max<std::size_t>(1, free - std::min(free, split.owners));
-  return split;
+// The JSON type of a member, for error messages.
+std::string TypeOf(const json& object, const char* key) {
+  const auto it = object.find(key);
+  return it == object.end() ? "nothing" : it->type_name();
 }
 
-std::string LayOutSettings(const json& settings) {
-  std::string lines;
-  LayOut(settings, "", 0, &lines);
-  return lines;
+tl::expected<json, ConfigError> ParseObject(std::string_view text) {
+  if (text.size() > kMaxConfigBytes) {
+    return tl::unexpected<ConfigError>(
+        {Code::kTooLong, "LB_CONFIG", "expected at most 8 MiB", std::to_string(text.size()) + " bytes"});
+  }
+  json object = json::parse(text, nullptr, false);
+  if (!object.is_object()) {
+    return tl::unexpected<ConfigError>(
+        {Code::kNotAnObject, "LB_CONFIG", "expected a JSON object", object.type_name()});
+  }
+  return object;
 }
 
-PlatformConfig ReadPlatformConfig(std::string_view text, const char* name, const char* listen) {
-  PlatformConfig config;
-  const auto bad = [&](const std::string& what) { config.errors.push_back(what); };
-  if (text.size() > kMaxConfigBytes) {
-    bad("LB_CONFIG: expected at most 8 MiB");
-    return config;
+// Reads the members of the configuration's object one after the other.
+class ConfigReader {
+ public:
+  ConfigReader(const json& object, PlatformConfig* config) : object_(object), config_(config) {}
+
+  // `replacement` takes the place of the member; null or empty: it does not.
+  void ReadText(const char* key, const char* replacement, std::string* text) {
+    if (replacement != nullptr && *replacement != '\0') {
+      *text = replacement;
+    } else if (const auto it = object_.find(key); it != object_.end() && it->is_string()) {
+      *text = it->get<std::string>();
+    }
+    if (text->empty()) Fail(Code::kBadText, key, "a string", TypeOf(object_, key));
   }
-  const json read = json::parse(text, nullptr, false);
-  if (!read.is_object()) {
-    bad("LB_CONFIG: expected a JSON object");
-    return config;
+
+  void ReadAddress(const char* key, const char* replacement, std::string* address) {
+    ReadText(key, replacement, address);
+    if (!address->empty() && !IsAddress(*address)) {
+      Fail(Code::kBadAddress, key, "IP:PORT", Quote(*address));
+    }
   }
-  const auto take_text = [&](const char* key, const char* over, std::string* to) {
-    if (over != nullptr && *over != '\0') {
-      *to = over;
-    } else if (const auto it = read.find(key); it != read.end() && it->is_string()) {
-      *to = it->get<std::string>();
+
+  void ReadSeed() {
+    const auto it = object_.find("seed");
+    const std::string text = it != object_.end() && it->is_string() ? it->get<std::string>() : "";
+    if (!ReadHex(text, kHexDigits, &config_->seed)) {
+      Fail(Code::kBadNumber, "seed", "16 hex digits", text.empty() ? TypeOf(object_, "seed") : Quote(text));
     }
-    if (to->empty()) bad(std::string(key) + ": expected a string");
-  };
-  const auto take_address = [&](const char* key, const char* over, std::string* to) {
-    take_text(key, over, to);
-    if (!to->empty() && !IsAddress(*to)) bad(std::string(key) + ": expected IP:PORT, got '" + *to + "'");
-  };
-  take_text("name", name, &config.name);
-  take_address("listen", listen, &config.listen);
-  take_address("changelog", nullptr, &config.change_log);
-
-  std::string seed;
-  if (const auto it = read.find("seed"); it != read.end() && it->is_string()) seed = it->get<std::string>();
-  if (!ReadHex(seed, 16, &config.seed)) bad("seed: expected 16 hex digits");
-
-  const auto limits = read.find("limits");
-  const auto take_limit = [&](const char* key, std::size_t* to) {
-    const bool object = limits != read.end() && limits->is_object();
-    const auto it = object ? limits->find(key) : read.end();
-    if (!object || it == limits->end() || !it->is_number() || it->get<double>() < 1 ||
-        it->get<double>() > 1e9) {
-      return bad("limits." + std::string(key) + ": expected a number of 1 or more");
+  }
+
+  void ReadLimit(const char* key, std::size_t* limit) {
+    const auto limits = object_.find("limits");
+    const json member =
+        limits != object_.end() && limits->is_object() && limits->contains(key) ? (*limits)[key] : json();
+    const double value = member.is_number() ? member.get<double>() : 0.0;
+    if (value < 1 || value > kMaxLimit) {
+      return Fail(Code::kBadNumber, "limits." + std::string(key), "a number of 1 or more",
+                  member.is_null() ? "nothing" : Quote(member.dump()));
     }
-    *to = static_cast<std::size_t>(it->get<double>());
-  };
-  take_limit("memory_mb", &config.memory_mb);
-  take_limit("sockets", &config.sockets);
-
-  const auto known = read.find("known");
-  bool gap = false;
-  if (known == read.end() || !ReadChanges(*known, 0, &config.known, &config.known_last, &gap) || gap) {
-    bad("known: expected the events of the change log, from the first on, as {\"seq\":N,\"results\":[...]}");
+    *limit = static_cast<std::size_t>(value);
   }
 
-  const auto settings = read.find("settings");
-  if (settings == read.end() || !settings->is_object()) {
-    bad("settings: expected an object");
-    return config;
+  void ReadKnownEvents() {
+    const char* const expected =
+        "the events of the change log, from the first on, as {\"seq\":N,\"results\":[...]}";
+    const auto known = object_.find("known");
+    if (known == object_.end()) return Fail(Code::kBadEvents, "known", expected, "nothing");
+    auto events = ReadNodeListEvents(*known, 0);
+    if (!events) return Fail(Code::kBadEvents, "known", expected, Describe(events.error()));
+    if (events->gap) return Fail(Code::kBadEvents, "known", expected, "a gap in their numbers");
+    config_->known = std::move(events->changes);
+    config_->known_last = events->last;
   }
-  try {
-    config.wire = settings::ParseSettings(LayOutSettings(*settings));
-  } catch (const settings::SettingsError& error) {
-    bad(std::string("settings: ") + error.what());
-    return config;
+
+  void ReadSettings() {
+    const auto it = object_.find("settings");
+    if (it == object_.end() || !it->is_object()) {
+      return Fail(Code::kBadSettings, "settings", "an object", TypeOf(object_, "settings"));
+    }
+    try {
+      config_->wire = settings::ParseSettings(LayOutSettings(*it));
+    } catch (const settings::SettingsError& error) {
+      config_->errors.push_back({Code::kBadSettings, "settings", error.what(), ""});
+      return;
+    }
+    CheckSettings();
+  }
+
+ private:
+  // What the daemon needs beyond what any user of the settings does.
+  void CheckSettings() {
+    const settings::WireSettings& wire = config_->wire;
+    const auto require = [this](bool holds, const char* key, const char* expected) {
+      if (!holds) Fail(Code::kBadSettings, key, expected, "");
+    };
+    require(!wire.settings.classes.empty(), "settings.profiles", "at least one class");
+    for (const std::string& name : wire.class_names) {
+      require(!name.empty(), "settings.profiles[].name", "a name");
+    }
+    require(!wire.kind_names.empty(), "settings.kinds", "the names of the kinds of nodes");
+    require(!wire.zone_names.empty(), "settings.failure_domains", "the names of the zones");
+    require(!wire.settings.list_on_request, "settings.discovery", "push, the change log's way");
   }
-  if (config.wire.settings.classes.empty()) bad("settings.profiles: expected at least one class");
-  for (const std::string& one : config.wire.class_names) {
-    if (one.empty()) bad("settings.profiles[].name: expected a name");
+
+  void Fail(Code code, std::string key, const char* expected, std::string got) {
+    config_->errors.push_back({code, std::move(key), std::string("expected ") + expected, std::move(got)});
+  }
+
+  const json& object_;
+  PlatformConfig* const config_;
+};
+
+}  // namespace
+
+DescriptorShares SplitDescriptors(std::size_t total) {
+  const std::size_t free = total > kOwnDescriptors ? total - kOwnDescriptors : kMinDescriptors;
+  const std::size_t silent = std::max(kMinSilentClients, total / kSilentClientsDivisor);
+  const std::size_t max_clients = std::max<std::size_t>(1, free / 3 * 2);
+  DescriptorShares shares;
+  shares.clients = std::clamp<std::size_t>(total / kClientsDivisor + silent, 1, max_clients);
+  shares.nodes = std::max<std::size_t>(1, free - std::min(free, shares.clients));
+  return shares;
+}
+
+std::string Describe(const ConfigError& error) {
+  return error.key + ": " + error.expected + (error.got.empty() ? "" : ", got " + error.got);
+}
+
+std::string LayOutSettings(const json& settings) {
+  std::string lines;
+  LayOutValue(settings, "", 0, &lines);
+  return lines;
+}
+
+PlatformConfig ReadPlatformConfig(std::string_view text, const char* name, const char* listen) {
+  PlatformConfig config;
+  const auto object = ParseObject(text);
+  if (!object) {
+    config.errors.push_back(object.error());
+    return config;
   }
-  if (config.wire.kind_names.empty()) bad("settings.kinds: expected the names of the kinds of machines");
-  if (config.wire.zone_names.empty()) bad("settings.failure_domains: expected the names of the zones");
-  if (config.wire.settings.list_on_request) bad("settings.discovery: expected push, the change log's way");
+  ConfigReader reader(*object, &config);
+  reader.ReadText("name", name, &config.name);
+  reader.ReadAddress("listen", listen, &config.listen);
+  reader.ReadAddress("changelog", nullptr, &config.change_log);
+  reader.ReadSeed();
+  reader.ReadLimit("memory_mb", &config.memory_mb);
+  reader.ReadLimit("sockets", &config.sockets);
+  reader.ReadKnownEvents();
+  reader.ReadSettings();
   return config;
 }
 
-std::string ReadChangeLogAddress(std::string_view text, std::string* error) {
-  const json read = text.size() > kMaxConfigBytes ? json() : json::parse(text, nullptr, false);
-  const auto it = read.is_object() ? read.find("changelog") : read.end();
-  if (!read.is_object()) {
-    *error = "expected a JSON object of at most 8 MiB";
-  } else if (it == read.end() || !it->is_string() || !IsAddress(it->get_ref<const std::string&>())) {
-    *error = "changelog: expected IP:PORT";
-  } else {
-    return it->get<std::string>();
+tl::expected<std::string, ConfigError> ReadChangeLogAddress(std::string_view text) {
+  const auto object = ParseObject(text);
+  if (!object) return tl::unexpected(object.error());
+  const auto it = object->find("changelog");
+  if (it == object->end() || !it->is_string() || !IsAddress(it->get_ref<const std::string&>())) {
+    return tl::unexpected<ConfigError>({Code::kBadAddress, "changelog", "expected IP:PORT", ""});
   }
-  return "";
+  return it->get<std::string>();
 }
 
 }  // namespace mountflow::platform
--- a/src/platform/platform_config.hpp
+++ b/src/platform/platform_config.hpp
@@ -1,14 +1,14 @@
-// The platform's configuration: what LB_CONFIG holds, with LB_NAME and LB_LISTEN over it. Sans-I/O: text in,
-// values or named errors out. `settings` is the object of the simulator's first message, nested; it is laid
-// out as that message's path=value lines and read by the one table of keys in settings/.
-//
-// Bounds: a text of kMostConfig bytes. Descriptors are split here: see SplitDescriptors.
+// The configuration of the platform daemon: the JSON text that LB_CONFIG names, with LB_NAME and LB_LISTEN in
+// place of its `name` and `listen`. Text in, values or errors out; no I/O.
 #ifndef MOUNTFLOW_PLATFORM_PLATFORM_CONFIG_HPP_
 #define MOUNTFLOW_PLATFORM_PLATFORM_CONFIG_HPP_
 
+#include <cstddef>
+#include <cstdint>
 #include <nlohmann/json_fwd.hpp>
 #include <string>
 #include <string_view>
+#include <tl/expected.hpp>
 #include <vector>
 
 #include "platform/node_watch.hpp"
@@ -18,33 +18,62 @@
 
 inline constexpr std::size_t kMaxConfigBytes = 8 << 20;
 
-// Of all descriptors the process may hold. Owners hold at most a third by right; the rest of their part, an
-// eighth of all and at least kSilentOwners (as many as a turn accepts), is for what connects and says
-// nothing, so that it never takes the place of an owner. Machines have what is left, a third at least: a
-// machine that holds tasks and has no connection is asked in turn, at the price of one more connection each
-// time.
-inline constexpr std::size_t kSilentOwners = 64;
-struct Descriptors {
-  std::size_t machines = 0, owners = 0;
+// Connections of clients that have not sent a message yet: at least as many as one turn of the event loop
+// accepts, so that they never take the place of a client that has.
+inline constexpr std::size_t kMinSilentClients = 64;
+
+// How the file descriptors of the process are shared out, as limits on connections.
+struct DescriptorShares {
+  std::size_t nodes = 0;
+  std::size_t clients = 0;
+};
+
+// Shares out `total` descriptors. Clients get a third, and an eighth or kMinSilentClients for connections
+// that have not sent a message yet. Nodes get what is left, at least a third: a node that runs tasks and has
+// no connection is checked in turn, at the price of one connection more each time.
+DescriptorShares SplitDescriptors(std::size_t total);
+
+// What is wrong with one key.
+struct ConfigError {
+  enum class Code {
+    kTooLong,      // the whole text
+    kNotAnObject,  // the whole text
+    kBadText,      // absent, empty or not a string
+    kBadAddress,   // not IP:PORT
+    kBadNumber,    // absent, not a number or out of range
+    kBadEvents,    // `known`
+    kBadSettings   // a key of `settings`
+  };
+  Code code = Code::kBadText;
+  std::string key;       // path in the file, "limits.sockets"; LB_CONFIG: the whole text
+  std::string expected;  // "expected 16 hex digits", or what the settings' parser says
+  std::string got;       // quoted, or a JSON type; empty where `expected` says all
 };
-Descriptors SplitDescriptors(std::size_t all);
+
+// "limits.sockets: expected a number of 1 or more, got nothing"
+std::string Describe(const ConfigError& error);
 
 struct PlatformConfig {
-  std::string name, listen, change_log;
+  std::string name, listen;
+  std::string change_log;  // address of the service that lists the nodes
   std::uint64_t seed = 0;
   std::size_t memory_mb = 32, sockets = 256;
-  std::vector<NodeListChange> known;
+  std::vector<NodeListChange> known;  // node list events up to known_last
   std::uint64_t known_last = 0;
   settings::WireSettings wire;
-  std::vector<std::string> errors;  // each names the key and what was expected
+  std::vector<ConfigError> errors;  // the configuration must not be used unless this is empty
   bool ok() const { return errors.empty(); }
 };
 
+// `name` and `listen` take the place of the text's keys; null or empty: they do not. All errors found are
+// reported, save those hidden by a larger one (a text that is not JSON, settings that cannot be read).
 PlatformConfig ReadPlatformConfig(std::string_view text, const char* name, const char* listen);
-// What a new configuration may change while running. Empty, with the reason: it cannot be used.
-std::string ReadChangeLogAddress(std::string_view text, std::string* error);
 
-// The nested object as the lines of the simulator's first message.
+// The part of a configuration that may change while the daemon runs.
+tl::expected<std::string, ConfigError> ReadChangeLogAddress(std::string_view text);
+
+// Lays out the nested object `settings` as path=value lines, the form that settings::ParseSettings() reads:
+//   {"profiles":[{"name":"batch"}],"kinds":["big"]}  ->  profiles.count=1, profiles.0.name=batch, kinds=big
 std::string LayOutSettings(const nlohmann::json& settings);
 
 }  // namespace mountflow::platform
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -21,7 +21,7 @@
 
 platform::NodeConnectionOptions LinksOf(const platform::PlatformConfig& config) {
   platform::NodeConnectionOptions options;
-  options.most_connections = platform::SplitDescriptors(config.sockets).machines;
+  options.most_connections = platform::SplitDescriptors(config.sockets).nodes;
   if (config.wire.connect_timeout > 0) options.connect_timeout = config.wire.connect_timeout;
   // Well before the machine closes it: a set-up that crosses its close may have run.
   if (config.wire.conn_idle > 0) options.idle = config.wire.conn_idle / 3 * 2;
@@ -69,7 +69,7 @@
       config_file_(std::move(config_file)),
       links_(LinksOf(config), this),
       tasks_(config.wire, config.seed, &links_, config.memory_mb * (1 << 20) / 16),
-      owners_(platform::SplitDescriptors(config.sockets).owners, &tasks_, this),
+      owners_(platform::SplitDescriptors(config.sockets).clients, &tasks_, this),
       changes_(config.change_log, config.known_last, this) {}
 
 bool PlatformServer::Start(std::string* error) {
@@ -172,7 +172,9 @@
   if (!ReadFile(config_file_, &text)) {
     error = "cannot be read";
   } else {
-    address = platform::ReadChangeLogAddress(text, &error);
+    const auto read = platform::ReadChangeLogAddress(text);
+    if (read) address = *read;
+    if (!read) error = platform::Describe(read.error());
   }
   if (address.empty()) return Log("new configuration not taken: " + config_file_ + ": " + error);
   Log("new configuration: change log at " + address);
@@ -228,7 +230,9 @@
   const platform::PlatformConfig config =
       platform::ReadPlatformConfig(text, std::getenv("LB_NAME"), std::getenv("LB_LISTEN"));
   std::string().swap(text);
-  for (const std::string& error : config.errors) std::fprintf(stderr, "mountflowd: %s\n", error.c_str());
+  for (const platform::ConfigError& error : config.errors) {
+    std::fprintf(stderr, "mountflowd: %s\n", platform::Describe(error).c_str());
+  }
   if (!config.ok()) return 1;
   PlatformServer shell(&loop, config, file);
   if (!trace.empty()) {
--- a/src/platform/request_table.cpp
+++ b/src/platform/request_table.cpp
@@ -36,8 +36,8 @@
   NodeEntry entry;
   entry.node = IdOf(machine.name);
   entry.rack = machine.rack;
-  entry.zone = static_cast<unsigned>(std::max(0, IndexOf(wire_.zone_names, machine.zone)));
-  entry.kind = static_cast<unsigned>(std::max(0, IndexOf(wire_.kind_names, machine.kind)));
+  entry.zone = IndexOf(wire_.zone_names, machine.zone).value_or(0);
+  entry.kind = IndexOf(wire_.kind_names, machine.kind).value_or(0);
   entry.started_at = machine.started_at;
   entry.state = machine.status == "ready"      ? NodeState::kReady
                 : machine.status == "draining" ? NodeState::kDraining
@@ -118,12 +118,11 @@
 
 Dispatcher::Took Dispatcher::SetUp(Micros now, ConnId conn, Host host, const ClientMessage& message) {
   now_ = now;
-  Task task;
-  std::string at;
-  const char* wrong = ReadSetUp(message, wire_, now_, &task, &at);
+  const auto request = ReadLaunchRequest(message, wire_, now_);
+  const std::string& at = request ? request->running_at : request.error().running_at;
   if (at.empty()) last_asked_ = now_;
   if (by_uid_.count(message.uid) > 0) {
-    if (wrong != nullptr || at.empty()) return Took::kTwice;
+    if (!request || at.empty()) return Took::kTwice;
     // Handed over though it is held: its owner is now heard on this connection.
     One& held = tasks_.at(by_uid_.at(message.uid));
     if (held.placed) {
@@ -134,8 +133,9 @@
     }
     return Took::kRunning;
   }
-  if (wrong != nullptr) {
-    if (log_.size() < kMostLog) log_.push_back(std::string("a set-up that cannot be used: ") + wrong);
+  if (!request) {
+    if (log_.size() < kMostLog)
+      log_.push_back("a launch request that cannot be used: " + Describe(request.error()));
     Refuse(conn, message.uid, kCauseBad);
     return Took::kAsked;
   }
@@ -144,6 +144,7 @@
     if (at.empty()) Refuse(conn, message.uid, kCauseRefused);
     return Took::kAsked;
   }
+  Task task = request->task;
   task.request = ++next_;
   One& one = tasks_[task.request];
   one.uid = message.uid;
@@ -346,11 +347,11 @@
         case NodeConnectionEvent::Kind::kEnded: {
           if (event.standing != one.placed) break;
           const int cause = message.cause.value_or(kCauseFailed);
-          const AttemptResult ending = EndingOf(cause, one.placed);
+          const AttemptResult ending = ResultOfCause(cause, one.placed);
           // Moved, or ended by its owner: no release is owed.
           if (one.placed && !one.ended && ending != AttemptResult::kCancelled)
             Tell(one, ClientMessageKind::kStop, cause);
-          End(one, id, ending, CauseOf(message.Text(kSaid)), ReadReport(message), one.placed);
+          End(one, id, ending, ReadRejectionReason(message.Text(kSaid)), ReadReport(message), one.placed);
           break;
         }
         case NodeConnectionEvent::Kind::kNeverRan:
@@ -360,9 +361,10 @@
           End(one, id, AttemptResult::kLost, RejectionReason::kUnspecified, {}, false);
           break;
         case NodeConnectionEvent::Kind::kNoted: {
-          TaskProgress note{id, one.attempt, one.node, ProgressKind::kRunning, 0.0};
-          if (!ReadNoteKind(message.Text(kSaid), &note.kind)) break;
-          ReadReported(message.Text(kFigure), &note.value);
+          const auto kind = ReadProgressKind(message.Text(kSaid));
+          if (!kind) break;
+          TaskProgress note{id, one.attempt, one.node, *kind, 0.0};
+          ReadReportedNumber(message.Text(kFigure), &note.value);
           events_.push_back(note);
           Run();
           break;
@@ -447,7 +449,7 @@
 void Dispatcher::TraceTurn(const Event& event, const std::vector<Action>& actions) {
   std::string told = Describe(event);
   if (const auto* running = std::get_if<TaskRecovered>(&event)) {
-    told += " uid " + WriteHex(tasks_.at(running->task.request).uid);
+    told += " uid=" + WriteHex(tasks_.at(running->task.request).uid);
   }
   if (!told.empty()) trace_(now_, told);
   for (const Action& action : actions) {
--- a/tests/platform/platform_codec_test.cpp
+++ b/tests/platform/platform_codec_test.cpp
@@ -217,7 +217,7 @@
     json[pointer.parent_pointer()].erase(pointer.back());
     const PlatformConfig config = ReadPlatformConfig(json.dump(), nullptr, nullptr);
     bool found = false;
-    for (const std::string& error : config.errors) found |= error.rfind(expected, 0) == 0;
+    for (const ConfigError& error : config.errors) found |= Describe(error).rfind(expected, 0) == 0;
     EXPECT_TRUE(found) << path;
   }
   auto json = nlohmann::json::parse(kPlatformConfig);
@@ -225,19 +225,19 @@
   EXPECT_FALSE(ReadPlatformConfig(json.dump(), nullptr, nullptr).ok());
   EXPECT_FALSE(ReadPlatformConfig("{", nullptr, nullptr).ok());
   EXPECT_EQ(ReadPlatformConfig(kPlatformConfig, "n9", "127.0.0.1:9").listen, "127.0.0.1:9");
-  std::string error;
-  EXPECT_EQ(ReadChangeLogAddress(R"({"changelog":"1.2.3.4:5"})", &error), "1.2.3.4:5");
-  EXPECT_EQ(ReadChangeLogAddress(R"({"changelog":"1.2.3.4"})", &error), "");
-  EXPECT_EQ(error, "changelog: expected IP:PORT");
+  EXPECT_EQ(ReadChangeLogAddress(R"({"changelog":"1.2.3.4:5"})"), "1.2.3.4:5");
+  const auto address = ReadChangeLogAddress(R"({"changelog":"1.2.3.4"})");
+  ASSERT_FALSE(address.has_value());
+  EXPECT_EQ(Describe(address.error()), "changelog: expected IP:PORT");
 }
 
 // The smallest limits: a third of 256 is the owners' by right, and as much again is for those that say
 // nothing.
 TEST(PlatformConfig, DescriptorsAreSplit) {
-  const Descriptors split = SplitDescriptors(256);
-  EXPECT_GE(split.owners, 256u / 3 + 64);
-  EXPECT_GE(split.machines, 64u);
-  EXPECT_LT(split.owners + split.machines, 256u - 8);
+  const DescriptorShares split = SplitDescriptors(256);
+  EXPECT_GE(split.clients, 256u / 3 + 64);
+  EXPECT_GE(split.nodes, 64u);
+  EXPECT_LT(split.clients + split.nodes, 256u - 8);
 }
 
 // ---- The change log ----
@@ -296,7 +296,7 @@
   LogRig rig;
   const ConnId conn = rig.Up();
   rig.log.OnBytes(rig.now, conn, Reply("", 4).substr(0, 30));
-  rig.now += kAskedWait + kLate - 1;
+  rig.now += kLongPollTimeout + kReplyGracePeriod - 1;
   rig.log.Tick(rig.now);
   EXPECT_TRUE(rig.port.closed.empty());
   rig.now += 1;
@@ -346,7 +346,7 @@
     ASSERT_NE(conn, 0u);
     rig.log.OnBytes(rig.now, conn, bad);
     EXPECT_TRUE(rig.port.to.empty());
-    EXPECT_LE(rig.log.NextDue(), rig.now + kAskMost);
+    EXPECT_LE(rig.log.NextDue(), rig.now + kMaxPollDelay);
     rig.now = rig.log.NextDue();
   }
 }
--- a/tests/platform/platform_search_test.cpp
+++ b/tests/platform/platform_search_test.cpp
@@ -181,7 +181,7 @@
     if (group_ % 2 == 0) options.most_connections = 4;   // fewer than machines
     node.seen = node.port->next += 100'000 * node.life;  // no number comes again
     node.config = ReadPlatformConfig(text, nullptr, nullptr);
-    ASSERT_TRUE(node.config.ok()) << node.config.errors[0];
+    ASSERT_TRUE(node.config.ok()) << Describe(node.config.errors[0]);
     node.links = std::make_unique<NodeConnections>(options, node.port.get());
     node.tasks = std::make_unique<Dispatcher>(node.config.wire, random_(), node.links.get());
     node.owners = std::make_unique<ClientConnections>(40, node.tasks.get(), node.port.get());
--- a/tests/support/platform_fixture.hpp
+++ b/tests/support/platform_fixture.hpp
@@ -113,7 +113,7 @@
   ConnId owner = 1;
 
   PlatformRig() {
-    EXPECT_TRUE(config.ok()) << (config.errors.empty() ? "" : config.errors[0]);
+    EXPECT_TRUE(config.ok()) << (config.errors.empty() ? "" : Describe(config.errors[0]));
     tasks.Start(now, config.known);
     owners.Accept(now, owner, "10.9.0.1:5");
   }
