--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -1,5 +1,5 @@
-// HTTP/1.1 messages: parsing (http-parser) and writing, sans-I/O, for both
-// sides. Bounds: a head of kMostHead bytes, a body as the reader is told.
+// HTTP/1.1 messages, for servers and clients: an incremental reader (on http-parser), writers, URL escapes.
+// Bytes in, messages out; no I/O.
 #ifndef MOUNTFLOW_HTTP_MESSAGE_HPP_
 #define MOUNTFLOW_HTTP_MESSAGE_HPP_
 
@@ -8,6 +8,7 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <utility>
@@ -15,9 +16,13 @@
 
 namespace mountflow::http {
 
-inline constexpr std::size_t kMostHead = 32 << 10;
-inline constexpr std::size_t kMostPipelined = 64;  // requests parsed and not yet answered
+// Longest request target and header fields of one message together.
+inline constexpr std::size_t kMaxHeadBytes = 32 << 10;
 
+// Most messages that a reader holds before the first is taken from messages().
+inline constexpr std::size_t kMaxPipelined = 64;
+
+// A request or a reply.
 struct Message {
   // Requests:
   std::string method;
@@ -30,43 +35,63 @@
   std::string body;
   bool keep_alive = true;
 
+  // The value of a header; empty where it is absent.
   std::string Header(const std::string& name) const;
-  std::string Query(const std::string& name, const std::string& otherwise = "") const;
+  // The value of a query parameter.
+  std::string Query(const std::string& name, const std::string& fallback = "") const;
 };
 
-// Reads messages of one side of a connection.
+// Header fields to write: names and values, in order.
+using HeaderFields = std::vector<std::pair<std::string, std::string>>;
+
+// Reads the messages of one side of one connection. How the bytes are split between calls of Feed() makes no
+// difference. Not thread-safe.
 class Reader {
  public:
   enum class Side { kRequests, kReplies };
-  Reader(Side side, std::size_t most_body);
+
+  // `max_body` bounds the body of each message, in bytes.
+  Reader(Side side, std::size_t max_body);
   ~Reader();
   Reader(Reader&&) noexcept;
 
-  // False when the bytes are no valid HTTP or go beyond a bound; `error` says which, `status` is the fitting
-  // reply (400, 413, 431). Nothing more is read then.
+  // Returns false when the bytes are not valid HTTP or go beyond a bound: error() then says what was
+  // expected, and status() is the fitting reply (400, 413, 429, 431). Final: nothing more is read. Messages
+  // that were complete before the fault stay in messages().
   bool Feed(std::string_view bytes);
-  // Bodies of replies with this status go to `part` as they arrive, unbounded in all but never kept; the
-  // message that ends them has an empty body. Null: as usual.
+
+  // Passes the bodies of replies with this status to `part` as they arrive, without a bound and without
+  // keeping them; the message that ends such a reply has an empty body. Null: bodies are kept as usual.
   void Stream(int status, std::function<void(std::string_view)> part);
-  // The other end closed: completes a reply whose body runs to the end.
+
+  // To be called when the peer has closed the connection: completes a reply whose body runs to the end.
   void Finish();
+
+  // The messages read so far; the caller takes them from the front.
   std::deque<Message>& messages();
   const std::string& error() const;
   int status() const;
 
  private:
-  struct Impl;
+  class Impl;
   std::unique_ptr<Impl> impl_;
 };
 
-std::string WriteReply(int status, const std::vector<std::pair<std::string, std::string>>& headers,
-                       std::string_view body, bool keep_alive);
-std::string WriteRequest(const std::string& method, const std::string& target,
-                         const std::vector<std::pair<std::string, std::string>>& headers,
+// A reply with its Content-Length; with `Connection: close` unless `keep_alive`.
+std::string WriteReply(int status, const HeaderFields& headers, std::string_view body, bool keep_alive);
+
+// A request with its Content-Length. `target` is escaped already.
+std::string WriteRequest(const std::string& method, const std::string& target, const HeaderFields& headers,
                          std::string_view body);
+
+// The reason phrase of a status, "Not Found"; "Unknown" where it has none.
 const char* Phrase(int status);
-bool DecodeUrl(std::string_view text, std::string* decoded);
-std::string EncodeUrl(std::string_view text);  // all but letters, digits and -._~/
+
+// Replaces each %XX by its byte. Empty: an escape is malformed.
+std::optional<std::string> DecodeUrl(std::string_view text);
+
+// Escapes all but letters, digits and -._~/
+std::string EncodeUrl(std::string_view text);
 
 }  // namespace mountflow::http
 
--- a/tests/config/configuration_and_entries_test.cpp
+++ b/tests/config/configuration_and_entries_test.cpp
@@ -1,4 +1,4 @@
-// The parts at the edges: configuration, node entries, the list's store and follower, HTTP messages, script
+// The parts at the edges: configuration, node entries, the list's store and follower, script
 // directives, days.
 #include <gtest/gtest.h>
 
@@ -175,41 +175,6 @@
   EXPECT_EQ(Parse(woken[1].reader == 2 ? woken[1].reply : woken[0].reply).status, 404);
 }
 
-// ---- HTTP ----
-
-TEST(Http, PipelinedRequestsInPiecesComeOutInOrder) {
-  http::Reader reader(http::Reader::Side::kRequests, 100);
-  const std::string bytes =
-      "GET /a%20b?x=1&y=%26 HTTP/1.1\r\nHost: h\r\n\r\nPOST /c HTTP/1.1\r\nContent-Length: 3\r\n\r\nxyz";
-  for (const char c : bytes) ASSERT_TRUE(reader.Feed(std::string_view(&c, 1)));
-  ASSERT_EQ(reader.messages().size(), 2u);
-  EXPECT_EQ(reader.messages()[0].path, "/a b");
-  EXPECT_EQ(reader.messages()[0].Query("y"), "&");
-  EXPECT_EQ(reader.messages()[0].Header("host"), "h");
-  EXPECT_EQ(reader.messages()[1].body, "xyz");
-}
-
-TEST(Http, WhatIsBeyondBoundsOrAmbiguousIsRefused) {
-  const auto status = [](const std::string& bytes) {
-    http::Reader reader(http::Reader::Side::kRequests, 100);
-    EXPECT_FALSE(reader.Feed(bytes)) << bytes.substr(0, 60);
-    EXPECT_FALSE(reader.error().empty());
-    EXPECT_FALSE(reader.Feed("GET / HTTP/1.1\r\n\r\n"));
-    return reader.status();
-  };
-  EXPECT_EQ(status("GET / HTTP/1.1\r\nX: " + std::string(40'000, 'a') + "\r\n\r\n"), 431);
-  EXPECT_EQ(status("POST / HTTP/1.1\r\nContent-Length: 101\r\n\r\n"), 413);
-  EXPECT_EQ(status("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n80\r\n" + std::string(128, 'x')),
-            413);
-  EXPECT_EQ(status("POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
-            400);
-  EXPECT_EQ(status("nonsense\r\n\r\n"), 400);
-  EXPECT_EQ(status("GET /%zz HTTP/1.1\r\n\r\n"), 400);
-  std::string many;
-  for (int i = 0; i < 70; ++i) many += "GET / HTTP/1.1\r\n\r\n";
-  EXPECT_EQ(status(many), 429);
-}
-
 // ---- Commands ----
 
 TEST(Directives, EndWithTheFirstLineOfTheScriptProper) {
