--- /dev/null
+++ b/src/daemon/batch_connections.hpp
@@ -0,0 +1,49 @@
+// Carries the sessions of the PBS server over the event loop.
+//
+// Bounds: kMaxBatchConnections at a time, further ones are reset. What a peer does not read stays with its
+// session, which then is not read either (pbs_server/pbs_server.hpp).
+#ifndef MOUNTFLOW_DAEMON_BATCH_CONNECTIONS_HPP_
+#define MOUNTFLOW_DAEMON_BATCH_CONNECTIONS_HPP_
+
+#include <cstddef>
+#include <string>
+#include <string_view>
+
+#include "daemon/cpu_profile.hpp"
+#include "daemon/held_replies.hpp"
+#include "event_loop/event_loop.hpp"
+#include "pbs_server/pbs_server.hpp"
+
+namespace mountflow::daemon {
+
+inline constexpr std::size_t kMaxBatchConnections = 16'384;
+
+// Not thread-safe: used by the event loop's thread alone. The pointers must outlive it.
+class BatchConnections : public event_loop::Handler {
+ public:
+  BatchConnections(event_loop::Loop* loop, pbs_server::Front* pbs_server, HeldReplies* held_replies,
+                   CpuProfile* profile)
+      : loop_(loop), pbs_server_(pbs_server), held_replies_(held_replies), profile_(profile) {}
+
+  // Sends the output of a session, unless a turn that is not durable yet has output of it.
+  void Flush(event_loop::ConnId connection);
+  // With durable state: sends output that refers to nothing stored, and holds all other until its turn is
+  // durable.
+  void FlushOrHold(event_loop::ConnId connection);
+
+  void OnAccepted(event_loop::ListenerId listener, event_loop::ConnId connection,
+                  const event_loop::PeerInfo& info) override;
+  void OnReceived(event_loop::ConnId connection, std::string_view bytes) override;
+  void OnSent(event_loop::ConnId connection) override;
+  void OnClosed(event_loop::ConnId connection, const std::string& reason) override;
+
+ private:
+  event_loop::Loop* loop_;
+  pbs_server::Front* pbs_server_;
+  HeldReplies* held_replies_;
+  CpuProfile* profile_;
+};
+
+}  // namespace mountflow::daemon
+
+#endif  // MOUNTFLOW_DAEMON_BATCH_CONNECTIONS_HPP_
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -1,133 +1,119 @@
-// mountflowd: the thin shell around the core. It moves bytes between sockets and
-// the sans-I/O parts and decides nothing.
+// The daemon of mountflowd: builds its parts and connects them on one event loop.
+//
+// The parts decide without I/O: the job manager (jobs, attempts, the scheduler), the PBS server and the HTTP
+// front (what clients ask), the node sessions (messages to nodes), the registry clients. Classes named
+// ...Connections carry their bytes. The daemon passes messages between them after each turn of the loop, and
+// decides nothing itself.
 #ifndef MOUNTFLOW_DAEMON_DAEMON_HPP_
 #define MOUNTFLOW_DAEMON_DAEMON_HPP_
 
-#include <map>
 #include <memory>
+#include <optional>
 #include <string>
+#include <vector>
 
+#include "admission/admission.hpp"
 #include "config/config.hpp"
+#include "daemon/batch_connections.hpp"
+#include "daemon/cpu_profile.hpp"
+#include "daemon/daemon_error.hpp"
+#include "daemon/durable_state.hpp"
+#include "daemon/event_log.hpp"
+#include "daemon/held_replies.hpp"
+#include "daemon/http_connections.hpp"
 #include "daemon/http_front.hpp"
-#include "discovery/client.hpp"
-#include "discovery/registrar.hpp"
-#include "discovery/registrar_link.hpp"
+#include "daemon/node_connections.hpp"
+#include "daemon/node_list_source.hpp"
+#include "daemon/registry_group.hpp"
+#include "daemon/turn_committer.hpp"
 #include "event_loop/event_loop.hpp"
-#include "http/message.hpp"
 #include "job_manager/job_manager.hpp"
-#include "membership/membership.hpp"
 #include "node_sessions/node_sessions.hpp"
 #include "pbs_server/pbs_server.hpp"
-#include "storage/committer.hpp"
-#include "storage/gate.hpp"
 #include "tls/keys.hpp"
 
-namespace spdlog {
-class logger;
-}
-
 namespace mountflow::daemon {
 
-// Time spent in each part, nanoseconds of the process's CPU; for measurements.
-struct Spent {
-  std::uint64_t front = 0, links = 0, core = 0, module = 0, total = 0;
-};
-
+// Not thread-safe: used by the event loop's thread alone, which must outlive it. Its fields are many because
+// it holds each part once; they are declared, and so built, in the order in which they use each other.
 class Daemon {
  public:
-  Daemon(event_loop::Loop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> log);
+  Daemon(event_loop::Loop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> logger);
   ~Daemon();
+  Daemon(const Daemon&) = delete;
+  Daemon& operator=(const Daemon&) = delete;
 
-  // Listens; false with the reason when an address cannot be had.
-  bool Start(std::string* error);
-  // Takes no further jobs, waits for the answers owed (config.stop_grace), then stops the loop.
+  // Loads the TLS keys, listens, and restores the stored state. After an error the daemon must not run.
+  [[nodiscard]] DaemonStatus Start();
+  // Graceful shutdown: accepts no further jobs, waits for the final answers of those that are queued, for
+  // config.stop_grace at most, then stops the loop.
   void Stop();
-  int batch_port() const;
-  int http_port() const;
-  job_manager::JobManager& core() { return core_; }
-  void Reload() { keys_.LookNow(); }  // the key files
-  void MeasureParts();
-  Spent spent() const;
+  // Loads the TLS key files again.
+  void ReloadKeys() { tls_keys_.LookNow(); }
+
+  // Ports that Start listens on; 0 when it does not.
+  [[nodiscard]] int batch_port() const { return loop_->PortOf(batch_listener_); }
+  [[nodiscard]] int http_port() const { return loop_->PortOf(http_listener_); }
+
+  // Counts the CPU time of the parts from now on.
+  void EnableCpuProfile();
+  [[nodiscard]] CpuTimes cpu_times() const;
 
  private:
-  class BatchSide;
-  class HttpSide;
-  class LinkSide;
-  class ListSide;
-  void Pump();
-  // ---- Durable state: what a turn says goes out once its records are on disk ----
-  struct HttpReply {
-    event_loop::ConnId conn = 0;
-    std::string bytes;
-    bool close = false;
-  };
-  struct Held {
-    std::vector<node_sessions::LinkAction> actions;
-    std::vector<event_loop::ConnId> touched;
-    std::vector<HttpReply> http;
-    Micros since = 0;
-  };
-  bool OpenStorage(std::string* error);
-  void Say(HttpReply reply, bool nothing_kept);
-  void Send(const HttpReply& reply);
-  bool Hold();     // true when something went out that may bring more to do
-  bool Release();  // the same
-  void CheckStorage();
-  bool OpenLedger(std::string* error);
-  void PostUse(const job_manager::Used& used);
-  bool TakeLedgerRecord(std::string_view record, std::string* expected);
-  void Carry(const job_manager::Output& output);
-  void Log(const job_manager::LogEntry& entry);
-  void Rearm();
+  // ---- Start ----
+  [[nodiscard]] DaemonStatus Listen();
+  [[nodiscard]] DaemonStatus RestoreState();
+  void LogStarted();
+
+  // ---- The turn ----
+  void AfterTurn();
+  void PollTlsKeys();
   void PollGroup();
-  void Remember();  // writes the last view to disk, now and then
-  void Recall();    // and reads it at the start
-  bool Owes() const;
-  pbs_server::Peer PeerOf(const event_loop::PeerInfo& info) const;
+  void ExchangeUntilQuiet();
+  [[nodiscard]] bool ExchangeMessages();
+  [[nodiscard]] bool AdmitSubmissions();
+  [[nodiscard]] bool DeliverReplies();
+  void DispatchOutputs(const std::vector<job_manager::Output>& outputs);
+  void Dispatch(const job_manager::Output& output);
+  void SendNodeActions();
+  void RearmTimer();
+  void RunTimers();
+
+  // ---- Graceful shutdown ----
+  [[nodiscard]] bool IsShutdownComplete() const;
+  void FinishShutdown();
 
   event_loop::Loop* loop_;
-  config::DaemonConfig config_;
-  std::shared_ptr<spdlog::logger> log_;
-  job_manager::JobManager core_;
-  admission::Door door_;
-  pbs_server::Front front_;
-  HttpFront http_;
-  node_sessions::NodeLinks links_;
-  discovery::RegistryClient list_;
-  discovery::RegistryClient others_;  // the daemons' entries; used where the group comes from the registry
-  discovery::Registrar own_entry_;
-  membership::Group group_;
-  std::unique_ptr<BatchSide> batch_side_;
-  std::unique_ptr<HttpSide> http_side_;
-  std::unique_ptr<LinkSide> link_side_;
-  std::unique_ptr<ListSide> list_side_, others_side_;
-  tls::Keys keys_;  // to the registry
-  std::unique_ptr<discovery::RegistrarLink> own_entry_side_;
-  event_loop::ListenerId batch_listener_ = 0, http_listener_ = 0;
-  std::unique_ptr<storage::PosixFiles> files_;
-  std::unique_ptr<storage::Committer> committer_;
-  int durable_fd_ = -1;
-  Held now_held_;  // of this turn
-  storage::Gate gate_;
-  std::map<std::uint64_t, Held> held_;                      // by the gate's number
-  std::map<event_loop::ConnId, std::size_t> http_behind_;   // replies of HTTP connections that are held
-  std::map<event_loop::ConnId, std::uint64_t> touched_in_;  // the newest of held_ that has it
-  // The ledger has a log of its own. Its records go through the jobs' log first, in the commit that takes the
-  // end of the attempt, and count at a start where the ledger's log lacks them: so neither can be lost alone.
-  ledger::Book book_;
-  ledger::Outbox outbox_;
-  std::unique_ptr<storage::Committer> ledger_committer_;
-  std::uint64_t ledger_turn_ = 0;
-  std::vector<std::string> ledger_records_;  // of this turn
-  bool stopping_ = false, measure_ = false;
-  Micros stop_at_ = 0, remembered_at_ = 0;
-  bool view_changed_ = false;
-  Spent spent_;
-};
+  const config::DaemonConfig config_;
+  EventLog log_;
+  CpuProfile cpu_profile_;
+  job_manager::JobManager job_manager_;
+  admission::Door admission_;
+
+  // Registry.
+  tls::Keys tls_keys_;  // for connections to the registry
+  NodeListSource node_list_;
+  std::optional<RegistryGroup> group_;  // where the group comes from the registry
+
+  // Protocols.
+  pbs_server::Front pbs_server_;
+  HttpFront http_front_;
+  node_sessions::NodeLinks node_sessions_;
 
-// Writes JSON lines: {"time":..,"level":..,"event":..,"job":..,"attempt":..,"node":..,"text":..}.
-std::shared_ptr<spdlog::logger> MakeLog(const std::string& file, const std::string& level,
-                                        std::string* error);
+  // State on disk, and what waits for it.
+  DurableState durable_state_;
+  HeldReplies held_replies_;
+
+  // Connections.
+  NodeConnections node_connections_;
+  BatchConnections batch_connections_;
+  HttpConnections http_connections_;
+  event_loop::ListenerId batch_listener_ = 0;
+  event_loop::ListenerId http_listener_ = 0;
+
+  TurnCommitter turn_committer_;
+  std::optional<Micros> shutdown_deadline_;  // from Stop on
+};
 
 }  // namespace mountflow::daemon
 
--- /dev/null
+++ b/src/daemon/durable_state.cpp
@@ -0,0 +1,154 @@
+#include "daemon/durable_state.hpp"
+
+#include <iterator>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "job_manager/journal.hpp"
+#include "storage/log.hpp"
+
+namespace mountflow::daemon {
+namespace {
+
+constexpr char kLogName[] = "jobs";
+
+storage::GateOptions GateOptionsOf(const config::DaemonConfig& config) {
+  storage::GateOptions options;
+  options.snapshot_after = config.storage_snapshot;
+  return options;
+}
+
+DaemonError StorageFailure(const std::string& place, const std::string& detail) {
+  return {DaemonErrorCode::kStorage, place, detail};
+}
+
+// Hands the records of the jobs' log to the job manager and the ledger, up to the first that is not valid.
+class JobsReplay {
+ public:
+  JobsReplay(job_manager::JobManager* job_manager, UsageLedger* ledger)
+      : job_manager_(job_manager), ledger_(ledger) {}
+
+  void ApplySnapshot(std::uint64_t sequence, std::string_view state) {
+    const bool whole =
+        job_manager::ForEachRecord(state, [this](std::string_view record) { return ApplyRecord(record); });
+    if (!whole && expected_.empty()) expected_ = "whole records";
+    if (!expected_.empty()) SetPlace("snapshot at " + std::to_string(sequence));
+  }
+
+  void ApplyLogRecord(std::uint64_t sequence, std::string_view record) {
+    if (!expected_.empty()) return;
+    if (!ApplyRecord(record)) SetPlace("record " + std::to_string(sequence));
+  }
+
+  // Where a record was not valid and what was expected there; empty: all were.
+  [[nodiscard]] const std::string& failure() const { return expected_; }
+
+ private:
+  bool ApplyRecord(std::string_view record) {
+    if (!UsageLedger::IsLedgerRecord(record)) return job_manager_->Restore(record, &expected_);
+    const DaemonStatus applied = ledger_->Replay(record);
+    if (!applied) expected_ = applied.error().detail;
+    return applied.has_value();
+  }
+
+  void SetPlace(const std::string& place) { expected_ = place + ": expected " + expected_; }
+
+  job_manager::JobManager* job_manager_;
+  UsageLedger* ledger_;
+  std::string expected_;
+};
+
+}  // namespace
+
+DurableState::DurableState(const config::DaemonConfig& config, event_loop::Loop* loop,
+                           job_manager::JobManager* job_manager, EventLog* log)
+    : directory_(config.storage_folder),
+      billing_(config.billing),
+      loop_(loop),
+      job_manager_(job_manager),
+      log_(log),
+      gate_(GateOptionsOf(config)),
+      ledger_(config.billing_rules, config.front.words.memory_unit, job_manager, log) {}
+
+DurableState::~DurableState() { Close(); }
+
+DaemonStatus DurableState::Open() {
+  std::string error;
+  files_ = storage::PosixFiles::Open(directory_, &error);
+  if (!files_) return tl::unexpected(StorageFailure("", error));
+  signal_.emplace();
+  const auto notify = [this] { signal_->Notify(); };
+  if (billing_) {
+    DaemonStatus opened = ledger_.Open(files_.get(), directory_, notify);
+    if (!opened) return opened;
+  }
+  storage::LogOptions options;
+  options.name = kLogName;
+  auto jobs_log = std::make_unique<storage::Log>(files_.get(), options);
+  DaemonStatus replayed = ReplayJobs(jobs_log.get());
+  if (!replayed) return replayed;
+  if (ledger_.is_open()) ledger_.CommitPosted();
+  signal_->WatchFrom(loop_);
+  jobs_committer_ = std::make_unique<storage::Committer>(std::move(jobs_log), notify);
+  return {};
+}
+
+DaemonStatus DurableState::ReplayJobs(storage::Log* jobs_log) {
+  JobsReplay jobs(job_manager_, &ledger_);
+  storage::Replay replay;
+  replay.snapshot = [&](std::uint64_t sequence, std::string_view state) {
+    jobs.ApplySnapshot(sequence, state);
+  };
+  replay.record = [&](std::uint64_t sequence, std::string_view record) {
+    jobs.ApplyLogRecord(sequence, record);
+  };
+  std::vector<std::string> warnings;
+  std::string error;
+  const bool opened = jobs_log->Open(replay, &warnings, &error);
+  log_->WarnEach("storage", warnings);
+  if (!opened) return tl::unexpected(StorageFailure("", error));
+  if (!jobs.failure().empty()) return tl::unexpected(StorageFailure(directory_, jobs.failure()));
+  std::string expected;
+  if (!job_manager_->Restored(loop_->Now(), &expected)) {
+    return tl::unexpected(StorageFailure(directory_, expected));
+  }
+  return {};
+}
+
+void DurableState::Close() {
+  jobs_committer_.reset();
+  ledger_.Close();
+}
+
+std::optional<std::uint64_t> DurableState::CommitTurn(std::optional<std::size_t> reply_bytes) {
+  std::vector<std::string> records = job_manager_->TakeJournal();
+  std::vector<std::string> ledger_records = ledger_.RecordsForJobsLog();
+  records.insert(records.end(), std::make_move_iterator(ledger_records.begin()),
+                 std::make_move_iterator(ledger_records.end()));
+  if (records.empty() && !reply_bytes) return std::nullopt;
+  const std::uint64_t commit = jobs_committer_->Add(std::move(records));
+  if (ledger_.has_posted()) ledger_.CommitPosted();
+  if (!reply_bytes) return std::nullopt;
+  return gate_.Hold(commit, *reply_bytes);
+}
+
+std::optional<std::uint64_t> DurableState::NextDurableTurn() { return gate_.Next(); }
+
+void DurableState::UpdateStatus() {
+  const storage::CommitStatus jobs = jobs_committer_->Status();
+  if (ledger_.is_open()) {
+    const storage::CommitStatus ledger = ledger_.Status();
+    gate_.Saw(jobs, &ledger, ledger_.last_commit());
+  } else {
+    gate_.Saw(jobs, nullptr, 0);
+  }
+  log_->WarnEach("storage", gate_.TakeComplaints());
+  job_manager_->RefuseNew(gate_.Refusal());
+}
+
+void DurableState::WriteSnapshotIfDue(Micros now) {
+  if (gate_.SnapshotDue(now)) jobs_committer_->Snapshot(job_manager_->Snapshot());
+}
+
+}  // namespace mountflow::daemon
--- a/src/daemon/http_front.cpp
+++ b/src/daemon/http_front.cpp
@@ -1,279 +1,309 @@
 #include "daemon/http_front.hpp"
 
 #include <algorithm>
+#include <cstdint>
 #include <nlohmann/json.hpp>
+#include <utility>
+
+#include "daemon/http_submission.hpp"
+#include "daemon/path_pattern.hpp"
+#include "pbs_protocol/protocol.hpp"
+#include "pbs_server/attribute_mapping.hpp"
 
 namespace mountflow::daemon {
 namespace {
 
 using nlohmann::json;
-constexpr std::uint64_t kMostPage = 1000;
-const std::string kJobs = "/v1/jobs";
 
-std::string Reply(const http::Message& request, int status, const json& body) {
-  return http::WriteReply(status, {{"Content-Type", "application/json"}},
-                          body.dump(-1, ' ', false, json::error_handler_t::replace) + "\n",
-                          request.keep_alive);
+constexpr std::uint64_t kDefaultPageSize = 100;  // jobs
+constexpr std::uint64_t kMaxPageSize = 1000;
+constexpr char kUserHold[] = "u";  // the hold type of the batch protocol
+
+tl::unexpected<HttpProblem> Fail(HttpStatus status, std::string detail) {
+  return tl::unexpected(HttpProblem{status, std::move(detail)});
 }
 
-std::string Problem(const http::Message& request, int status, const std::string& detail, Micros wait = 0) {
-  const json body = {{"title", http::Phrase(status)}, {"status", status}, {"detail", detail}};
-  std::vector<std::pair<std::string, std::string>> headers = {{"Content-Type", "application/problem+json"}};
-  if (wait != 0) headers.emplace_back("Retry-After", std::to_string((wait + 999'999) / 1'000'000));
-  return http::WriteReply(status, headers, body.dump(-1, ' ', false, json::error_handler_t::replace) + "\n",
-                          request.keep_alive);
+tl::unexpected<HttpProblem> FailUnknownPath() { return Fail(HttpStatus::kNotFound, "no such path"); }
+
+json NodeListStatusToJson(const discovery::ViewStatus& status) {
+  return {{"known", status.known},
+          {"current", status.current},
+          {"endpoint", status.endpoint},
+          {"revision", status.revision},
+          {"age_us", status.age},
+          {"nodes", status.nodes},
+          {"rereads", status.rereads},
+          {"breaks", status.breaks},
+          {"compactions", status.compactions},
+          {"new_histories", status.new_histories},
+          {"skipped", status.skipped},
+          {"emptied", status.emptied}};
 }
 
-int StatusOf(job_manager::Verdict verdict) {
-  switch (verdict) {
-    case job_manager::Verdict::kOk:
-      return 200;
-    case job_manager::Verdict::kUnknownJob:
-      return 404;
-    case job_manager::Verdict::kPermission:
-      return 403;
-    case job_manager::Verdict::kBadState:
-    case job_manager::Verdict::kNotRunning:
-    case job_manager::Verdict::kExists:
-      return 409;
-    case job_manager::Verdict::kBadValue:
-      return 400;
-    case job_manager::Verdict::kFull:
-    case job_manager::Verdict::kStopping:
-      return 503;
-  }
-  return 500;
+json JobCountsToJson(const job_manager::Counts& counts) {
+  return {{"queued", counts.queued},   {"held", counts.held},       {"waiting", counts.waiting},
+          {"running", counts.running}, {"exiting", counts.exiting}, {"complete", counts.complete}};
 }
 
-json Show(const job_manager::JobManager& core, const job_manager::Job& job,
-          const pbs_server::Vocabulary& words) {
-  json j = {{"id", core.IdOf(job.number)}};
-  for (const pbs_protocol::Attribute& a : pbs_server::ForStatus(core, job, words)) {
-    if (a.resource.empty()) {
-      j[a.name] = a.value;
-    } else {
-      j[a.name][a.resource] = a.value;
-    }
+json NodeToJson(NodeId id, const job_manager::ListedNode& node) {
+  return {{"name", node.name},
+          {"machine", id},
+          {"address", node.address},
+          {"rack", node.rack},
+          {"room", node.room},
+          {"kind", node.kind},
+          {"started_us", node.started},
+          {"state", node.state == NodeState::kDraining ? "draining" : "ready"},
+          {"free_cores", node.free_cores},
+          {"free_memory", node.free_memory}};
+}
+
+json StatementLineToJson(const ledger::Line& line) {
+  return {{"tenant", line.tenant},
+          {"class", line.task_class},
+          {"kind", line.kind},
+          {"core_hour", line.core_hour},
+          {"gib_hour", line.gib_hour},
+          {"postings", line.sums.postings},
+          // As texts: they may be larger than the numbers of JSON.
+          {"millicore_us", ledger::ToText(line.sums.core)},
+          {"mebibyte_us", ledger::ToText(line.sums.memory)},
+          {"money", ledger::ToText(line.money)}};
+}
+
+// Which jobs a list shows.
+struct JobFilter {
+  std::string states;  // letters of job states; empty: all
+  std::string queue;   // empty: all
+  bool with_complete = false;
+
+  [[nodiscard]] bool Matches(const job_manager::Job& job) const {
+    if (!with_complete && job.state == job_manager::JobState::kComplete) return false;
+    if (!states.empty() && states.find(static_cast<char>(job.state)) == std::string::npos) return false;
+    return queue.empty() || job.spec->queue == queue;
   }
-  return j;
+};
+
+JobFilter FilterOf(const http::Message& message) {
+  JobFilter filter;
+  filter.states = message.Query("state");
+  filter.queue = message.Query("queue");
+  const char complete = static_cast<char>(job_manager::JobState::kComplete);
+  filter.with_complete =
+      message.Query("history") == "true" || filter.states.find(complete) != std::string::npos;
+  return filter;
 }
 
 }  // namespace
 
-std::string HttpFront::Handle(Micros now, const http::Message& r, const pbs_server::Peer& peer,
-                              Micros arrived) {
-  const std::string user = peer.user;
-  said_nothing_kept_ = false;
-  if (r.path == "/v1/status" && r.method == "GET") {
-    const job_manager::Counts c = core_->Count();
-    const discovery::ViewStatus v = list_->Status(now);
-    return Reply(r, 200,
-                 {{"server", core_->options().server},
-                  {"jobs",
-                   {{"queued", c.queued},
-                    {"held", c.held},
-                    {"waiting", c.waiting},
-                    {"running", c.running},
-                    {"exiting", c.exiting},
-                    {"complete", c.complete}}},
-                  {"unsettled_attempts", core_->unsettled()},
-                  {"list",
-                   {{"known", v.known},
-                    {"current", v.current},
-                    {"endpoint", v.endpoint},
-                    {"revision", v.revision},
-                    {"age_us", v.age},
-                    {"nodes", v.nodes},
-                    {"rereads", v.rereads},
-                    {"breaks", v.breaks},
-                    {"compactions", v.compactions},
-                    {"new_histories", v.new_histories},
-                    {"skipped", v.skipped},
-                    {"emptied", v.emptied}}},
-                  {"time_us", now}});
-  }
-  const std::string use =
-      "/v1/use";  // periods; /v1/use/PERIOD, restated=true: with what later postings say of it
-  if (book_ != nullptr && r.path.compare(0, use.size(), use) == 0 && r.method == "GET") {
-    if (r.path == use) {
-      json periods = json::array();
-      for (const std::string& name : book_->Periods())
-        periods.push_back({{"period", name}, {"closed", book_->IsClosed(name)}});
-      return Reply(r, 200, {{"postings", book_->last()}, {"periods", std::move(periods)}});
-    }
-    json lines = json::array();
-    for (const ledger::Line& line :
-         book_->Statement(r.path.substr(use.size() + 1), r.Query("restated") == "true")) {
-      lines.push_back({{"tenant", line.tenant},
-                       {"class", line.task_class},
-                       {"kind", line.kind},
-                       {"core_hour", line.core_hour},
-                       {"gib_hour", line.gib_hour},
-                       {"postings", line.sums.postings},
-                       {"millicore_us", ledger::ToText(line.sums.core)},  // beyond what JSON's numbers hold
-                       {"mebibyte_us", ledger::ToText(line.sums.memory)},
-                       {"money", ledger::ToText(line.money)}});
-    }
-    return Reply(r, 200, lines);
-  }
-  if (r.path == "/v1/nodes" && r.method == "GET") {
-    json nodes = json::array();
-    core_->ForEachNode([&nodes](NodeId id, const job_manager::ListedNode& n) {
-      nodes.push_back({{"name", n.name},
-                       {"machine", id},
-                       {"address", n.address},
-                       {"rack", n.rack},
-                       {"room", n.room},
-                       {"kind", n.kind},
-                       {"started_us", n.started},
-                       {"state", n.state == NodeState::kDraining ? "draining" : "ready"},
-                       {"free_cores", n.free_cores},
-                       {"free_memory", n.free_memory}});
-    });
-    return Reply(r, 200, nodes);
-  }
-  if (r.path == kJobs && r.method == "GET") return ListJobs(r);
-  if (r.path == kJobs && r.method == "POST") {
-    if (user.empty()) return Problem(r, 403, "who you are cannot be told from this connection");
-    return Submit(now, r, user, arrived);
-  }
-  if (r.path.compare(0, kJobs.size() + 1, kJobs + "/") == 0) {
-    const std::string id = r.path.substr(kJobs.size() + 1);
-    if (r.method == "GET") {
-      const job_manager::Job* job = core_->Find(core_->NumberOf(id));
-      if (job == nullptr) return Problem(r, 404, "no job " + id);
-      return Reply(r, 200, Show(*core_, *job, options_->words));
-    }
-    if (user.empty()) return Problem(r, 403, "who you are cannot be told from this connection");
-    return Manage(now, r, user);
-  }
-  return Problem(r, 404, "no such path");
+const HttpFront::Route HttpFront::kRoutes[] = {
+    {"GET", "/v1/status", false, &HttpFront::ShowStatus},
+    {"GET", "/v1/use", false, &HttpFront::ListPeriods},
+    {"GET", "/v1/use{rest...}", false, &HttpFront::ShowStatement},
+    {"GET", "/v1/nodes", false, &HttpFront::ListNodes},
+    {"GET", "/v1/jobs", false, &HttpFront::ListJobs},
+    {"POST", "/v1/jobs", true, &HttpFront::SubmitJob},
+    {"GET", "/v1/jobs/{rest...}", false, &HttpFront::ShowJob},
+    {"DELETE", "/v1/jobs/{id}", true, &HttpFront::DeleteJob},
+    {"DELETE", "/v1/jobs/{id}/", true, &HttpFront::DeleteJob},
+    {"POST", "/v1/jobs/{id}/hold", true, &HttpFront::HoldJob},
+    {"POST", "/v1/jobs/{id}/release", true, &HttpFront::ReleaseJob},
+    {"POST", "/v1/jobs/{id}/rerun", true, &HttpFront::RerunJob},
+    {"", "/v1/jobs/{rest...}", true, &HttpFront::RejectMethod},
+};
+
+HttpResponse HttpFront::Handle(Micros now, const http::Message& request, const pbs_server::Peer& peer,
+                               Micros arrived) const {
+  const JsonResult result = Answer(now, request, peer.user, arrived);
+  if (result) return {WriteJson(request, *result), true};
+  return {WriteProblem(request, result.error()), !result.error().stored_nothing};
 }
 
-std::string HttpFront::Submit(Micros now, const http::Message& r, const std::string& user, Micros arrived) {
-  const json body = json::parse(r.body, nullptr, false);
-  if (!body.is_object()) return Problem(r, 400, "expected a JSON object");
-  static const std::map<std::string, std::pair<std::string, std::string>> kNames = {
-      {"name", {"Job_Name", ""}},
-      {"account", {"Account_Name", ""}},
-      {"ncpus", {"Resource_List", "ncpus"}},
-      {"mem", {"Resource_List", "mem"}},
-      {"walltime", {"Resource_List", "walltime"}},
-      {"service", {"service", ""}},
-      {"key", {"key", ""}},
-      {"rerunnable", {"Rerunable", ""}},
-      {"priority", {"Priority", ""}},
-      {"hold", {"Hold_Types", ""}},
-      {"due", {"Execution_Time", ""}},
-      {"owner_time", {"owner_time", ""}},
-      {"repeat", {"repeat", ""}},
-      {"output", {"Output_Path", ""}},
-      {"error", {"Error_Path", ""}},
-      {"join", {"Join_Path", ""}},
-      {"variables", {"Variable_List", ""}},
-      {"life", {"life", ""}}};
-  pbs_protocol::Attributes list;
-  std::string queue;
-  job_manager::JobSpec spec;
-  spec.user = user;
-  for (const auto& [name, value] : body.items()) {
-    if (!value.is_string() && !value.is_number() && !value.is_boolean()) {
-      return Problem(r, 400, "/" + name + ": expected a string, a number, true or false");
-    }
-    const std::string text = value.is_string() ? value.get<std::string>() : value.dump();
-    if (name == "script") {
-      if (text.size() > options_->most_script) {
-        return Problem(r, 413,
-                       "/script: expected at most " + std::to_string(options_->most_script) + " bytes");
-      }
-      spec.script = text;
-    } else if (name == "queue") {
-      queue = text;
-    } else {
-      const auto known = kNames.find(name);
-      if (known == kNames.end()) return Problem(r, 400, "/" + name + ": unknown member");
-      list.push_back({known->second.first, known->second.second, text, pbs_protocol::Op::kSet});
+JsonResult HttpFront::Answer(Micros now, const http::Message& message, const std::string& user,
+                             Micros arrived) const {
+  for (const Route& route : kRoutes) {
+    if (!route.method.empty() && route.method != message.method) continue;
+    std::optional<std::string> parameter = MatchPath(route.pattern, message.path);
+    if (!parameter) continue;
+    if (route.needs_user && user.empty()) {
+      return Fail(HttpStatus::kForbidden, "who you are cannot be told from this connection");
     }
+    return (this->*route.handler)({now, arrived, message, user, std::move(*parameter)});
   }
-  const pbs_server::Problem problem = pbs_server::Read(list, queue, options_->words, false, &spec);
-  if (problem.code != pbs_protocol::Code::kNone) return Problem(r, 400, problem.text);
-  if (door_ != nullptr) {
-    admission::Asked asked;
-    asked.now = now;
-    asked.arrived = arrived;
-    asked.give_up =
-        arrived + (spec.owner_time != 0 ? spec.owner_time : core_->options().hard_limits[spec.task_class]);
-    if (spec.owner_deadline != 0) asked.give_up = std::min(asked.give_up, spec.owner_deadline);
-    asked.unanswered = core_->Count().queued;
-    const admission::Verdict verdict = door_->Ask(asked);
-    if (!verdict.admit) {
-      said_nothing_kept_ = true;
-      return Problem(r, 503, verdict.reason, verdict.wait);
-    }
-  }
-  const job_manager::Submitted done = core_->Submit(now, core_->NewJobNumber(), std::move(spec));
-  if (done.verdict == job_manager::Verdict::kExists) {
-    return Reply(r, 200, Show(*core_, *core_->Find(done.job), options_->words));
+  return FailUnknownPath();
+}
+
+// ---- Status, nodes, ledger ----
+
+JsonResult HttpFront::ShowStatus(const Request& request) const {
+  return JsonReply{HttpStatus::kOk,
+                   {{"server", job_manager_->options().server},
+                    {"jobs", JobCountsToJson(job_manager_->Count())},
+                    {"unsettled_attempts", job_manager_->unsettled()},
+                    {"list", NodeListStatusToJson(node_list_->Status(request.now))},
+                    {"time_us", request.now}}};
+}
+
+JsonResult HttpFront::ListNodes(const Request& /*request*/) const {
+  json nodes = json::array();
+  job_manager_->ForEachNode(
+      [&nodes](NodeId id, const job_manager::ListedNode& node) { nodes.push_back(NodeToJson(id, node)); });
+  return JsonReply{HttpStatus::kOk, std::move(nodes)};
+}
+
+JsonResult HttpFront::ListPeriods(const Request& /*request*/) const {
+  if (book_ == nullptr) return FailUnknownPath();
+  json periods = json::array();
+  for (const std::string& name : book_->Periods()) {
+    periods.push_back({{"period", name}, {"closed", book_->IsClosed(name)}});
   }
-  said_nothing_kept_ =
-      done.verdict == job_manager::Verdict::kFull || done.verdict == job_manager::Verdict::kStopping;
-  if (done.verdict != job_manager::Verdict::kOk) return Problem(r, StatusOf(done.verdict), done.reason);
-  return Reply(r, 201, Show(*core_, *core_->Find(done.job), options_->words));
+  return JsonReply{HttpStatus::kOk, {{"postings", book_->last()}, {"periods", std::move(periods)}}};
 }
 
-std::string HttpFront::Manage(Micros now, const http::Message& r, const std::string& user) {
-  const std::string acts = options_->managers.count(user) > 0 ? "" : user;
-  std::string id = r.path.substr(kJobs.size() + 1), verb;
-  if (const std::size_t slash = id.find('/'); slash != std::string::npos) {
-    verb = id.substr(slash + 1);
-    id.resize(slash);
+JsonResult HttpFront::ShowStatement(const Request& request) const {
+  if (book_ == nullptr) return FailUnknownPath();
+  const std::string period = request.parameter.substr(1);  // the route before leaves no empty parameter
+  const bool restated = request.message.Query("restated") == "true";
+  json lines = json::array();
+  for (const ledger::Line& line : book_->Statement(period, restated)) {
+    lines.push_back(StatementLineToJson(line));
   }
-  const std::uint64_t number = core_->NumberOf(id);
-  job_manager::Verdict v = job_manager::Verdict::kBadValue;
-  if (r.method == "DELETE" && verb.empty()) {
-    v = core_->Delete(now, number, acts);
-  } else if (r.method == "POST" && verb == "hold") {
-    v = core_->Hold(now, number, acts, "u");
-  } else if (r.method == "POST" && verb == "release") {
-    v = core_->Release(now, number, acts, "u");
-  } else if (r.method == "POST" && verb == "rerun") {
-    v = core_->Rerun(now, number, acts);
-  } else {
-    return Problem(r, 405, "expected DELETE, or POST of hold, release or rerun");
+  return JsonReply{HttpStatus::kOk, std::move(lines)};
+}
+
+// ---- Reading jobs ----
+
+json HttpFront::JobToJson(const job_manager::Job& job) const {
+  json shown = {{"id", job_manager_->IdOf(job.number)}};
+  for (const pbs_protocol::Attribute& attribute :
+       pbs_server::ForStatus(*job_manager_, job, options_->words)) {
+    if (attribute.resource.empty()) {
+      shown[attribute.name] = attribute.value;
+    } else {
+      shown[attribute.name][attribute.resource] = attribute.value;
+    }
   }
-  if (v != job_manager::Verdict::kOk)
-    return Problem(r, StatusOf(v), pbs_protocol::Describe(pbs_server::CodeOf(v)));
-  return Reply(r, 200, Show(*core_, *core_->Find(number), options_->words));
+  return shown;
 }
 
-std::string HttpFront::ListJobs(const http::Message& r) {
-  std::uint64_t limit = 100;
-  if (r.query.count("limit") > 0 &&
-      (!pbs_server::ReadCount(r.Query("limit"), &limit) || limit == 0 || limit > kMostPage)) {
-    return Problem(r, 400, "limit: expected 1 to " + std::to_string(kMostPage));
+JsonResult HttpFront::ListJobs(const Request& request) const {
+  const http::Message& message = request.message;
+  std::uint64_t limit = kDefaultPageSize;
+  if (message.query.count("limit") > 0) {
+    const bool is_number = pbs_server::ReadCount(message.Query("limit"), &limit);
+    if (!is_number || limit == 0 || limit > kMaxPageSize) {
+      return Fail(HttpStatus::kBadRequest, "limit: expected 1 to " + std::to_string(kMaxPageSize));
+    }
   }
   std::uint64_t from = 0;
-  if (r.query.count("from") > 0 && (from = core_->NumberOf(r.Query("from"))) == 0) {
-    return Problem(r, 400, "from: expected a job id");
+  if (message.query.count("from") > 0) {
+    from = job_manager_->NumberOf(message.Query("from"));
+    if (from == 0) return Fail(HttpStatus::kBadRequest, "from: expected a job id");
   }
-  const std::string states = r.Query("state"), queue = r.Query("queue");
-  const bool history = r.Query("history") == "true" || states.find('C') != std::string::npos;
+  const JobFilter filter = FilterOf(message);
   json jobs = json::array();
-  std::string next;
-  core_->ForEach(from, [&](const job_manager::Job& job) {
-    if (!history && job.state == job_manager::JobState::kComplete) return true;
-    if (!states.empty() && states.find(static_cast<char>(job.state)) == std::string::npos) return true;
-    if (!queue.empty() && job.spec->queue != queue) return true;
+  std::string next_id;
+  job_manager_->ForEach(from, [&](const job_manager::Job& job) {
+    if (!filter.Matches(job)) return true;
     if (jobs.size() == limit) {
-      next = core_->IdOf(job.number);
+      next_id = job_manager_->IdOf(job.number);
       return false;
     }
-    jobs.push_back(Show(*core_, job, options_->words));
+    jobs.push_back(JobToJson(job));
     return true;
   });
   json body = {{"jobs", std::move(jobs)}};
-  if (!next.empty()) body["next"] = next;
-  return Reply(r, 200, body);
+  if (!next_id.empty()) body["next"] = next_id;
+  return JsonReply{HttpStatus::kOk, std::move(body)};
+}
+
+JsonResult HttpFront::ShowJob(const Request& request) const {
+  const job_manager::Job* job = job_manager_->Find(job_manager_->NumberOf(request.parameter));
+  if (job == nullptr) return Fail(HttpStatus::kNotFound, "no job " + request.parameter);
+  return JsonReply{HttpStatus::kOk, JobToJson(*job)};
+}
+
+// ---- Submitting ----
+
+JsonResult HttpFront::SubmitJob(const Request& request) const {
+  auto spec = ReadSubmission(request.message.body, request.user, *options_);
+  if (!spec) return tl::unexpected(std::move(spec.error()));
+  std::optional<HttpProblem> rejection = CheckAdmission(request, *spec);
+  if (rejection) return tl::unexpected(std::move(*rejection));
+  const std::uint64_t number = job_manager_->NewJobNumber();
+  const job_manager::Submitted submitted = job_manager_->Submit(request.now, number, std::move(*spec));
+  switch (submitted.verdict) {
+    case job_manager::Verdict::kOk:
+      return JsonReply{HttpStatus::kCreated, JobToJson(*job_manager_->Find(submitted.job))};
+    case job_manager::Verdict::kExists:
+      return JsonReply{HttpStatus::kOk, JobToJson(*job_manager_->Find(submitted.job))};
+    default:
+      break;
+  }
+  HttpProblem problem;
+  problem.status = HttpStatusOf(submitted.verdict);
+  problem.detail = submitted.reason;
+  problem.stored_nothing = submitted.verdict == job_manager::Verdict::kFull ||
+                           submitted.verdict == job_manager::Verdict::kStopping;
+  return tl::unexpected(std::move(problem));
+}
+
+std::optional<HttpProblem> HttpFront::CheckAdmission(const Request& request,
+                                                     const job_manager::JobSpec& spec) const {
+  if (admission_ == nullptr) return std::nullopt;
+  const Micros wait =
+      spec.owner_time != 0 ? spec.owner_time : job_manager_->options().hard_limits[spec.task_class];
+  admission::Asked submission;
+  submission.now = request.now;
+  submission.arrived = request.arrived;
+  submission.give_up = request.arrived + wait;
+  if (spec.owner_deadline != 0) submission.give_up = std::min(submission.give_up, spec.owner_deadline);
+  submission.unanswered = job_manager_->Count().queued;
+  const admission::Verdict decision = admission_->Ask(submission);
+  if (decision.admit) return std::nullopt;
+  HttpProblem problem;
+  problem.status = HttpStatus::kServiceUnavailable;
+  problem.detail = decision.reason;
+  problem.retry_after = decision.wait;
+  problem.stored_nothing = true;
+  return problem;
+}
+
+// ---- Commands on jobs ----
+
+std::string HttpFront::ActingUser(const Request& request) const {
+  return options_->managers.count(request.user) > 0 ? "" : request.user;
+}
+
+JsonResult HttpFront::AnswerCommand(job_manager::Verdict verdict, std::uint64_t job) const {
+  if (verdict != job_manager::Verdict::kOk) {
+    return Fail(HttpStatusOf(verdict), pbs_protocol::Describe(pbs_server::CodeOf(verdict)));
+  }
+  return JsonReply{HttpStatus::kOk, JobToJson(*job_manager_->Find(job))};
+}
+
+JsonResult HttpFront::DeleteJob(const Request& request) const {
+  const std::uint64_t job = job_manager_->NumberOf(request.parameter);
+  return AnswerCommand(job_manager_->Delete(request.now, job, ActingUser(request)), job);
+}
+
+JsonResult HttpFront::HoldJob(const Request& request) const {
+  const std::uint64_t job = job_manager_->NumberOf(request.parameter);
+  return AnswerCommand(job_manager_->Hold(request.now, job, ActingUser(request), kUserHold), job);
+}
+
+JsonResult HttpFront::ReleaseJob(const Request& request) const {
+  const std::uint64_t job = job_manager_->NumberOf(request.parameter);
+  return AnswerCommand(job_manager_->Release(request.now, job, ActingUser(request), kUserHold), job);
+}
+
+JsonResult HttpFront::RerunJob(const Request& request) const {
+  const std::uint64_t job = job_manager_->NumberOf(request.parameter);
+  return AnswerCommand(job_manager_->Rerun(request.now, job, ActingUser(request)), job);
+}
+
+JsonResult HttpFront::RejectMethod(const Request& /*request*/) const {
+  return Fail(HttpStatus::kMethodNotAllowed, "expected DELETE, or POST of hold, release or rerun");
 }
 
 }  // namespace mountflow::daemon
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -6,115 +6,186 @@
 #include <cstdlib>
 #include <filesystem>
 #include <functional>
+#include <memory>
+#include <string>
+#include <system_error>
+#include <utility>
 
+#include "config/config.hpp"
+#include "daemon/cpu_profile.hpp"
 #include "daemon/daemon.hpp"
+#include "daemon/event_log.hpp"
+#include "event_loop/event_loop.hpp"
 #include "platform/platform_server.hpp"
 
-int main(int argc, char** argv) {
-  CLI::App app{"mountflowd: places batch jobs on the nodes of a shared cluster"};
-  std::string file, name, batch, http, list;
-  bool check = false, show = false, measure = false, platform = false;
-  app.add_option("-c,--config", file, "configuration, JSON with comments (default: embedded)");
-  app.add_flag("--check", check, "check the configuration and stop; exit status 1 when it is not valid");
-  app.add_flag("--show-defaults", show, "print the embedded configuration and stop");
-  app.add_option("--name", name, "name of this daemon, over the configuration's");
-  app.add_option("--batch", batch, "address of the batch port, over the configuration's");
-  app.add_option("--http", http, "address of the HTTP port, over the configuration's");
-  app.add_option("--list", list, "address of the node list, over the configuration's");
-  std::string storage;
-  app.add_option(
-      "--storage", storage,
+namespace mountflow::daemon {
+namespace {
+
+constexpr char kNoStorage[] = "none";  // as a storage folder: jobs are kept in memory only
+constexpr Micros kCpuReportInterval = 1'000'000;
+
+// The command line.
+struct Options {
+  std::string config_file;  // empty: the embedded configuration
+  bool check_only = false;
+  bool show_defaults = false;
+  bool measure = false;
+  bool platform = false;
+  std::string platform_trace_file;
+  // Override the configuration; empty: they do not.
+  std::string name;
+  std::string batch_address;
+  std::string http_address;
+  std::string node_list_address;
+  std::string storage_folder;
+};
+
+void AddOptions(CLI::App* app, Options* options) {
+  app->add_option("-c,--config", options->config_file,
+                  "configuration, JSON with comments (default: embedded)");
+  app->add_flag("--check", options->check_only,
+                "check the configuration and stop; exit status 1 when it is not valid");
+  app->add_flag("--show-defaults", options->show_defaults, "print the embedded configuration and stop");
+  app->add_option("--name", options->name, "name of this daemon, over the configuration's");
+  app->add_option("--batch", options->batch_address, "address of the batch port, over the configuration's");
+  app->add_option("--http", options->http_address, "address of the HTTP port, over the configuration's");
+  app->add_option("--list", options->node_list_address, "address of the node list, over the configuration's");
+  app->add_option(
+      "--storage", options->storage_folder,
       "folder that keeps jobs over restarts, or none, over the configuration's (default: mountflow/NAME "
       "in the user's state folder)");
-  app.add_flag("--measure", measure, "count the time of each part, printed at the end");
-  app.add_flag(
-      "--platform", platform,
+  app->add_flag("--measure", options->measure, "count the time of each part, printed at the end");
+  app->add_flag(
+      "--platform", options->platform,
       "serve the platform's protocol alone, as LB_CONFIG, LB_NAME and LB_LISTEN say (docs/platform.md)");
-  std::string trace;
-  app.add_option("--trace", trace, "with --platform: what the module is told and does goes to this file");
-  CLI11_PARSE(app, argc, argv);
-  if (platform) return mountflow::daemon::RunPlatform(trace);
-  if (show) {
-    std::puts(mountflow::config::kDefaultDaemon);
-    return 0;
-  }
-  mountflow::config::Loaded loaded = mountflow::config::LoadDaemon(file);
-  for (const std::string& error : loaded.errors) std::fprintf(stderr, "mountflowd: %s\n", error.c_str());
-  if (!loaded.ok()) return 1;
-  if (check) {
-    std::printf("%s: valid\n", file.empty() ? "embedded defaults" : file.c_str());
-    return 0;
-  }
-  mountflow::config::DaemonConfig& config = loaded.config;
-  if (!name.empty()) {
-    config.core.server = name;
-    config.links.user = "mountflowd@" + name;
+  app->add_option("--trace", options->platform_trace_file,
+                  "with --platform: the scheduler's events and actions go to this file");
+}
+
+void ApplyOverrides(const Options& options, config::DaemonConfig* config) {
+  if (!options.name.empty()) {
+    config->core.server = options.name;
+    config->links.user = "mountflowd@" + options.name;
   }
-  if (!batch.empty()) config.batch_address = batch;
-  if (!http.empty()) config.http_address = http;
-  if (!storage.empty()) config.storage_folder = storage;
-  if (config.storage_folder.empty()) {
-    config.storage_folder = mountflow::config::StateFolder(std::getenv("XDG_STATE_HOME"), std::getenv("HOME"),
-                                                           config.core.server);
-    std::error_code failed;
-    if (!config.storage_folder.empty()) std::filesystem::create_directories(config.storage_folder, failed);
-    if (config.storage_folder.empty() || failed) {
-      std::fprintf(
-          stderr,
-          "mountflowd: no folder to keep jobs in%s%s: expected an absolute path in XDG_STATE_HOME or "
-          "HOME, --storage FOLDER, or --storage none\n",
-          failed ? ": " : "", failed ? (config.storage_folder + ": " + failed.message()).c_str() : "");
-      return 1;
+  if (!options.batch_address.empty()) config->batch_address = options.batch_address;
+  if (!options.http_address.empty()) config->http_address = options.http_address;
+  if (!options.storage_folder.empty()) config->storage_folder = options.storage_folder;
+  if (!options.node_list_address.empty()) config->list.endpoints = {options.node_list_address};
+}
+
+// Without a configured storage folder, makes the default one. False when there is none to be had, which is
+// printed.
+bool PrepareStorageFolder(config::DaemonConfig* config) {
+  if (config->storage_folder.empty()) {
+    config->storage_folder =
+        config::StateFolder(std::getenv("XDG_STATE_HOME"), std::getenv("HOME"), config->core.server);
+    std::error_code failure;
+    if (!config->storage_folder.empty()) {
+      std::filesystem::create_directories(config->storage_folder, failure);
+    }
+    if (config->storage_folder.empty() || failure) {
+      const std::string reason = failure ? ": " + config->storage_folder + ": " + failure.message() : "";
+      std::fprintf(stderr,
+                   "mountflowd: no folder to keep jobs in%s: expected an absolute path in XDG_STATE_HOME or "
+                   "HOME, --storage FOLDER, or --storage none\n",
+                   reason.c_str());
+      return false;
     }
   }
-  if (config.storage_folder == "none") config.storage_folder.clear();
-  config.core.durable = !config.storage_folder.empty();
-  // A limit on the size of files is an error that is told and survived, not the end.
-  signal(SIGXFSZ, SIG_IGN);
-  if (!list.empty()) config.list.endpoints = {list};
+  if (config->storage_folder == kNoStorage) config->storage_folder.clear();
+  config->core.durable = !config->storage_folder.empty();
+  return true;
+}
 
-  std::string error;
-  auto log = mountflow::daemon::MakeLog(config.log_file, config.log_level, &error);
-  if (!log) {
-    std::fprintf(stderr, "mountflowd: log: %s\n", error.c_str());
-    return 1;
-  }
-  mountflow::event_loop::Loop loop;
-  mountflow::daemon::Daemon daemon(&loop, config, log);
-  if (measure) daemon.MeasureParts();
-  if (!daemon.Start(&error)) {
-    std::fprintf(stderr, "mountflowd: %s\n", error.c_str());
-    return 1;
-  }
-  loop.OnSignal(SIGTERM, [&daemon] { daemon.Stop(); });
-  loop.OnSignal(SIGINT, [&daemon] { daemon.Stop(); });
-  loop.OnSignal(SIGHUP, [&daemon] { daemon.Reload(); });
+// One line a second, which the load generator reads with --cpu.
+void PrintCpuLine(Micros now, const CpuTimes& times) {
+  const auto microseconds = [](std::uint64_t nanoseconds) { return static_cast<double>(nanoseconds) / 1e3; };
+  // The PBS server calls the job manager, and both the scheduler: each part is shown without those that it
+  // calls, where that is known.
+  std::printf(
+      "{\"at_us\":%llu,\"cpu_us\":{\"module\":%.0f,\"front and core\":%.0f,\"links\":%.0f,\"rest and "
+      "kernel\":%.0f}}\n",
+      static_cast<unsigned long long>(now), microseconds(times.scheduler),
+      microseconds(times.pbs_server + times.job_manager - times.scheduler), microseconds(times.node_sessions),
+      microseconds(times.process - times.pbs_server - times.job_manager - times.node_sessions));
+  std::fflush(stdout);
+}
+
+void PrintCpuTotals(const CpuTimes& times) {
+  std::printf(
+      "cpu_ns front %llu links %llu core %llu module %llu total %llu\n",
+      static_cast<unsigned long long>(times.pbs_server), static_cast<unsigned long long>(times.node_sessions),
+      static_cast<unsigned long long>(times.job_manager), static_cast<unsigned long long>(times.scheduler),
+      static_cast<unsigned long long>(times.process));
+}
+
+// Scripts wait for these lines and read the ports.
+void PrintReady(const config::DaemonConfig& config, const Daemon& daemon) {
   std::printf("mountflowd %s ready: batch %d, http %d\n", config.core.server.c_str(), daemon.batch_port(),
               daemon.http_port());
   std::printf("state: %s\n",
               config.storage_folder.empty() ? "none, in memory only" : config.storage_folder.c_str());
   std::fflush(stdout);
-  // CPU by part, a line a second: what the load tool's --cpu reads.
-  std::function<void()> tell = [&] {
-    const mountflow::daemon::Spent s = daemon.spent();
-    const auto us = [](std::uint64_t ns) { return static_cast<double>(ns) / 1e3; };
-    // The front calls the core, and both the module; each part is without those it calls where that is known.
-    std::printf(
-        "{\"at_us\":%llu,\"cpu_us\":{\"module\":%.0f,\"front and core\":%.0f,\"links\":%.0f,\"rest and "
-        "kernel\":%.0f}}\n",
-        static_cast<unsigned long long>(loop.Now()), us(s.module), us(s.front + s.core - s.module),
-        us(s.links), us(s.total - s.front - s.core - s.links));
-    std::fflush(stdout);
-    loop.At(loop.Now() + 1'000'000, tell);
+}
+
+int Fail(const DaemonError& error) {
+  std::fprintf(stderr, "mountflowd: %s\n", Describe(error).c_str());
+  return 1;
+}
+
+int RunDaemon(const config::DaemonConfig& config, bool measure) {
+  auto logger = OpenLog(config.log_file, config.log_level);
+  if (!logger) return Fail(logger.error());
+  event_loop::Loop loop;
+  Daemon daemon(&loop, config, *logger);
+  if (measure) daemon.EnableCpuProfile();
+  const DaemonStatus started = daemon.Start();
+  if (!started) return Fail(started.error());
+  loop.OnSignal(SIGTERM, [&daemon] { daemon.Stop(); });
+  loop.OnSignal(SIGINT, [&daemon] { daemon.Stop(); });
+  loop.OnSignal(SIGHUP, [&daemon] { daemon.ReloadKeys(); });
+  PrintReady(config, daemon);
+  std::function<void()> report_cpu = [&] {
+    PrintCpuLine(loop.Now(), daemon.cpu_times());
+    loop.At(loop.Now() + kCpuReportInterval, report_cpu);
   };
-  if (measure) tell();
+  if (measure) report_cpu();
   loop.Run();
-  if (measure) {
-    const mountflow::daemon::Spent s = daemon.spent();
-    std::printf("cpu_ns front %llu links %llu core %llu module %llu total %llu\n",
-                static_cast<unsigned long long>(s.front), static_cast<unsigned long long>(s.links),
-                static_cast<unsigned long long>(s.core), static_cast<unsigned long long>(s.module),
-                static_cast<unsigned long long>(s.total));
-  }
+  if (measure) PrintCpuTotals(daemon.cpu_times());
   return 0;
 }
+
+int LoadAndRun(const Options& options) {
+  config::Loaded loaded = config::LoadDaemon(options.config_file);
+  for (const std::string& error : loaded.errors) std::fprintf(stderr, "mountflowd: %s\n", error.c_str());
+  if (!loaded.ok()) return 1;
+  if (options.check_only) {
+    const char* source = options.config_file.empty() ? "embedded defaults" : options.config_file.c_str();
+    std::printf("%s: valid\n", source);
+    return 0;
+  }
+  ApplyOverrides(options, &loaded.config);
+  if (!PrepareStorageFolder(&loaded.config)) return 1;
+  // Writing beyond the limit on the size of files then is an error of that write, which storage reports and
+  // retries.
+  signal(SIGXFSZ, SIG_IGN);
+  return RunDaemon(loaded.config, options.measure);
+}
+
+}  // namespace
+}  // namespace mountflow::daemon
+
+// An exception here is a fault and ends the process by std::terminate, with its message.
+// NOLINTNEXTLINE(bugprone-exception-escape): see above
+int main(int argc, char** argv) {
+  CLI::App app{"mountflowd: places batch jobs on the nodes of a shared cluster"};
+  mountflow::daemon::Options options;
+  mountflow::daemon::AddOptions(&app, &options);
+  CLI11_PARSE(app, argc, argv);
+  if (options.platform) return mountflow::daemon::RunPlatform(options.platform_trace_file);
+  if (options.show_defaults) {
+    std::puts(mountflow::config::kDefaultDaemon);
+    return 0;
+  }
+  return mountflow::daemon::LoadAndRun(options);
+}
--- /dev/null
+++ b/src/daemon/node_list_file.cpp
@@ -0,0 +1,44 @@
+#include "daemon/node_list_file.hpp"
+
+#include <algorithm>
+
+#include "discovery/snapshot.hpp"
+
+namespace mountflow::daemon {
+
+std::optional<job_manager::ListView> NodeListFile::Load(Micros now) const {
+  if (file_.empty()) return std::nullopt;
+  discovery::Snapshot snapshot;
+  std::string error;
+  if (!discovery::LoadSnapshot(file_, &snapshot, &error)) {
+    log_->Warn("list", "no saved node list: " + error);
+    return std::nullopt;
+  }
+  job_manager::ListView view;
+  view.kind = NodeListKind::kCached;
+  view.nodes = std::move(snapshot.nodes);
+  constexpr Micros kMicrosPerMillisecond = 1000;
+  const Micros age = now - std::min(now, snapshot.taken_at);
+  log_->Info("list", "loaded " + std::to_string(view.nodes.size()) + " saved nodes, " +
+                         std::to_string(age / kMicrosPerMillisecond) + " ms old");
+  return view;
+}
+
+void NodeListFile::SaveIfDue(Micros now, const job_manager::JobManager& job_manager) {
+  if (now >= saved_at_ + kMinSaveInterval) SaveIfChanged(now, job_manager);
+}
+
+void NodeListFile::SaveIfChanged(Micros now, const job_manager::JobManager& job_manager) {
+  if (file_.empty() || !changed_) return;
+  saved_at_ = now;
+  changed_ = false;
+  discovery::Snapshot snapshot;
+  snapshot.taken_at = now;
+  job_manager.ForEachNode(
+      [&snapshot](NodeId /*id*/, const job_manager::ListedNode& node) { snapshot.nodes.push_back(node); });
+  std::string error;
+  if (discovery::SaveSnapshot(file_, snapshot, &error)) return;
+  log_->Warn("list", "the node list was not saved: " + error);
+}
+
+}  // namespace mountflow::daemon
--- /dev/null
+++ b/src/daemon/node_list_source.cpp
@@ -0,0 +1,36 @@
+#include "daemon/node_list_source.hpp"
+
+#include <optional>
+
+namespace mountflow::daemon {
+
+NodeListSource::NodeListSource(const config::DaemonConfig& config, std::uint64_t seed, event_loop::Loop* loop,
+                               job_manager::JobManager* job_manager, tls::Keys* keys, EventLog* log)
+    : loop_(loop),
+      job_manager_(job_manager),
+      list_on_request_(config.core.settings.list_on_request),
+      client_(config.list, seed),
+      connection_(loop, &client_, keys, [this] { OnConnectionClosed(); }),
+      file_(config.list_snapshot, log) {}
+
+void NodeListSource::LoadSavedList() {
+  const std::optional<job_manager::ListView> saved = file_.Load(loop_->Now());
+  if (saved) job_manager_->TakeList(loop_->Now(), *saved);
+}
+
+void NodeListSource::Poll() {
+  connection_.Poll();
+  for (const job_manager::ListView& view : client_.TakeViews()) {
+    job_manager_->TakeList(loop_->Now(), view);
+    file_.MarkChanged();
+  }
+}
+
+void NodeListSource::OnConnectionClosed() {
+  if (!list_on_request_) return;
+  job_manager::ListView unavailable;
+  unavailable.kind = NodeListKind::kUnavailable;
+  job_manager_->TakeList(loop_->Now(), unavailable);
+}
+
+}  // namespace mountflow::daemon
--- /dev/null
+++ b/src/daemon/registry_connection.hpp
@@ -0,0 +1,43 @@
+// Carries the one connection of a registry client over the event loop.
+#ifndef MOUNTFLOW_DAEMON_REGISTRY_CONNECTION_HPP_
+#define MOUNTFLOW_DAEMON_REGISTRY_CONNECTION_HPP_
+
+#include <functional>
+#include <string>
+#include <string_view>
+#include <utility>
+
+#include "discovery/client.hpp"
+#include "event_loop/event_loop.hpp"
+#include "tls/keys.hpp"
+
+namespace mountflow::daemon {
+
+// Not thread-safe: used by the event loop's thread alone. The pointers must outlive it.
+class RegistryConnection : public event_loop::Handler {
+ public:
+  // `on_closed` is called after the client was told that the connection is closed; it may be empty.
+  RegistryConnection(event_loop::Loop* loop, discovery::RegistryClient* client, tls::Keys* keys,
+                     std::function<void()> on_closed)
+      : loop_(loop), client_(client), keys_(keys), on_closed_(std::move(on_closed)) {}
+
+  // Runs the client's timers and carries out its actions. Call after each turn of the loop.
+  void Poll();
+
+  void OnConnected(event_loop::ConnId connection) override;
+  void OnReceived(event_loop::ConnId connection, std::string_view bytes) override;
+  void OnClosed(event_loop::ConnId connection, const std::string& reason) override;
+
+ private:
+  void CarryOut(const discovery::ClientAction& action);
+
+  event_loop::Loop* loop_;
+  discovery::RegistryClient* client_;
+  tls::Keys* keys_;
+  std::function<void()> on_closed_;
+  event_loop::ConnId connection_ = 0;  // 0: none
+};
+
+}  // namespace mountflow::daemon
+
+#endif  // MOUNTFLOW_DAEMON_REGISTRY_CONNECTION_HPP_
--- /dev/null
+++ b/src/daemon/registry_group.cpp
@@ -0,0 +1,91 @@
+#include "daemon/registry_group.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "discovery/entry.hpp"
+#include "job_manager/messages.hpp"
+
+namespace mountflow::daemon {
+namespace {
+
+discovery::ClientOptions MembersOptions(const config::DaemonConfig& config) {
+  discovery::ClientOptions options = config.list;
+  options.prefix = config.group_prefix;
+  options.service.clear();  // daemons are keys, also where nodes are instances of a service
+  // A read that ends confirms the view.
+  options.wait = std::min(options.wait, membership::VouchEvery(config.group_most_age));
+  return options;
+}
+
+discovery::RegistrarOptions OwnEntryOptions(const config::DaemonConfig& config) {
+  discovery::RegistrarOptions options;
+  options.kind = config.list.kind;
+  options.endpoints = config.list.endpoints;
+  options.key = config.group_prefix + config.core.server;
+  options.token = config.list.token;
+  options.user = config.list.user;
+  options.password = config.list.password;
+  options.time_to_live = config.group_ttl;
+  return options;
+}
+
+}  // namespace
+
+RegistryGroup::RegistryGroup(const config::DaemonConfig& config, Seeds seeds, event_loop::Loop* loop,
+                             tls::Keys* keys)
+    : loop_(loop),
+      own_name_(config.core.server),
+      prefix_(config.group_prefix),
+      members_(MembersOptions(config), seeds.members),
+      members_connection_(loop, &members_, keys, {}),
+      own_entry_(OwnEntryOptions(config), seeds.own_entry),
+      own_entry_connection_(loop, &own_entry_, keys),
+      group_({config.core.server, config.group_most_age}) {}
+
+void RegistryGroup::Join(const std::string& address) {
+  job_manager::ListedNode self;  // the entry of a daemon has the form of a node's
+  self.name = own_name_;
+  self.address = address;
+  self.started = loop_->Now();
+  own_entry_.Want(loop_->Now(), discovery::WriteEntry(self), true);
+}
+
+void RegistryGroup::Leave() { own_entry_.Want(loop_->Now(), "", true); }
+
+std::optional<MembershipChange> RegistryGroup::Poll() {
+  own_entry_connection_.Poll();
+  members_connection_.Poll();
+  members_.TakeViews();  // not needed: the entries are read from the client's state
+  return group_.Update(CurrentView(loop_->Now()));
+}
+
+membership::GroupInput RegistryGroup::CurrentView(Micros now) {
+  const discovery::ViewStatus status = members_.Status(now);
+  const auto& entries = members_.state().all();
+  const bool has_own_entry = entries.count(prefix_ + own_name_) > 0;
+  if (status.known && !has_own_entry) own_entry_.Missed(now - status.age);
+
+  membership::GroupInput view;
+  for (const auto& [key, entry] : entries) view.names.push_back(key.substr(prefix_.size()));
+  view.known = status.known;
+  view.view_age = status.age;
+  view.held_until = own_entry_.HeldUntil();
+  view.history = members_.state().lives() + own_entry_.lives();  // both only grow
+  view.now = now;
+  return view;
+}
+
+std::vector<std::string> RegistryGroup::TakeComplaints() {
+  std::vector<std::string> complaints = own_entry_.TakeComplaints();
+  for (const std::string& complaint : members_.TakeComplaints()) {
+    complaints.push_back("daemons: " + complaint);
+  }
+  return complaints;
+}
+
+Micros RegistryGroup::NextTimer() const {
+  return std::min({own_entry_.NextTimer(), members_.NextTimer(), group_.NextTimer()});
+}
+
+}  // namespace mountflow::daemon
--- /dev/null
+++ b/tests/daemon/event_log_test.cpp
@@ -0,0 +1,111 @@
+// The form of the log's lines, which tools and operators search.
+#include "daemon/event_log.hpp"
+
+#include <gtest/gtest.h>
+#include <spdlog/sinks/ostream_sink.h>
+#include <spdlog/spdlog.h>
+
+#include <cstdlib>
+#include <fstream>
+#include <memory>
+#include <nlohmann/json.hpp>
+#include <sstream>
+#include <string>
+
+#include "tests/support/job_manager_fixture.hpp"
+
+namespace mountflow::testing {
+namespace {
+
+class EventLogTest : public ::testing::Test {
+ protected:
+  EventLogTest()
+      : logger_(std::make_shared<spdlog::logger>("test",
+                                                 std::make_shared<spdlog::sinks::ostream_sink_st>(lines_))),
+        log_(logger_) {
+    logger_->set_pattern("%l %v");
+  }
+
+  std::ostringstream lines_;
+  std::shared_ptr<spdlog::logger> logger_;
+  daemon::EventLog log_;
+  CoreRig rig_;
+};
+
+TEST_F(EventLogTest, EventHasItsNameAndText) {
+  log_.Info("list", "loaded 3 nodes");
+  log_.Warn("storage", "a \"quoted\" text");
+  EXPECT_EQ(lines_.str(),
+            "info {\"event\":\"list\",\"text\":\"loaded 3 nodes\"}\n"
+            "warning {\"event\":\"storage\",\"text\":\"a \\\"quoted\\\" text\"}\n");
+}
+
+TEST_F(EventLogTest, EachTextHasALine) {
+  log_.WarnEach("tls", {"one", "two"});
+  log_.WarnEach("tls", {});
+  EXPECT_EQ(lines_.str(),
+            "warning {\"event\":\"tls\",\"text\":\"one\"}\nwarning {\"event\":\"tls\",\"text\":\"two\"}\n");
+}
+
+TEST_F(EventLogTest, EntryNamesJobAttemptAndNode) {
+  job_manager::LogEntry entry;
+  entry.level = job_manager::Level::kWarn;
+  entry.event = "lost";
+  entry.job = 7;
+  entry.attempt = 2;
+  entry.node = "a";
+  entry.text = "gone";
+  log_.Write(rig_.core, entry);
+  EXPECT_EQ(lines_.str(),
+            "warning {\"attempt\":\"7.d0/2\",\"event\":\"lost\",\"job\":\"7.d0\",\"node\":\"a\","
+            "\"text\":\"gone\"}\n");
+}
+
+TEST_F(EventLogTest, EntryLeavesOutWhatItLacks) {
+  job_manager::LogEntry entry;
+  entry.event = "module";
+  log_.Write(rig_.core, entry);
+  EXPECT_EQ(lines_.str(), "info {\"event\":\"module\"}\n");
+}
+
+TEST_F(EventLogTest, EntryBelowTheLevelIsNotWritten) {
+  logger_->set_level(spdlog::level::warn);
+  job_manager::LogEntry entry;
+  entry.event = "submitted";
+  log_.Write(rig_.core, entry);
+  EXPECT_EQ(lines_.str(), "");
+}
+
+TEST_F(EventLogTest, BytesThatAreNoTextAreReplaced) {
+  log_.Warn("bad request", "a\xff");
+  EXPECT_EQ(lines_.str(), "warning {\"event\":\"bad request\",\"text\":\"a\xef\xbf\xbd\"}\n");
+}
+
+TEST(OpenLog, FileGetsOneJsonObjectALine) {
+  char directory[] = "/tmp/mountflow-log-XXXXXX";
+  ASSERT_NE(mkdtemp(directory), nullptr);
+  const std::string file = std::string(directory) + "/d0.log";
+  const auto logger = daemon::OpenLog(file, "info");
+  ASSERT_TRUE(logger.has_value());
+  daemon::EventLog log(*logger);
+  log.Warn("storage", "text");
+  std::ifstream in(file);
+  std::string line;
+  std::getline(in, line);
+  const nlohmann::json read = nlohmann::json::parse(line);
+  EXPECT_EQ(read["level"], "warning");
+  EXPECT_EQ(read["is"], nlohmann::json::parse(R"({"event": "storage", "text": "text"})"));
+  EXPECT_EQ(read["time"].get<std::string>().size(), std::string("2026-01-01T00:00:00.000000Z").size());
+  std::remove(file.c_str());
+  std::remove(directory);
+}
+
+TEST(OpenLog, FileThatCannotBeOpenedIsAnError) {
+  const auto logger = daemon::OpenLog("/dev/null/d0.log", "info");
+  ASSERT_FALSE(logger.has_value());
+  EXPECT_EQ(logger.error().code, daemon::DaemonErrorCode::kLogFile);
+  EXPECT_EQ(Describe(logger.error()).rfind("log: ", 0), 0u) << Describe(logger.error());
+}
+
+}  // namespace
+}  // namespace mountflow::testing
--- /dev/null
+++ b/tests/daemon/node_list_file_test.cpp
@@ -0,0 +1,112 @@
+// When the node list is saved, and what a start finds.
+#include "daemon/node_list_file.hpp"
+
+#include <gtest/gtest.h>
+#include <spdlog/sinks/ostream_sink.h>
+#include <spdlog/spdlog.h>
+
+#include <cstdio>
+#include <cstdlib>
+#include <fstream>
+#include <memory>
+#include <sstream>
+#include <string>
+
+#include "tests/support/job_manager_fixture.hpp"
+
+namespace mountflow::testing {
+namespace {
+
+class NodeListFileTest : public ::testing::Test {
+ protected:
+  NodeListFileTest()
+      : log_(std::make_shared<spdlog::logger>("test",
+                                              std::make_shared<spdlog::sinks::ostream_sink_st>(lines_))) {
+    char directory[] = "/tmp/mountflow-list-XXXXXX";
+    directory_ = mkdtemp(directory);
+    name_ = directory_ + "/nodes";
+    rig_.List({CoreRig::Node("a")});
+  }
+  ~NodeListFileTest() override {
+    std::remove(name_.c_str());
+    std::remove(directory_.c_str());
+  }
+  [[nodiscard]] bool Exists() const { return std::ifstream(name_).good(); }
+  [[nodiscard]] bool Logged(const std::string& text) const {
+    return lines_.str().find(text) != std::string::npos;
+  }
+
+  std::ostringstream lines_;
+  daemon::EventLog log_;
+  CoreRig rig_;
+  std::string directory_;
+  std::string name_;
+};
+
+TEST_F(NodeListFileTest, WithoutAFileNothingIsLoadedOrSaved) {
+  daemon::NodeListFile file("", &log_);
+  file.MarkChanged();
+  file.SaveIfChanged(rig_.now, rig_.core);
+  EXPECT_FALSE(file.Load(rig_.now).has_value());
+  EXPECT_EQ(lines_.str(), "");
+}
+
+TEST_F(NodeListFileTest, UnchangedListIsNotSaved) {
+  daemon::NodeListFile file(name_, &log_);
+  file.SaveIfDue(rig_.now, rig_.core);
+  file.SaveIfChanged(rig_.now, rig_.core);
+  EXPECT_FALSE(Exists());
+}
+
+TEST_F(NodeListFileTest, ChangedListIsSavedAtMostOnceInTenSeconds) {
+  daemon::NodeListFile file(name_, &log_);
+  file.MarkChanged();
+  file.SaveIfDue(rig_.now, rig_.core);
+  EXPECT_TRUE(Exists());
+  std::remove(name_.c_str());
+  file.MarkChanged();
+  file.SaveIfDue(rig_.now + 10 * kSecond - 1, rig_.core);
+  EXPECT_FALSE(Exists());
+  file.SaveIfDue(rig_.now + 10 * kSecond, rig_.core);
+  EXPECT_TRUE(Exists());
+}
+
+TEST_F(NodeListFileTest, ShutdownSavesAChangeWithoutDelay) {
+  daemon::NodeListFile file(name_, &log_);
+  file.MarkChanged();
+  file.SaveIfDue(rig_.now, rig_.core);
+  std::remove(name_.c_str());
+  file.MarkChanged();
+  file.SaveIfChanged(rig_.now + 1, rig_.core);
+  EXPECT_TRUE(Exists());
+}
+
+TEST_F(NodeListFileTest, SavedListIsLoadedAsCached) {
+  daemon::NodeListFile file(name_, &log_);
+  file.MarkChanged();
+  file.SaveIfChanged(rig_.now, rig_.core);
+  const auto loaded = file.Load(rig_.now + 250 * kMs);
+  ASSERT_TRUE(loaded.has_value());
+  EXPECT_EQ(loaded->kind, NodeListKind::kCached);
+  ASSERT_EQ(loaded->nodes.size(), 1u);
+  EXPECT_EQ(loaded->nodes[0].name, "a");
+  EXPECT_TRUE(Logged("loaded 1 saved nodes, 250 ms old")) << lines_.str();
+}
+
+TEST_F(NodeListFileTest, MissingOrDamagedFileIsLoggedAndNotLoaded) {
+  const daemon::NodeListFile file(name_, &log_);
+  EXPECT_FALSE(file.Load(rig_.now).has_value());
+  EXPECT_TRUE(Logged("no saved node list: ")) << lines_.str();
+  std::ofstream(name_) << "mountflow-view 1 0 0\nx";
+  EXPECT_FALSE(file.Load(rig_.now).has_value());
+}
+
+TEST_F(NodeListFileTest, FailureToSaveIsLogged) {
+  daemon::NodeListFile file(directory_ + "/missing/nodes", &log_);
+  file.MarkChanged();
+  file.SaveIfChanged(rig_.now, rig_.core);
+  EXPECT_TRUE(Logged("the node list was not saved: ")) << lines_.str();
+}
+
+}  // namespace
+}  // namespace mountflow::testing
--- /dev/null
+++ b/tests/daemon/path_pattern_test.cpp
@@ -0,0 +1,38 @@
+// Which paths a pattern of the table of routes matches, and what its parameter is.
+#include "daemon/path_pattern.hpp"
+
+#include <gtest/gtest.h>
+
+namespace mountflow::daemon {
+namespace {
+
+TEST(PathPattern, PatternWithoutParameterMatchesThisPathAlone) {
+  EXPECT_EQ(MatchPath("/v1/jobs", "/v1/jobs"), "");
+  EXPECT_EQ(MatchPath("/v1/jobs", "/v1/jobs/"), std::nullopt);
+  EXPECT_EQ(MatchPath("/v1/jobs", "/v1/job"), std::nullopt);
+  EXPECT_EQ(MatchPath("/v1/jobs", ""), std::nullopt);
+}
+
+TEST(PathPattern, SegmentEndsAtTheNextSlash) {
+  EXPECT_EQ(MatchPath("/v1/jobs/{id}", "/v1/jobs/7.d0"), "7.d0");
+  EXPECT_EQ(MatchPath("/v1/jobs/{id}", "/v1/jobs/"), "");
+  EXPECT_EQ(MatchPath("/v1/jobs/{id}", "/v1/jobs/7.d0/hold"), std::nullopt);
+  EXPECT_EQ(MatchPath("/v1/jobs/{id}", "/v1/jobs"), std::nullopt);
+}
+
+TEST(PathPattern, WhatFollowsTheSegmentMustBeEqual) {
+  EXPECT_EQ(MatchPath("/v1/jobs/{id}/hold", "/v1/jobs/7.d0/hold"), "7.d0");
+  EXPECT_EQ(MatchPath("/v1/jobs/{id}/hold", "/v1/jobs/7.d0/holds"), std::nullopt);
+  EXPECT_EQ(MatchPath("/v1/jobs/{id}/hold", "/v1/jobs/7.d0/hold/"), std::nullopt);
+  EXPECT_EQ(MatchPath("/v1/jobs/{id}/hold", "/v1/jobs/7.d0"), std::nullopt);
+  EXPECT_EQ(MatchPath("/v1/jobs/{id}/hold", "/v1/jobs/hold"), std::nullopt);
+}
+
+TEST(PathPattern, RestRunsToTheEndOverSlashes) {
+  EXPECT_EQ(MatchPath("/v1/jobs/{rest...}", "/v1/jobs/7.d0/hold"), "7.d0/hold");
+  EXPECT_EQ(MatchPath("/v1/jobs/{rest...}", "/v1/jobs/"), "");
+  EXPECT_EQ(MatchPath("/v1/jobs/{rest...}", "/v1/nodes/7.d0"), std::nullopt);
+}
+
+}  // namespace
+}  // namespace mountflow::daemon
--- a/tests/daemon/wire_golden_test.cpp
+++ b/tests/daemon/wire_golden_test.cpp
@@ -162,7 +162,7 @@
     pbs_server::Peer peer;
     peer.user = "thandi";
     golden->AddBytes("http." + std::to_string(++asked) + "." + method,
-                     front.Handle(rig.now, request, peer, rig.now));
+                     front.Handle(rig.now, request, peer, rig.now).bytes);
     rig.Collect();
   };
   ask("GET", "/v1/jobs");
