--- a/src/daemon/batch_connections.cpp
+++ b/src/daemon/batch_connections.cpp
@@ -14,7 +14,7 @@
 
 void BatchConnections::OnReceived(event_loop::ConnId connection, std::string_view bytes) {
   const ScopedCpuTimer timer(profile_, &CpuTimes::pbs_server);
-  pbs_server_->Receive(loop_->Now(), connection, bytes, loop_->TurnBeforeBegan());
+  pbs_server_->Receive(loop_->Now(), connection, bytes, loop_->PreviousTurnStart());
   if (!pbs_server_->WantsRead(connection)) loop_->PauseReading(connection, true);
 }
 
@@ -30,7 +30,7 @@
   if (output == nullptr) return;
   // The kernel and the event loop take a first part. The rest stays with the session and counts against its
   // bound.
-  if (loop_->Unsent(connection) == 0 && !output->empty()) {
+  if (loop_->UnsentBytes(connection) == 0 && !output->empty()) {
     loop_->Send(connection, std::exchange(*output, {}));
   }
   if (pbs_server_->WantsClose(connection) && output->empty()) {
--- a/src/daemon/batch_connections.hpp
+++ b/src/daemon/batch_connections.hpp
@@ -19,9 +19,9 @@
 inline constexpr std::size_t kMaxBatchConnections = 16'384;
 
 // Not thread-safe: used by the event loop's thread alone. The pointers must outlive it.
-class BatchConnections : public event_loop::Handler {
+class BatchConnections : public event_loop::ConnectionHandler {
  public:
-  BatchConnections(event_loop::Loop* loop, pbs_server::Front* pbs_server, HeldReplies* held_replies,
+  BatchConnections(event_loop::EventLoop* loop, pbs_server::Front* pbs_server, HeldReplies* held_replies,
                    CpuProfile* profile)
       : loop_(loop), pbs_server_(pbs_server), held_replies_(held_replies), profile_(profile) {}
 
@@ -38,7 +38,7 @@
   void OnClosed(event_loop::ConnId connection, const std::string& reason) override;
 
  private:
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   pbs_server::Front* pbs_server_;
   HeldReplies* held_replies_;
   CpuProfile* profile_;
--- a/src/daemon/commit_signal.cpp
+++ b/src/daemon/commit_signal.cpp
@@ -14,7 +14,7 @@
   if (fd_ >= 0) close(fd_);
 }
 
-void CommitSignal::WatchFrom(event_loop::Loop* loop) {
+void CommitSignal::WatchFrom(event_loop::EventLoop* loop) {
   loop->OnReadable(fd_, [fd = fd_] {
     std::uint64_t count = 0;
     return read(fd, &count, sizeof count) >= 0 || errno == EAGAIN;
--- a/src/daemon/commit_signal.hpp
+++ b/src/daemon/commit_signal.hpp
@@ -16,7 +16,7 @@
   CommitSignal& operator=(const CommitSignal&) = delete;
 
   // Makes the loop take a turn after each Notify; its call after the turn looks at what was committed.
-  void WatchFrom(event_loop::Loop* loop);
+  void WatchFrom(event_loop::EventLoop* loop);
   // Thread-safe.
   void Notify() const;
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-Daemon::Daemon(event_loop::Loop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> logger)
+Daemon::Daemon(event_loop::EventLoop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> logger)
     : loop_(loop),
       config_(std::move(config)),
       log_(std::move(logger)),
@@ -213,7 +213,7 @@
   if (shutdown_deadline_) next = std::min(next, *shutdown_deadline_);
   if (pbs_server_.at_door() > 0) next = loop_->Now();
   loop_->SetMainTimer(next, nullptr);
-  admission_.Turn(loop_->TurnBegan(), loop_->Now());
+  admission_.Turn(loop_->TurnStart(), loop_->Now());
 }
 
 void Daemon::RunTimers() {
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -38,7 +38,7 @@
 // it holds each part once; they are declared, and so built, in the order in which they use each other.
 class Daemon {
  public:
-  Daemon(event_loop::Loop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> logger);
+  Daemon(event_loop::EventLoop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> logger);
   ~Daemon();
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
@@ -83,7 +83,7 @@
   [[nodiscard]] bool IsShutdownComplete() const;
   void FinishShutdown();
 
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   const config::DaemonConfig config_;
   EventLog log_;
   CpuProfile cpu_profile_;
--- a/src/daemon/durable_state.cpp
+++ b/src/daemon/durable_state.cpp
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-DurableState::DurableState(const config::DaemonConfig& config, event_loop::Loop* loop,
+DurableState::DurableState(const config::DaemonConfig& config, event_loop::EventLoop* loop,
                            job_manager::JobManager* job_manager, EventLog* log)
     : directory_(config.storage_folder),
       billing_(config.billing),
--- a/src/daemon/durable_state.hpp
+++ b/src/daemon/durable_state.hpp
@@ -28,7 +28,7 @@
 // Not thread-safe: used by the event loop's thread alone. The pointers must outlive it.
 class DurableState {
  public:
-  DurableState(const config::DaemonConfig& config, event_loop::Loop* loop,
+  DurableState(const config::DaemonConfig& config, event_loop::EventLoop* loop,
                job_manager::JobManager* job_manager, EventLog* log);
   ~DurableState();
   DurableState(const DurableState&) = delete;
@@ -68,7 +68,7 @@
 
   const std::string directory_;
   const bool billing_;
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   job_manager::JobManager* job_manager_;
   EventLog* log_;
   storage::Gate gate_;
--- a/src/daemon/http_connections.hpp
+++ b/src/daemon/http_connections.hpp
@@ -24,9 +24,9 @@
 inline constexpr std::size_t kMaxHttpBodyBytes = 2 << 20;
 
 // Not thread-safe: used by the event loop's thread alone. The pointers must outlive it.
-class HttpConnections : public event_loop::Handler {
+class HttpConnections : public event_loop::ConnectionHandler {
  public:
-  HttpConnections(event_loop::Loop* loop, HttpFront* front, const DurableState* durable_state,
+  HttpConnections(event_loop::EventLoop* loop, HttpFront* front, const DurableState* durable_state,
                   HeldReplies* held_replies)
       : loop_(loop), front_(front), durable_state_(durable_state), held_replies_(held_replies) {}
 
@@ -50,7 +50,7 @@
   void SendOrHold(HttpReply reply, bool reports_stored_state);
   void Send(const HttpReply& reply);
 
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   HttpFront* front_;
   const DurableState* durable_state_;
   HeldReplies* held_replies_;
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -136,7 +136,7 @@
 int RunDaemon(const config::DaemonConfig& config, bool measure) {
   auto logger = OpenLog(config.log_file, config.log_level);
   if (!logger) return Fail(logger.error());
-  event_loop::Loop loop;
+  event_loop::EventLoop loop;
   Daemon daemon(&loop, config, *logger);
   if (measure) daemon.EnableCpuProfile();
   const DaemonStatus started = daemon.Start();
@@ -147,7 +147,7 @@
   PrintReady(config, daemon);
   std::function<void()> report_cpu = [&] {
     PrintCpuLine(loop.Now(), daemon.cpu_times());
-    loop.At(loop.Now() + kCpuReportInterval, report_cpu);
+    loop.AddTimer(loop.Now() + kCpuReportInterval, report_cpu);
   };
   if (measure) report_cpu();
   loop.Run();
--- a/src/daemon/node_connections.hpp
+++ b/src/daemon/node_connections.hpp
@@ -13,9 +13,9 @@
 namespace mountflow::daemon {
 
 // Not thread-safe: used by the event loop's thread alone. The pointers must outlive it.
-class NodeConnections : public event_loop::Handler {
+class NodeConnections : public event_loop::ConnectionHandler {
  public:
-  NodeConnections(event_loop::Loop* loop, node_sessions::NodeLinks* sessions, CpuProfile* profile)
+  NodeConnections(event_loop::EventLoop* loop, node_sessions::NodeLinks* sessions, CpuProfile* profile)
       : loop_(loop), sessions_(sessions), profile_(profile) {}
 
   // Opens, writes and closes connections, in this order.
@@ -26,7 +26,7 @@
   void OnClosed(event_loop::ConnId connection, const std::string& reason) override;
 
  private:
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   node_sessions::NodeLinks* sessions_;
   CpuProfile* profile_;
 };
--- a/src/daemon/node_list_source.cpp
+++ b/src/daemon/node_list_source.cpp
@@ -4,7 +4,7 @@
 
 namespace mountflow::daemon {
 
-NodeListSource::NodeListSource(const config::DaemonConfig& config, std::uint64_t seed, event_loop::Loop* loop,
+NodeListSource::NodeListSource(const config::DaemonConfig& config, std::uint64_t seed, event_loop::EventLoop* loop,
                                job_manager::JobManager* job_manager, tls::Keys* keys, EventLog* log)
     : loop_(loop),
       job_manager_(job_manager),
--- a/src/daemon/node_list_source.hpp
+++ b/src/daemon/node_list_source.hpp
@@ -21,7 +21,7 @@
 // Not thread-safe: used by the event loop's thread alone. The pointers must outlive it.
 class NodeListSource {
  public:
-  NodeListSource(const config::DaemonConfig& config, std::uint64_t seed, event_loop::Loop* loop,
+  NodeListSource(const config::DaemonConfig& config, std::uint64_t seed, event_loop::EventLoop* loop,
                  job_manager::JobManager* job_manager, tls::Keys* keys, EventLog* log);
   NodeListSource(const NodeListSource&) = delete;
   NodeListSource& operator=(const NodeListSource&) = delete;
@@ -43,7 +43,7 @@
  private:
   void OnConnectionClosed();
 
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   job_manager::JobManager* job_manager_;
   const bool list_on_request_;  // the job manager awaits an answer to each read
   discovery::RegistryClient client_;
--- a/src/daemon/registry_connection.hpp
+++ b/src/daemon/registry_connection.hpp
@@ -14,10 +14,10 @@
 namespace mountflow::daemon {
 
 // Not thread-safe: used by the event loop's thread alone. The pointers must outlive it.
-class RegistryConnection : public event_loop::Handler {
+class RegistryConnection : public event_loop::ConnectionHandler {
  public:
   // `on_closed` is called after the client was told that the connection is closed; it may be empty.
-  RegistryConnection(event_loop::Loop* loop, discovery::RegistryClient* client, tls::Keys* keys,
+  RegistryConnection(event_loop::EventLoop* loop, discovery::RegistryClient* client, tls::Keys* keys,
                      std::function<void()> on_closed)
       : loop_(loop), client_(client), keys_(keys), on_closed_(std::move(on_closed)) {}
 
@@ -31,7 +31,7 @@
  private:
   void CarryOut(const discovery::ClientAction& action);
 
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   discovery::RegistryClient* client_;
   tls::Keys* keys_;
   std::function<void()> on_closed_;
--- a/src/daemon/registry_group.cpp
+++ b/src/daemon/registry_group.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-RegistryGroup::RegistryGroup(const config::DaemonConfig& config, Seeds seeds, event_loop::Loop* loop,
+RegistryGroup::RegistryGroup(const config::DaemonConfig& config, Seeds seeds, event_loop::EventLoop* loop,
                              tls::Keys* keys)
     : loop_(loop),
       own_name_(config.core.server),
--- a/src/daemon/registry_group.hpp
+++ b/src/daemon/registry_group.hpp
@@ -27,7 +27,7 @@
     std::uint64_t members = 0;    // of the client that reads the entries
     std::uint64_t own_entry = 0;  // of the registrar
   };
-  RegistryGroup(const config::DaemonConfig& config, Seeds seeds, event_loop::Loop* loop, tls::Keys* keys);
+  RegistryGroup(const config::DaemonConfig& config, Seeds seeds, event_loop::EventLoop* loop, tls::Keys* keys);
   RegistryGroup(const RegistryGroup&) = delete;
   RegistryGroup& operator=(const RegistryGroup&) = delete;
 
@@ -45,7 +45,7 @@
  private:
   [[nodiscard]] membership::GroupInput CurrentView(Micros now);
 
-  event_loop::Loop* loop_;
+  event_loop::EventLoop* loop_;
   const std::string own_name_;
   const std::string prefix_;  // of the keys of all entries
   discovery::RegistryClient members_;
--- a/src/daemon/turn_committer.hpp
+++ b/src/daemon/turn_committer.hpp
@@ -20,7 +20,7 @@
  public:
   // What it works between; all must outlive it.
   struct Parts {
-    event_loop::Loop* loop;
+    event_loop::EventLoop* loop;
     DurableState* durable_state;
     HeldReplies* held_replies;
     node_sessions::NodeLinks* node_sessions;
