--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -39,9 +39,9 @@
   return static_cast<std::uint64_t>(device()) << 32 | device();
 }
 
-void WriteLine(spdlog::logger& log, job_manager::Level level, const nlohmann::json& line) {
+void WriteLine(spdlog::logger& log, job_manager::LogLevel level, const nlohmann::json& line) {
   const std::string text = line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-  log.log(level == job_manager::Level::kWarn ? spdlog::level::warn : spdlog::level::info, "{}", text);
+  log.log(level == job_manager::LogLevel::kWarn ? spdlog::level::warn : spdlog::level::info, "{}", text);
 }
 
 discovery::ClientOptions OthersOf(const config::DaemonConfig& config) {
@@ -236,9 +236,9 @@
         }
       }
     }
-    for (const job_manager::ListView& view : list.TakeViews()) {
+    for (const job_manager::NodeListView& view : list.TakeViews()) {
       if (others_) continue;
-      d_->core_.TakeList(d_->loop_->Now(), view);
+      d_->core_.HandleNodeList(d_->loop_->Now(), view);
       d_->view_changed_ = true;
     }
   }
@@ -253,9 +253,9 @@
     conn_ = 0;
     client_->Closed(d_->loop_->Now(), reason);
     if (others_ || !d_->config_.core.settings.list_on_request) return;
-    job_manager::ListView failed;
+    job_manager::NodeListView failed;
     failed.kind = NodeListKind::kUnavailable;
-    d_->core_.TakeList(d_->loop_->Now(), failed);
+    d_->core_.HandleNodeList(d_->loop_->Now(), failed);
   }
 
  private:
@@ -320,7 +320,7 @@
   std::vector<std::string> told;
   const bool open = log->Open(replay, &told, error);
   for (const std::string& text : told) {
-    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", text}});
+    WriteLine(*log_, job_manager::LogLevel::kWarn, {{"event", "storage"}, {"text", text}});
   }
   if (open && !expected.empty()) *error = config_.storage_folder + ": " + expected;
   if (!open || !expected.empty()) return false;
@@ -331,21 +331,21 @@
     if (write(fd, &one, sizeof one) < 0) return;
   });
   http_.SetBook(&book_);
-  core_.SetDoor([this](const job_manager::JobSpec& spec) {
+  core_.SetAdmissionCheck([this](const job_manager::JobSpec& spec) {
     const auto& tenants = core_.options().tenants;
     return book_.Refusal(spec.tenant < tenants.size() ? tenants[spec.tenant] : "", loop_->Now());
   });
   return true;
 }
 
-void Daemon::PostUse(const job_manager::Used& used) {
+void Daemon::PostUse(const job_manager::ResourceUsage& used) {
   if (!ledger_committer_) return;
   ledger::Use use;
-  use.attempt = core_.NameOf(used.attempt);
+  use.attempt = core_.AttemptName(used.attempt);
   const job_manager::JobManagerOptions& o = core_.options();
   use.tenant = used.tenant < o.tenants.size() ? o.tenants[used.tenant] : "";
   use.task_class = used.task_class < o.classes.size() ? o.classes[used.task_class] : "";
-  const job_manager::ListedNode* node = core_.NodeOf(used.node);
+  const job_manager::ListedNode* node = core_.FindNode(used.node);
   use.kind = node != nullptr ? node->kind : "";
   use.start = used.started, use.end = used.ended;
   use.millicores = std::llround(used.cores * 1000.0);
@@ -353,7 +353,7 @@
   const ledger::Decision decision = book_.Post(loop_->Now(), use);
   if (decision.verdict != ledger::Verdict::kPosted) {
     if (decision.verdict != ledger::Verdict::kTwice)
-      WriteLine(*log_, job_manager::Level::kWarn,
+      WriteLine(*log_, job_manager::LogLevel::kWarn,
                 {{"event", "ledger"}, {"text", "not counted: " + decision.reason}});
     return;
   }
@@ -397,10 +397,10 @@
   std::vector<std::string> told;
   const bool open = log->Open(replay, &told, error);
   for (const std::string& text : told) {
-    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", text}});
+    WriteLine(*log_, job_manager::LogLevel::kWarn, {{"event", "storage"}, {"text", text}});
   }
   if (!open) return false;
-  if (!expected.empty() || !core_.Restored(loop_->Now(), &expected)) {
+  if (!expected.empty() || !core_.FinishRestore(loop_->Now(), &expected)) {
     *error = config_.storage_folder + ": " + expected;
     return false;
   }
@@ -489,9 +489,9 @@
   if (ledger_committer_) ledger = ledger_committer_->Status();
   gate_.Saw(jobs, ledger_committer_ ? &ledger : nullptr, ledger_turn_);
   for (const std::string& text : gate_.TakeComplaints()) {
-    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", text}});
+    WriteLine(*log_, job_manager::LogLevel::kWarn, {{"event", "storage"}, {"text", text}});
   }
-  core_.RefuseNew(gate_.Refusal());
+  core_.RejectNewJobs(gate_.Refusal());
   door_.DiskOwes(held_.empty() ? 0 : loop_->Now() - held_.begin()->second.since);
 }
 
@@ -535,12 +535,12 @@
 
 void Daemon::MeasureParts() {
   measure_ = true;
-  core_.MeasureModule(CpuNs);
+  core_.MeasureScheduler(CpuNs);
 }
 
 Spent Daemon::spent() const {
   Spent s = spent_;
-  s.module = core_.module_ns();
+  s.module = core_.scheduler_ns();
   s.total = CpuNs();
   return s;
 }
@@ -556,11 +556,11 @@
 }
 
 void Daemon::Log(const job_manager::LogEntry& e) {
-  const auto level = e.level == job_manager::Level::kWarn ? spdlog::level::warn : spdlog::level::info;
+  const auto level = e.level == job_manager::LogLevel::kWarn ? spdlog::level::warn : spdlog::level::info;
   if (!log_->should_log(level)) return;
   nlohmann::json line = {{"event", e.event}};
-  if (e.job != 0) line["job"] = core_.IdOf(e.job);
-  if (e.attempt != 0) line["attempt"] = core_.NameOf({e.job, e.attempt});
+  if (e.job != 0) line["job"] = core_.JobId(e.job);
+  if (e.attempt != 0) line["attempt"] = core_.AttemptName({e.job, e.attempt});
   if (!e.node.empty()) line["node"] = e.node;
   if (!e.text.empty()) line["text"] = e.text;
   WriteLine(*log_, e.level, line);
@@ -569,13 +569,13 @@
 void Daemon::Carry(const job_manager::Output& output) {
   const Micros now = loop_->Now();
   if (const auto* entry = std::get_if<job_manager::LogEntry>(&output)) return Log(*entry);
-  if (const auto* answered = std::get_if<job_manager::Answered>(&output)) {
+  if (const auto* answered = std::get_if<job_manager::JobAnswered>(&output)) {
     door_.Answered();
     return front_.On(now, *answered);
   }
-  if (const auto* used = std::get_if<job_manager::Used>(&output)) return PostUse(*used);
-  if (const auto* ended = std::get_if<job_manager::Ended>(&output)) return front_.On(now, *ended);
-  if (std::holds_alternative<job_manager::AskList>(output)) return list_.ReadAnew(now);
+  if (const auto* used = std::get_if<job_manager::ResourceUsage>(&output)) return PostUse(*used);
+  if (const auto* ended = std::get_if<job_manager::JobCompleted>(&output)) return front_.On(now, *ended);
+  if (std::holds_alternative<job_manager::ReadNodeList>(output)) return list_.ReadAnew(now);
   Timed timed(measure_, &spent_.links);
   links_.Take(now, output);
 }
@@ -584,7 +584,7 @@
 void Daemon::Pump() {
   keys_.Poll(loop_->Now());
   for (const std::string& text : keys_.TakeComplaints()) {
-    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "tls"}, {"text", text}});
+    WriteLine(*log_, job_manager::LogLevel::kWarn, {{"event", "tls"}, {"text", text}});
   }
   list_side_->Poll();
   if (config_.group_from_registry) PollGroup();
@@ -595,7 +595,7 @@
     const std::vector<job_manager::NodeMessage> messages = std::exchange(links_.messages(), {});
     {
       Timed timed(measure_, &spent_.core);
-      for (const job_manager::NodeMessage& message : messages) core_.Take(loop_->Now(), message);
+      for (const job_manager::NodeMessage& message : messages) core_.HandleNodeMessage(loop_->Now(), message);
     }
     if (outputs.empty() && messages.empty()) {
       if (!admitted) {  // all that came for jobs that are in already went first
@@ -623,15 +623,15 @@
   for (const node_sessions::LinkAction& action : actions) link_side_->Do(action);
   if (committer_ && gate_.SnapshotDue(loop_->Now())) committer_->Snapshot(core_.Snapshot());
   for (const std::string& text : front_.TakeComplaints(loop_->Now())) {
-    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "bad request"}, {"text", text}});
+    WriteLine(*log_, job_manager::LogLevel::kWarn, {{"event", "bad request"}, {"text", text}});
   }
   Remember();
   for (const std::string& text : list_.TakeComplaints()) {
-    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "list"}, {"text", text}});
+    WriteLine(*log_, job_manager::LogLevel::kWarn, {{"event", "list"}, {"text", text}});
   }
   if (stopping_ && ((!Owes() && gate_.Empty()) || loop_->Now() >= stop_at_)) {
     const job_manager::Counts c = core_.Count();
-    WriteLine(*log_, job_manager::Level::kInfo,
+    WriteLine(*log_, job_manager::LogLevel::kInfo,
               {{"event", "stopped"},
                {"text", std::to_string(c.queued + c.waiting + c.held) + " jobs were not placed" +
                             (committer_ ? "; they are kept" : "")}});
@@ -656,7 +656,7 @@
       [&snapshot](NodeId, const job_manager::ListedNode& node) { snapshot.nodes.push_back(node); });
   std::string error;
   if (discovery::SaveSnapshot(config_.list_snapshot, snapshot, &error)) return;
-  WriteLine(*log_, job_manager::Level::kWarn,
+  WriteLine(*log_, job_manager::LogLevel::kWarn,
             {{"event", "list"}, {"text", "the view was not kept: " + error}});
 }
 
@@ -665,18 +665,18 @@
   discovery::Snapshot snapshot;
   std::string error;
   if (!discovery::LoadSnapshot(config_.list_snapshot, &snapshot, &error)) {
-    return WriteLine(*log_, job_manager::Level::kWarn,
+    return WriteLine(*log_, job_manager::LogLevel::kWarn,
                      {{"event", "list"}, {"text", "no view from before: " + error}});
   }
-  job_manager::ListView view;
+  job_manager::NodeListView view;
   view.kind = NodeListKind::kCached;
   view.nodes = std::move(snapshot.nodes);
   const Micros age = loop_->Now() - std::min(loop_->Now(), snapshot.taken_at);
-  WriteLine(*log_, job_manager::Level::kInfo,
+  WriteLine(*log_, job_manager::LogLevel::kInfo,
             {{"event", "list"},
              {"text", "remembered " + std::to_string(view.nodes.size()) + " nodes, " +
                           std::to_string(age / 1000) + " ms old"}});
-  core_.TakeList(loop_->Now(), view);
+  core_.HandleNodeList(loop_->Now(), view);
 }
 
 void Daemon::PollGroup() {
@@ -695,16 +695,16 @@
   input.history = others_.state().lives() + own_entry_.lives();  // both only grow
   input.now = now;
   if (const auto change = group_.Update(std::move(input))) {
-    core_.TakeGroup(now, *change);
+    core_.HandleMembershipChange(now, *change);
     log_->flush_on(spdlog::level::info);  // rare, and worth seeing at once
     for (const job_manager::Output& output : std::exchange(core_.outputs(), {})) Carry(output);
     log_->flush_on(spdlog::level::warn);
   }
   for (const std::string& text : own_entry_.TakeComplaints()) {
-    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "list"}, {"text", text}});
+    WriteLine(*log_, job_manager::LogLevel::kWarn, {{"event", "list"}, {"text", text}});
   }
   for (const std::string& text : others_.TakeComplaints()) {
-    WriteLine(*log_, job_manager::Level::kWarn, {{"event", "list"}, {"text", "daemons: " + text}});
+    WriteLine(*log_, job_manager::LogLevel::kWarn, {{"event", "list"}, {"text", "daemons: " + text}});
   }
 }
 
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -74,7 +74,7 @@
   bool Release();  // the same
   void CheckStorage();
   bool OpenLedger(std::string* error);
-  void PostUse(const job_manager::Used& used);
+  void PostUse(const job_manager::ResourceUsage& used);
   bool TakeLedgerRecord(std::string_view record, std::string* expected);
   void Carry(const job_manager::Output& output);
   void Log(const job_manager::LogEntry& entry);
--- a/src/daemon/http_front.cpp
+++ b/src/daemon/http_front.cpp
@@ -24,22 +24,22 @@
                           request.keep_alive);
 }
 
-int StatusOf(job_manager::Verdict verdict) {
+int StatusOf(job_manager::CommandResult verdict) {
   switch (verdict) {
-    case job_manager::Verdict::kOk:
+    case job_manager::CommandResult::kOk:
       return 200;
-    case job_manager::Verdict::kUnknownJob:
+    case job_manager::CommandResult::kUnknownJob:
       return 404;
-    case job_manager::Verdict::kPermission:
+    case job_manager::CommandResult::kPermission:
       return 403;
-    case job_manager::Verdict::kBadState:
-    case job_manager::Verdict::kNotRunning:
-    case job_manager::Verdict::kExists:
+    case job_manager::CommandResult::kBadState:
+    case job_manager::CommandResult::kNotRunning:
+    case job_manager::CommandResult::kExists:
       return 409;
-    case job_manager::Verdict::kBadValue:
+    case job_manager::CommandResult::kBadValue:
       return 400;
-    case job_manager::Verdict::kFull:
-    case job_manager::Verdict::kStopping:
+    case job_manager::CommandResult::kFull:
+    case job_manager::CommandResult::kStopping:
       return 503;
   }
   return 500;
@@ -47,7 +47,7 @@
 
 json Show(const job_manager::JobManager& core, const job_manager::Job& job,
           const pbs_server::Vocabulary& words) {
-  json j = {{"id", core.IdOf(job.number)}};
+  json j = {{"id", core.JobId(job.number)}};
   for (const pbs_protocol::Attribute& a : pbs_server::ForStatus(core, job, words)) {
     if (a.resource.empty()) {
       j[a.name] = a.value;
@@ -140,7 +140,7 @@
   if (r.path.compare(0, kJobs.size() + 1, kJobs + "/") == 0) {
     const std::string id = r.path.substr(kJobs.size() + 1);
     if (r.method == "GET") {
-      const job_manager::Job* job = core_->Find(core_->NumberOf(id));
+      const job_manager::Job* job = core_->Find(core_->ParseJobId(id));
       if (job == nullptr) return Problem(r, 404, "no job " + id);
       return Reply(r, 200, Show(*core_, *job, options_->words));
     }
@@ -202,8 +202,8 @@
     asked.now = now;
     asked.arrived = arrived;
     asked.give_up =
-        arrived + (spec.owner_time != 0 ? spec.owner_time : core_->options().hard_limits[spec.task_class]);
-    if (spec.owner_deadline != 0) asked.give_up = std::min(asked.give_up, spec.owner_deadline);
+        arrived + (spec.client_wait != 0 ? spec.client_wait : core_->options().hard_limits[spec.task_class]);
+    if (spec.client_deadline != 0) asked.give_up = std::min(asked.give_up, spec.client_deadline);
     asked.unanswered = core_->Count().queued;
     const admission::Verdict verdict = door_->Ask(asked);
     if (!verdict.admit) {
@@ -211,13 +211,13 @@
       return Problem(r, 503, verdict.reason, verdict.wait);
     }
   }
-  const job_manager::Submitted done = core_->Submit(now, core_->NewJobNumber(), std::move(spec));
-  if (done.verdict == job_manager::Verdict::kExists) {
+  const job_manager::SubmitResult done = core_->Submit(now, core_->NewJobNumber(), std::move(spec));
+  if (done.verdict == job_manager::CommandResult::kExists) {
     return Reply(r, 200, Show(*core_, *core_->Find(done.job), options_->words));
   }
-  said_nothing_kept_ =
-      done.verdict == job_manager::Verdict::kFull || done.verdict == job_manager::Verdict::kStopping;
-  if (done.verdict != job_manager::Verdict::kOk) return Problem(r, StatusOf(done.verdict), done.reason);
+  said_nothing_kept_ = done.verdict == job_manager::CommandResult::kFull ||
+                       done.verdict == job_manager::CommandResult::kStopping;
+  if (done.verdict != job_manager::CommandResult::kOk) return Problem(r, StatusOf(done.verdict), done.reason);
   return Reply(r, 201, Show(*core_, *core_->Find(done.job), options_->words));
 }
 
@@ -228,8 +228,8 @@
     verb = id.substr(slash + 1);
     id.resize(slash);
   }
-  const std::uint64_t number = core_->NumberOf(id);
-  job_manager::Verdict v = job_manager::Verdict::kBadValue;
+  const std::uint64_t number = core_->ParseJobId(id);
+  job_manager::CommandResult v = job_manager::CommandResult::kBadValue;
   if (r.method == "DELETE" && verb.empty()) {
     v = core_->Delete(now, number, acts);
   } else if (r.method == "POST" && verb == "hold") {
@@ -241,7 +241,7 @@
   } else {
     return Problem(r, 405, "expected DELETE, or POST of hold, release or rerun");
   }
-  if (v != job_manager::Verdict::kOk)
+  if (v != job_manager::CommandResult::kOk)
     return Problem(r, StatusOf(v), pbs_protocol::Describe(pbs_server::CodeOf(v)));
   return Reply(r, 200, Show(*core_, *core_->Find(number), options_->words));
 }
@@ -253,7 +253,7 @@
     return Problem(r, 400, "limit: expected 1 to " + std::to_string(kMostPage));
   }
   std::uint64_t from = 0;
-  if (r.query.count("from") > 0 && (from = core_->NumberOf(r.Query("from"))) == 0) {
+  if (r.query.count("from") > 0 && (from = core_->ParseJobId(r.Query("from"))) == 0) {
     return Problem(r, 400, "from: expected a job id");
   }
   const std::string states = r.Query("state"), queue = r.Query("queue");
@@ -265,7 +265,7 @@
     if (!states.empty() && states.find(static_cast<char>(job.state)) == std::string::npos) return true;
     if (!queue.empty() && job.spec->queue != queue) return true;
     if (jobs.size() == limit) {
-      next = core_->IdOf(job.number);
+      next = core_->JobId(job.number);
       return false;
     }
     jobs.push_back(Show(*core_, job, options_->words));
--- a/src/discovery/client.cpp
+++ b/src/discovery/client.cpp
@@ -38,7 +38,7 @@
 }
 
 std::vector<std::string> RegistryClient::TakeComplaints() { return std::exchange(complaints_, {}); }
-std::vector<job_manager::ListView> RegistryClient::TakeViews() { return std::exchange(views_, {}); }
+std::vector<job_manager::NodeListView> RegistryClient::TakeViews() { return std::exchange(views_, {}); }
 
 void RegistryClient::Drop() {
   if (open_) actions_.push_back(CloseIt{});
@@ -392,7 +392,7 @@
 void RegistryClient::Emit(Micros now) {
   if (pending_.empty() && !whole_) return;
   if (!urgent_ && !whole_ && emitted_at_ != 0 && now < emitted_at_ + options_.least_pause) return;
-  job_manager::ListView view;
+  job_manager::NodeListView view;
   view.kind = whole_ ? NodeListKind::kSnapshot : NodeListKind::kDelta;
   if (whole_) {
     for (const auto& [key, node] : nodes_) view.nodes.push_back(node);
--- a/src/discovery/client.hpp
+++ b/src/discovery/client.hpp
@@ -83,7 +83,7 @@
   void ReadAnew(Micros now);
 
   std::vector<ClientAction>& actions() { return actions_; }
-  std::vector<job_manager::ListView> TakeViews();
+  std::vector<job_manager::NodeListView> TakeViews();
   std::vector<std::string> TakeComplaints();
   ViewStatus Status(Micros now) const;
   const RegistryState& state() const { return state_; }
@@ -130,7 +130,7 @@
   std::map<std::string, std::uint64_t> skipped_;
   bool urgent_ = false, whole_ = false, first_ = true;
   Micros emitted_at_ = 0;
-  std::vector<job_manager::ListView> views_;
+  std::vector<job_manager::NodeListView> views_;
   std::vector<ClientAction> actions_;
   std::vector<std::string> complaints_;
   ViewStatus status_;
--- a/src/job_manager/job.hpp
+++ b/src/job_manager/job.hpp
@@ -24,12 +24,12 @@
   unsigned task_class = 0;
   unsigned tenant = 0;
   double cores = 1.0;
-  double memory = 1.0;        // in the deployment's unit
-  Micros walltime = 0;        // 0: unlimited
-  Micros due = 0;             // not asked for before this time; 0: at once
-  Micros owner_time = 0;      // how long the owner waits for the answer; 0: the class's
-  Micros owner_deadline = 0;  // wall time; a commit taken later than this is refused; 0: none stated
-  Micros earlier_until = 0;   // of a repeat: wall time until which an earlier ask may still start it
+  double memory = 1.0;         // in the deployment's unit
+  Micros walltime = 0;         // 0: unlimited
+  Micros due = 0;              // not asked for before this time; 0: at once
+  Micros client_wait = 0;      // how long the owner waits for the answer; 0: the class's
+  Micros client_deadline = 0;  // wall time; a commit taken later than this is refused; 0: none stated
+  Micros earlier_until = 0;    // of a repeat: wall time until which an earlier ask may still start it
   int priority = 0;
   bool rerunnable = false;
   bool repeat = false;  // the owner asked before, here or elsewhere
@@ -49,22 +49,22 @@
 };
 
 // The job's one answer. It is given once and does not change.
-enum class Answer : std::uint8_t { kNone, kPlaced, kRefused, kFailed, kDeleted };
-const char* Name(Answer answer);
+enum class FinalAnswer : std::uint8_t { kNone, kStarted, kRejected, kFailed, kDeleted };
+const char* Name(FinalAnswer answer);
 
-enum class Phase : std::uint8_t {
-  kAsked,   // the node was asked and has not been told to go on: it cannot run
-  kGoing,   // told to go on, no word yet: it may run
-  kDoubt,   // the same, and the connection broke
-  kPlaced,  // the node has it
-  kOver
+enum class AttemptPhase : std::uint8_t {
+  kPreparing,   // the node was asked and has not been told to go on: it cannot run
+  kCommitting,  // told to go on, no word yet: it may run
+  kInDoubt,     // the same, and the connection broke
+  kRunning,     // the node has it
+  kEnded
 };
 
 struct Attempt {
   std::uint32_t number = 0;      // counts from 1 over the job's life; part of the name on the wire
   std::uint32_t of_request = 0;  // the module's request and its number there
   std::uint16_t of_attempt = 0;
-  Phase phase = Phase::kAsked;
+  AttemptPhase phase = AttemptPhase::kPreparing;
   bool told = false;      // the module has its outcome
   bool stopping = false;  // the node is asked to stop it until it answers
   bool restored = false;  // of an earlier life of this daemon, and its node has not spoken of it yet
@@ -80,7 +80,7 @@
   std::uint64_t number = 0;  // its id is NUMBER.SERVER
   std::unique_ptr<JobSpec> spec;
   JobState state = JobState::kQueued;
-  Answer answer = Answer::kNone;
+  FinalAnswer answer = FinalAnswer::kNone;
   bool deleted = false;   // by its owner
   bool closing = false;   // nothing more will be asked; complete once no attempt can run
   bool settling = false;  // waits until no earlier attempt can run
--- a/src/job_manager/job_manager.cpp
+++ b/src/job_manager/job_manager.cpp
@@ -35,23 +35,23 @@
 
 }  // namespace
 
-const char* Name(Answer answer) {
+const char* Name(FinalAnswer answer) {
   switch (answer) {
-    case Answer::kNone:
+    case FinalAnswer::kNone:
       return "none";
-    case Answer::kPlaced:
+    case FinalAnswer::kStarted:
       return "placed";
-    case Answer::kRefused:
+    case FinalAnswer::kRejected:
       return "refused";
-    case Answer::kFailed:
+    case FinalAnswer::kFailed:
       return "failed";
-    case Answer::kDeleted:
+    case FinalAnswer::kDeleted:
       return "deleted";
   }
   return "none";
 }
 
-NodeId JobManager::IdOfNode(std::string_view name) { return XXH32(name.data(), name.size(), 0); }
+NodeId JobManager::NodeIdOf(std::string_view name) { return XXH32(name.data(), name.size(), 0); }
 
 JobManager::JobManager(JobManagerOptions options, std::uint64_t seed, Micros now)
     : options_(std::move(options)),
@@ -67,9 +67,9 @@
 
 std::uint64_t JobManager::NewJobNumber() { return ++next_number_; }
 
-std::string JobManager::IdOf(std::uint64_t job) const { return std::to_string(job) + "." + options_.server; }
+std::string JobManager::JobId(std::uint64_t job) const { return std::to_string(job) + "." + options_.server; }
 
-std::uint64_t JobManager::NumberOf(std::string_view id) const {
+std::uint64_t JobManager::ParseJobId(std::string_view id) const {
   const std::size_t dot = id.find('.');
   const std::string_view digits = id.substr(0, dot);
   if (dot != std::string_view::npos && id.substr(dot + 1) != options_.server) return 0;
@@ -79,11 +79,11 @@
   return number;
 }
 
-std::string JobManager::NameOf(const AttemptId& attempt) const {
-  return IdOf(attempt.job) + "/" + std::to_string(attempt.number);
+std::string JobManager::AttemptName(const AttemptId& attempt) const {
+  return JobId(attempt.job) + "/" + std::to_string(attempt.number);
 }
 
-bool JobManager::AttemptOf(std::string_view name, AttemptId* id, std::string* server) const {
+bool JobManager::ParseAttemptName(std::string_view name, AttemptId* id, std::string* server) const {
   const std::size_t dot = name.find('.'), slash = name.rfind('/');
   if (dot == std::string_view::npos || slash == std::string_view::npos || slash < dot) return false;
   const auto number = [](std::string_view text, auto* to) {
@@ -122,7 +122,7 @@
   }
 }
 
-const ListedNode* JobManager::NodeOf(NodeId node) const {
+const ListedNode* JobManager::FindNode(NodeId node) const {
   const auto it = nodes_.find(node);
   return it == nodes_.end() ? nullptr : &it->second.listed;
 }
@@ -135,19 +135,19 @@
 
 Counts JobManager::Count() const { return counts_; }
 
-std::uint64_t JobManager::JobOfKey(const std::string& user, const std::string& key) const {
+std::uint64_t JobManager::FindJobByKey(const std::string& user, const std::string& key) const {
   if (key.empty()) return 0;
   const auto it = of_key_.find(KeyIndex(user, key));
   if (it == of_key_.end()) return 0;
   const Job* job = Find(it->second);
   // Refused, failed or deleted ones do not run, and their owner may ask anew.
-  if (job == nullptr || (IsOver(job->state) && job->answer != Answer::kPlaced)) return 0;
+  if (job == nullptr || (IsOver(job->state) && job->answer != FinalAnswer::kStarted)) return 0;
   return it->second;
 }
 
 // ---- Small parts ----
 
-void JobManager::Log(Level level, const char* event, const Job* job, std::uint32_t attempt,
+void JobManager::Log(LogLevel level, const char* event, const Job* job, std::uint32_t attempt,
                      const std::string& node, const std::string& text) {
   LogEntry entry;
   entry.level = level;
@@ -241,7 +241,7 @@
   }
   job->attempts.back().node_started = node->second.listed.started;
   node->second.held.insert({job->number, attempt.number});
-  outputs_.push_back(AskNode{{job->number, attempt.number}, offer.node});
+  outputs_.push_back(PrepareAttempt{{job->number, attempt.number}, offer.node});
   At(attempt.until, TimerKind::kAttempt, job->number, attempt.number);
 }
 
@@ -251,12 +251,12 @@
   if (job == nullptr) return;
   for (Attempt& a : job->attempts) {
     if (a.of_request != cancel.request || a.of_attempt != cancel.attempt || a.told) continue;
-    if (a.phase == Phase::kAsked) {  // no commit went out: it never ran
-      outputs_.push_back(AbandonAsk{{job->number, a.number}, a.node});
+    if (a.phase == AttemptPhase::kPreparing) {  // no commit went out: it never ran
+      outputs_.push_back(AbandonAttempt{{job->number, a.number}, a.node});
       TellOutcome(*job, a, AttemptResult::kUnreachable, RejectionReason::kUnspecified, {});
       return Over(*job, a.number);
     }
-    if (a.phase == Phase::kPlaced) return;  // the yes was first
+    if (a.phase == AttemptPhase::kRunning) return;  // the yes was first
     TellOutcome(*job, a, AttemptResult::kCancelled, RejectionReason::kUnspecified, {});
     return Stop(*job, a);
   }
@@ -283,9 +283,10 @@
   const auto of = of_request_.find(move.request);
   Job* job = of == of_request_.end() ? nullptr : Get(of->second);
   if (job == nullptr) return;
-  if (!job->spec->rerunnable) return Log(Level::kWarn, "move left out", job, 0, job->node, "not rerunnable");
+  if (!job->spec->rerunnable)
+    return Log(LogLevel::kWarn, "move left out", job, 0, job->node, "not rerunnable");
   for (Attempt& a : job->attempts) {
-    if (a.of_request != move.request || a.phase != Phase::kPlaced) continue;
+    if (a.of_request != move.request || a.phase != AttemptPhase::kRunning) continue;
     job->rerun = true;
     Stop(*job, a);
     return;
@@ -293,41 +294,41 @@
 }
 
 void JobManager::Do(const SetTimer& alarm) { At(alarm.at, TimerKind::kAlarm, alarm.token); }
-void JobManager::Do(const StartHealthCheck& probe) { outputs_.push_back(ProbeNode{probe.node}); }
-void JobManager::Do(const WatchNodes&) { outputs_.push_back(AskList{true}); }
-void JobManager::Do(const ListNodes&) { outputs_.push_back(AskList{false}); }
-void JobManager::Do(const LogLine& line) { Log(Level::kWarn, "module", nullptr, 0, "", line.text); }
+void JobManager::Do(const StartHealthCheck& probe) { outputs_.push_back(CheckNodeHealth{probe.node}); }
+void JobManager::Do(const WatchNodes&) { outputs_.push_back(ReadNodeList{true}); }
+void JobManager::Do(const ListNodes&) { outputs_.push_back(ReadNodeList{false}); }
+void JobManager::Do(const LogLine& line) { Log(LogLevel::kWarn, "module", nullptr, 0, "", line.text); }
 
 // ---- Commands ----
 
-Submitted JobManager::Submit(Micros now, std::uint64_t number, JobSpec spec) {
+SubmitResult JobManager::Submit(Micros now, std::uint64_t number, JobSpec spec) {
   now_ = std::max(now_, now);
-  Submitted result;
+  SubmitResult result;
   result.job = number;
   if (!accepting_) {
-    result.verdict = Verdict::kStopping;
+    result.verdict = CommandResult::kStopping;
     result.reason = "the daemon is going down";
     return result;
   }
   if (jobs_.count(number) > 0) {
-    result.verdict = Verdict::kExists;
+    result.verdict = CommandResult::kExists;
     result.reason = "a job with this id is here";
     return result;
   }
   if (spec.task_class >= options_.settings.classes.size() || number == 0) {
-    result.verdict = Verdict::kBadValue;
+    result.verdict = CommandResult::kBadValue;
     result.reason = "no such queue or job number";
     return result;
   }
   // Danger: a commit that waited in a stalled daemon's buffer would start a job whose owner has long asked
   // elsewhere.
-  if (spec.owner_deadline != 0 && now_ >= spec.owner_deadline) {
-    result.verdict = Verdict::kBadState;
+  if (spec.client_deadline != 0 && now_ >= spec.client_deadline) {
+    result.verdict = CommandResult::kBadState;
     result.reason = "the owner's time was over before the commit was read";
     return result;
   }
-  if (const std::uint64_t had = JobOfKey(spec.user, spec.key); had != 0) {
-    result.verdict = Verdict::kExists;
+  if (const std::uint64_t had = FindJobByKey(spec.user, spec.key); had != 0) {
+    result.verdict = CommandResult::kExists;
     result.job = had;
     result.reason = "a job with this key is here";
     return result;
@@ -335,17 +336,17 @@
   if (door_) {
     result.reason = door_(spec);
     if (!result.reason.empty()) {
-      result.verdict = Verdict::kFull;
+      result.verdict = CommandResult::kFull;
       return result;
     }
   }
   if (!refuse_new_.empty()) {
-    result.verdict = Verdict::kFull;
+    result.verdict = CommandResult::kFull;
     result.reason = refuse_new_;
     return result;
   }
   if (live_ >= options_.limits.jobs || script_bytes_ + spec.script.size() > options_.limits.script_bytes) {
-    result.verdict = Verdict::kFull;
+    result.verdict = CommandResult::kFull;
     result.reason = live_ >= options_.limits.jobs ? "as many jobs as this daemon holds"
                                                   : "as many bytes of scripts as this daemon holds";
     return result;
@@ -360,34 +361,34 @@
   if (!job.spec->key.empty()) of_key_[KeyIndex(job.spec->user, job.spec->key)] = number;
   if (options_.durable) touched_specs_.insert(number);
   Touch(job);
-  Log(Level::kInfo, "submitted", &job, 0, "", "");
+  Log(LogLevel::kInfo, "submitted", &job, 0, "", "");
   Settle(job);
   Pump();
   return result;
 }
 
-Verdict JobManager::Manage(std::uint64_t number, const std::string& user, Job** job) {
+CommandResult JobManager::Manage(std::uint64_t number, const std::string& user, Job** job) {
   *job = Get(number);
-  if (*job == nullptr) return Verdict::kUnknownJob;
-  if (!user.empty() && (*job)->spec->user != user) return Verdict::kPermission;
-  if (IsOver((*job)->state)) return Verdict::kBadState;
-  return Verdict::kOk;
+  if (*job == nullptr) return CommandResult::kUnknownJob;
+  if (!user.empty() && (*job)->spec->user != user) return CommandResult::kPermission;
+  if (IsOver((*job)->state)) return CommandResult::kBadState;
+  return CommandResult::kOk;
 }
 
-Verdict JobManager::Delete(Micros now, std::uint64_t number, const std::string& user) {
+CommandResult JobManager::Delete(Micros now, std::uint64_t number, const std::string& user) {
   now_ = std::max(now_, now);
   Job* job = nullptr;
-  if (const Verdict v = Manage(number, user, &job); v != Verdict::kOk) return v;
-  if (job->deleted) return Verdict::kOk;  // asked for already
+  if (const CommandResult v = Manage(number, user, &job); v != CommandResult::kOk) return v;
+  if (job->deleted) return CommandResult::kOk;  // asked for already
   job->deleted = true;
   Touch(*job);
   job->rerun = false;
   job->settling = false;
   ++job->generation;
   finding_.erase(number);
-  Log(Level::kInfo, "deleted", job, 0, "", "by " + (user.empty() ? std::string("operator") : user));
+  Log(LogLevel::kInfo, "deleted", job, 0, "", "by " + (user.empty() ? std::string("operator") : user));
   const bool runs = std::any_of(job->attempts.begin(), job->attempts.end(), [job](const Attempt& a) {
-    return a.phase == Phase::kPlaced && a.of_request == job->request;
+    return a.phase == AttemptPhase::kRunning && a.of_request == job->request;
   });
   if (job->request != 0 && !runs) {
     // The task is no longer wanted. The module is owed one outcome for what is out, and gets it now; whether
@@ -398,8 +399,8 @@
     for (const Attempt& was : out) {
       Attempt* a = Get({number, was.number}, &job);
       if (a == nullptr || a->told) continue;
-      if (a->phase == Phase::kAsked) {
-        outputs_.push_back(AbandonAsk{{number, a->number}, a->node});
+      if (a->phase == AttemptPhase::kPreparing) {
+        outputs_.push_back(AbandonAttempt{{number, a->number}, a->node});
         TellOutcome(*job, *a, AttemptResult::kUnreachable, RejectionReason::kUnspecified, {});
         Over(*job, was.number);
       } else {
@@ -409,21 +410,21 @@
     }
   } else {
     for (Attempt& a : job->attempts) {
-      if (a.phase == Phase::kPlaced && !a.stopping) Stop(*job, a);
+      if (a.phase == AttemptPhase::kRunning && !a.stopping) Stop(*job, a);
     }
   }
-  if (job->answer == Answer::kNone) Give(*job, Answer::kDeleted, "deleted by its owner");
+  if (job->answer == FinalAnswer::kNone) Give(*job, FinalAnswer::kDeleted, "deleted by its owner");
   Close(*job);
   Pump();
-  return Verdict::kOk;
+  return CommandResult::kOk;
 }
 
-Verdict JobManager::Hold(Micros now, std::uint64_t number, const std::string& user,
-                         const std::string& types) {
+CommandResult JobManager::Hold(Micros now, std::uint64_t number, const std::string& user,
+                               const std::string& types) {
   now_ = std::max(now_, now);
   Job* job = nullptr;
-  if (const Verdict v = Manage(number, user, &job); v != Verdict::kOk) return v;
-  if (job->state == JobState::kRunning || job->state == JobState::kExiting) return Verdict::kBadState;
+  if (const CommandResult v = Manage(number, user, &job); v != CommandResult::kOk) return v;
+  if (job->state == JobState::kRunning || job->state == JobState::kExiting) return CommandResult::kBadState;
   if (options_.durable) touched_specs_.insert(number);
   for (char c : types) {
     if (job->spec->hold.find(c) == std::string::npos) job->spec->hold.push_back(c);
@@ -434,67 +435,68 @@
     finding_.erase(number);
     SetState(*job, JobState::kHeld);
   }
-  return Verdict::kOk;
+  return CommandResult::kOk;
 }
 
-Verdict JobManager::Release(Micros now, std::uint64_t number, const std::string& user,
-                            const std::string& types) {
+CommandResult JobManager::Release(Micros now, std::uint64_t number, const std::string& user,
+                                  const std::string& types) {
   now_ = std::max(now_, now);
   Job* job = nullptr;
-  if (const Verdict v = Manage(number, user, &job); v != Verdict::kOk) return v;
+  if (const CommandResult v = Manage(number, user, &job); v != CommandResult::kOk) return v;
   if (options_.durable) touched_specs_.insert(number);
   std::erase_if(job->spec->hold, [&types](char c) { return types.find(c) != std::string::npos; });
   if (job->state == JobState::kHeld) Settle(*job);
   Pump();
-  return Verdict::kOk;
+  return CommandResult::kOk;
 }
 
-Verdict JobManager::Rerun(Micros now, std::uint64_t number, const std::string& user) {
+CommandResult JobManager::Rerun(Micros now, std::uint64_t number, const std::string& user) {
   now_ = std::max(now_, now);
   Job* job = nullptr;
-  if (const Verdict v = Manage(number, user, &job); v != Verdict::kOk) return v;
-  if (job->state != JobState::kRunning) return Verdict::kNotRunning;
+  if (const CommandResult v = Manage(number, user, &job); v != CommandResult::kOk) return v;
+  if (job->state != JobState::kRunning) return CommandResult::kNotRunning;
   // An unsafe job that ran must not start again.
   const Idempotency effect = options_.settings.classes[job->spec->task_class].idempotency;
-  if (!job->spec->rerunnable || effect == Idempotency::kNotIdempotent) return Verdict::kBadState;
+  if (!job->spec->rerunnable || effect == Idempotency::kNotIdempotent) return CommandResult::kBadState;
   for (Attempt& a : job->attempts) {
-    if (a.phase != Phase::kPlaced || a.stopping) continue;
+    if (a.phase != AttemptPhase::kRunning || a.stopping) continue;
     job->rerun = true;
     SetState(*job, JobState::kExiting);
     Stop(*job, a);
   }
   Pump();
-  return Verdict::kOk;
+  return CommandResult::kOk;
 }
 
-Verdict JobManager::Signal(Micros now, std::uint64_t number, const std::string& user,
-                           const std::string& signal) {
+CommandResult JobManager::Signal(Micros now, std::uint64_t number, const std::string& user,
+                                 const std::string& signal) {
   now_ = std::max(now_, now);
   Job* job = nullptr;
-  if (const Verdict v = Manage(number, user, &job); v != Verdict::kOk) return v;
-  if (job->state != JobState::kRunning) return Verdict::kNotRunning;
+  if (const CommandResult v = Manage(number, user, &job); v != CommandResult::kOk) return v;
+  if (job->state != JobState::kRunning) return CommandResult::kNotRunning;
   for (const Attempt& a : job->attempts) {
-    if (a.phase == Phase::kPlaced) outputs_.push_back(SignalOnNode{{number, a.number}, a.node, signal});
+    if (a.phase == AttemptPhase::kRunning)
+      outputs_.push_back(SignalAttempt{{number, a.number}, a.node, signal});
   }
-  return Verdict::kOk;
+  return CommandResult::kOk;
 }
 
-Verdict JobManager::Alter(Micros now, std::uint64_t number, const std::string& user,
-                          const std::function<bool(JobSpec*)>& change) {
+CommandResult JobManager::Alter(Micros now, std::uint64_t number, const std::string& user,
+                                const std::function<bool(JobSpec*)>& change) {
   now_ = std::max(now_, now);
   Job* job = nullptr;
-  if (const Verdict v = Manage(number, user, &job); v != Verdict::kOk) return v;
+  if (const CommandResult v = Manage(number, user, &job); v != CommandResult::kOk) return v;
   if (job->request != 0 || job->state == JobState::kRunning || job->state == JobState::kExiting) {
-    return Verdict::kBadState;
+    return CommandResult::kBadState;
   }
   JobSpec changed = *job->spec;
-  if (!change(&changed)) return Verdict::kBadValue;
+  if (!change(&changed)) return CommandResult::kBadValue;
   *job->spec = std::move(changed);
   if (options_.durable) touched_specs_.insert(number);
   job->changed = now_;
   if (!job->settling && finding_.count(number) == 0) Settle(*job);
   Pump();
-  return Verdict::kOk;
+  return CommandResult::kOk;
 }
 
 // ---- Jobs ----
@@ -516,9 +518,9 @@
   const JobSpec& spec = *job.spec;
   const Micros hard = options_.hard_limits[spec.task_class];
   if (job.give_up == 0) {
-    const Micros owner = spec.owner_time != 0 ? spec.owner_time : hard;
+    const Micros owner = spec.client_wait != 0 ? spec.client_wait : hard;
     job.give_up = now_ + owner;
-    if (spec.owner_deadline != 0) job.give_up = std::min(job.give_up, spec.owner_deadline);
+    if (spec.client_deadline != 0) job.give_up = std::min(job.give_up, spec.client_deadline);
   }
   // Request numbers are short and come round again; one still in use is passed over.
   do {
@@ -534,7 +536,7 @@
   task.task_class = spec.task_class;
   task.tenant = spec.tenant;
   task.deadline = std::min(now_ + hard, job.give_up);
-  task.key = spec.key.empty() ? Hash(IdOf(job.number)) : Hash(KeyIndex(spec.user, spec.key));
+  task.key = spec.key.empty() ? Hash(JobId(job.number)) : Hash(KeyIndex(spec.user, spec.key));
   task.service = Hash(spec.service);
   task.cores = spec.cores;
   task.memory = spec.memory;
@@ -548,7 +550,7 @@
 
 bool JobManager::Unsettled(const Job& job) const {
   return std::any_of(job.attempts.begin(), job.attempts.end(),
-                     [](const Attempt& a) { return a.phase != Phase::kOver; });
+                     [](const Attempt& a) { return a.phase != AttemptPhase::kEnded; });
 }
 
 void JobManager::AskEnded(Job& job, retry::AskEnd end, Micros advised, const std::string& reason) {
@@ -564,13 +566,13 @@
   if (end == retry::AskEnd::kLost) {  // a new placing: the owner's time begins anew
     const Micros hard = options_.hard_limits[job.spec->task_class];
     job.give_up =
-        now_ + (job.spec->owner_time != 0 ? job.spec->owner_time : hard) + options_.repeats.settle_wait;
+        now_ + (job.spec->client_wait != 0 ? job.spec->client_wait : hard) + options_.repeats.settle_wait;
   }
   ended.give_up = job.give_up;
   ended.draw = Draw();
   const retry::RepeatDecision d = job.repeats.Decide(options_.repeats, ended);
   if (d.verdict == retry::RepeatVerdict::kFinal) {
-    const Answer answer = end == retry::AskEnd::kRefused ? Answer::kRefused : Answer::kFailed;
+    const FinalAnswer answer = end == retry::AskEnd::kRefused ? FinalAnswer::kRejected : FinalAnswer::kFailed;
     std::string told = reason;
     if (job.spec->rerunnable) told += std::string(" (") + d.why + ")";
     Give(job, answer, told);
@@ -582,14 +584,14 @@
   At(d.at, TimerKind::kJob, job.number, job.generation);
 }
 
-void JobManager::Give(Job& job, Answer answer, const std::string& reason) {
+void JobManager::Give(Job& job, FinalAnswer answer, const std::string& reason) {
   job.comment = Bounded(reason);
   job.changed = now_;
   Touch(job);
-  if (job.answer != Answer::kNone) return;  // the one answer stands; a later loss shows in the comment
+  if (job.answer != FinalAnswer::kNone) return;  // the one answer stands; a later loss shows in the comment
   job.answer = answer;
-  Log(Level::kInfo, "answered", &job, 0, job.node, std::string(Name(answer)) + ": " + job.comment);
-  outputs_.push_back(Answered{job.number});
+  Log(LogLevel::kInfo, "answered", &job, 0, job.node, std::string(Name(answer)) + ": " + job.comment);
+  outputs_.push_back(JobAnswered{job.number});
 }
 
 void JobManager::Close(Job& job) {
@@ -615,8 +617,8 @@
   job.spec->script = {};
   job.spec->script.shrink_to_fit();
   finding_.erase(job.number);
-  Log(Level::kInfo, "complete", &job, 0, job.node, job.comment);
-  outputs_.push_back(Ended{job.number});
+  Log(LogLevel::kInfo, "complete", &job, 0, job.node, job.comment);
+  outputs_.push_back(JobCompleted{job.number});
   history_.push_back(job.number);
   if (history_.size() == 1) At(now_ + options_.history_kept, TimerKind::kHistory, 0);
   while (history_.size() > options_.limits.history) {
@@ -646,8 +648,8 @@
   const Micros earlier = job.spec->earlier_until != 0 ? job.spec->earlier_until : now_ + hard;
   state.horizon = std::min(earlier, now_ + hard + options_.repeats.most_wait) + kHorizonMargin;
   if (job.give_up == 0) {
-    job.give_up = now_ + (job.spec->owner_time != 0 ? job.spec->owner_time : hard);
-    if (job.spec->owner_deadline != 0) job.give_up = std::min(job.give_up, job.spec->owner_deadline);
+    job.give_up = now_ + (job.spec->client_wait != 0 ? job.spec->client_wait : hard);
+    if (job.spec->client_deadline != 0) job.give_up = std::min(job.give_up, job.spec->client_deadline);
   }
   SetState(job, JobState::kWaiting);
   job.comment = "asked for before: looking whether it runs";
@@ -673,7 +675,7 @@
   FindState& state = it->second;
   if (now_ >= job.give_up) {
     finding_.erase(it);
-    Give(job, Answer::kRefused, "could not be made sure in time that an earlier ask does not run");
+    Give(job, FinalAnswer::kRejected, "could not be made sure in time that an earlier ask does not run");
     return Close(job);
   }
   std::erase_if(state.asked, [this](NodeId id) { return !nodes_[id].present; });
@@ -687,7 +689,7 @@
   FindRound(job, state);
 }
 
-void JobManager::On(const KeyFound& m) {
+void JobManager::On(const FindKeyAnswered& m) {
   const auto it = finding_.find(m.job);
   Job* job = it == finding_.end() ? nullptr : Get(m.job);
   if (job == nullptr || m.key != job->spec->key) return;
@@ -696,10 +698,10 @@
     it->second.answered.insert(m.node);
     return;
   }
-  const ListedNode* node = NodeOf(m.node);
+  const ListedNode* node = FindNode(m.node);
   job->node = node != nullptr ? node->name : "";
   finding_.erase(it);
-  Give(*job, Answer::kPlaced, "runs already as " + std::to_string(m.attempt.job) + "." + m.server);
+  Give(*job, FinalAnswer::kStarted, "runs already as " + std::to_string(m.attempt.job) + "." + m.server);
   Complete(*job, job->comment);
 }
 
@@ -728,7 +730,7 @@
   o.attempt = attempt.of_attempt;
   o.node = attempt.node;
   o.elapsed = now_ - attempt.sent;
-  o.request_closed = job.deleted || attempt.phase == Phase::kPlaced;
+  o.request_closed = job.deleted || attempt.phase == AttemptPhase::kRunning;
   o.result = ending;
   o.reason = cause;
   o.report = report;
@@ -753,7 +755,7 @@
   attempt.stopping = true;
   Touch(job);
   unsettled_[{id.job, id.number}] = now_;
-  outputs_.push_back(StopOnNode{id, attempt.node});
+  outputs_.push_back(StopAttempt{id, attempt.node});
   if (unsettled_.size() <= options_.limits.unsettled) return;
   auto oldest = std::min_element(unsettled_.begin(), unsettled_.end(),
                                  [](const auto& a, const auto& b) { return a.second < b.second; });
@@ -761,7 +763,7 @@
   const AttemptId let_go{oldest->first.first, oldest->first.second};
   Attempt* was = Get(let_go, &old);
   if (was == nullptr || let_go == id) return;
-  Log(Level::kWarn, "let go", old, let_go.number, "", "too many attempts wait to be stopped");
+  Log(LogLevel::kWarn, "let go", old, let_go.number, "", "too many attempts wait to be stopped");
   Over(*old, let_go.number);
   Closed(*old);
 }
@@ -771,39 +773,39 @@
   At(now_ + (options_.stop_again << doublings), TimerKind::kStop, id.job, id.number);
 }
 
-void JobManager::On(const Ready& m) {
+void JobManager::On(const AttemptPrepared& m) {
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
-  if (a == nullptr || a->phase != Phase::kAsked || a->told) return;
+  if (a == nullptr || a->phase != AttemptPhase::kPreparing || a->told) return;
   // Danger: a daemon that stood still must not go on with an offer whose time is over; its owner may have
   // asked elsewhere.
   if (now_ >= a->until) return FireAttempt(m.attempt);
-  a->phase = Phase::kGoing;
-  outputs_.push_back(CommitNode{m.attempt, a->node});
+  a->phase = AttemptPhase::kCommitting;
+  outputs_.push_back(CommitAttempt{m.attempt, a->node});
 }
 
-void JobManager::On(const Refused& m) {
+void JobManager::On(const AttemptRejected& m) {
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
-  if (a == nullptr || a->phase == Phase::kPlaced) return;
-  const ListedNode* node = NodeOf(a->node);
+  if (a == nullptr || a->phase == AttemptPhase::kRunning) return;
+  const ListedNode* node = FindNode(a->node);
   if (!a->told) job->comment = Bounded("node " + (node != nullptr ? node->name : "?") + ": " + m.reason);
-  Log(Level::kInfo, "refused by node", job, m.attempt.number, node != nullptr ? node->name : "", m.reason);
+  Log(LogLevel::kInfo, "refused by node", job, m.attempt.number, node != nullptr ? node->name : "", m.reason);
   // Nothing before the commit can have run, whatever the node says of itself.
-  const bool errs = m.error && a->phase != Phase::kAsked;
+  const bool errs = m.error && a->phase != AttemptPhase::kPreparing;
   TellOutcome(*job, *a, errs ? AttemptResult::kError : AttemptResult::kRejected, m.cause, m.report);
   Over(*job, m.attempt.number);
   Closed(*job);
 }
 
-void JobManager::On(const Committed& m) {
+void JobManager::On(const AttemptCommitted& m) {
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
-  if (a == nullptr || a->phase == Phase::kPlaced) return;
-  a->phase = Phase::kPlaced;
+  if (a == nullptr || a->phase == AttemptPhase::kRunning) return;
+  a->phase = AttemptPhase::kRunning;
   Touch(*job);
   if (a->told) return;  // given up before: it is being stopped, and its end will be told
-  const ListedNode* node = NodeOf(a->node);
+  const ListedNode* node = FindNode(a->node);
   job->node = node != nullptr ? node->name : "";
   job->placed = now_;
   job->repeats.Placed();
@@ -814,28 +816,28 @@
   } else {
     Tell(TaskStarted{a->of_request, a->of_attempt, a->node, now_ - a->sent});
   }
-  Give(*job, Answer::kPlaced, "placed on " + job->node);
+  Give(*job, FinalAnswer::kStarted, "placed on " + job->node);
 }
 
-void JobManager::On(const Broken& m) {
+void JobManager::On(const AttemptDisconnected& m) {
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
-  if (a == nullptr || a->phase == Phase::kPlaced) return;
+  if (a == nullptr || a->phase == AttemptPhase::kRunning) return;
   if (!m.sent) {
     TellOutcome(*job, *a, AttemptResult::kUnreachable, RejectionReason::kUnspecified, {});
     Over(*job, m.attempt.number);
     Closed(*job);
     return;
   }
-  a->phase = Phase::kDoubt;
-  if (!a->stopping) outputs_.push_back(QueryNode{m.attempt, a->node});
+  a->phase = AttemptPhase::kInDoubt;
+  if (!a->stopping) outputs_.push_back(QueryAttempt{m.attempt, a->node});
 }
 
-void JobManager::On(const Found& m) {
-  if (m.found) return On(Committed{m.attempt});
+void JobManager::On(const QueryAnswered& m) {
+  if (m.found) return On(AttemptCommitted{m.attempt});
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
-  if (a == nullptr || a->phase != Phase::kDoubt) return;
+  if (a == nullptr || a->phase != AttemptPhase::kInDoubt) return;
   TellOutcome(*job, *a, AttemptResult::kUnreachable, RejectionReason::kUnspecified, {});
   Over(*job, m.attempt.number);
   Closed(*job);
@@ -844,12 +846,12 @@
 void JobManager::On(const QueryFailed& m) {
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
-  if (a == nullptr || a->phase != Phase::kDoubt || a->stopping) return;
+  if (a == nullptr || a->phase != AttemptPhase::kInDoubt || a->stopping) return;
   StopLater(m.attempt, *a);
   if (a->stop_tries < 255) ++a->stop_tries;
 }
 
-void JobManager::On(const Stopped& m) {
+void JobManager::On(const StopAnswered& m) {
   Job* job = nullptr;
   Attempt* a = Get(m.attempt, &job);
   if (a == nullptr || !a->stopping) return;
@@ -857,7 +859,7 @@
     At(now_ + kStopRemind, TimerKind::kStop, m.attempt.job, m.attempt.number);
     return;
   }
-  if (a->phase == Phase::kPlaced && !a->told) {
+  if (a->phase == AttemptPhase::kRunning && !a->told) {
     return Lose(*job, *a, AttemptResult::kLost, RejectionReason::kUnspecified, {},
                 "the node does not know it any more");
   }
@@ -883,7 +885,7 @@
   if (ours && job.request == attempt.of_request) CloseRequest(job);
   Over(job, number);
   if (!ours || job.closing) return Closed(job);
-  Log(Level::kWarn, "lost", &job, number, job.node, reason);
+  Log(LogLevel::kWarn, "lost", &job, number, job.node, reason);
   AskEnded(job, retry::AskEnd::kLost, 0, reason);
 }
 
@@ -893,10 +895,11 @@
   if (a == nullptr) return;
   if (m.started != 0 && m.ended >= m.started) {
     const JobSpec& spec = *job->spec;
-    outputs_.push_back(
-        Used{m.attempt, a->node, spec.task_class, spec.tenant, spec.cores, spec.memory, m.started, m.ended});
+    outputs_.push_back(ResourceUsage{m.attempt, a->node, spec.task_class, spec.tenant, spec.cores,
+                                     spec.memory, m.started, m.ended});
   }
-  if (a->phase != Phase::kPlaced) On(Committed{m.attempt});  // the yes was overtaken by the end
+  if (a->phase != AttemptPhase::kRunning)
+    On(AttemptCommitted{m.attempt});  // the yes was overtaken by the end
   a = Get(m.attempt, &job);
   if (a == nullptr) return;
   AttemptResult ending = AttemptResult::kCompleted;
@@ -910,10 +913,10 @@
     case EndReason::kEvicted:
       ending = AttemptResult::kLost, cause = RejectionReason::kEvicted;
       break;
-    case EndReason::kPushedOut:
+    case EndReason::kPreempted:
       ending = AttemptResult::kLost, cause = RejectionReason::kPreempted;
       break;
-    case EndReason::kSentAway:
+    case EndReason::kDrained:
       ending = AttemptResult::kLost, cause = RejectionReason::kDrained;
       break;
     case EndReason::kError:
@@ -944,7 +947,9 @@
   Close(*job);
 }
 
-void JobManager::On(const Probed& m) { Tell(HealthCheckResult{m.node, m.answered, m.elapsed, m.report}); }
+void JobManager::On(const NodeHealthChecked& m) {
+  Tell(HealthCheckResult{m.node, m.answered, m.elapsed, m.report});
+}
 
 // ---- Nodes and the list ----
 
@@ -964,7 +969,7 @@
   return e;
 }
 
-void JobManager::TakeList(Micros now, const ListView& view) {
+void JobManager::HandleNodeList(Micros now, const NodeListView& view) {
   now_ = std::max(now_, now);
   NodeListUpdate told;
   told.kind = view.kind;
@@ -977,16 +982,16 @@
   std::set<NodeId> seen;
   std::vector<std::pair<NodeId, const char*>> lost;
   for (const ListedNode& listed : view.nodes) {
-    const NodeId id = IdOfNode(listed.name);
+    const NodeId id = NodeIdOf(listed.name);
     const auto had = nodes_.find(id);
     if (had == nodes_.end() && (nodes_.size() >= options_.limits.nodes || listed.state == NodeState::kGone)) {
       if (listed.state != NodeState::kGone) {
-        Log(Level::kWarn, "node skipped", nullptr, 0, listed.name, "more nodes than the view holds");
+        Log(LogLevel::kWarn, "node skipped", nullptr, 0, listed.name, "more nodes than the view holds");
       }
       continue;
     }
     if (had != nodes_.end() && had->second.listed.name != listed.name) {
-      Log(Level::kWarn, "node skipped", nullptr, 0, listed.name,
+      Log(LogLevel::kWarn, "node skipped", nullptr, 0, listed.name,
           "its number is that of " + had->second.listed.name + "; rename one");
       continue;
     }
@@ -1037,7 +1042,7 @@
     node.present = false;
     node.gone_at = now_;
     ++node.generation;
-    Log(Level::kWarn, "node gone", nullptr, 0, node.listed.name, "");
+    Log(LogLevel::kWarn, "node gone", nullptr, 0, node.listed.name, "");
     At(now_ + options_.repeats.settle_wait, TimerKind::kGone, id, node.generation);
   }
   const auto held = node.held;
@@ -1045,15 +1050,15 @@
     Job* job = nullptr;
     Attempt* a = Get({number, attempt}, &job);
     if (a == nullptr || (certain && a->sent >= new_start && a->node_started >= new_start)) continue;
-    if (a->phase == Phase::kAsked) {
-      outputs_.push_back(AbandonAsk{{number, attempt}, id});
+    if (a->phase == AttemptPhase::kPreparing) {
+      outputs_.push_back(AbandonAttempt{{number, attempt}, id});
       TellOutcome(*job, *a, AttemptResult::kUnreachable, RejectionReason::kUnspecified, {});
       Over(*job, attempt);
       Closed(*job);
       continue;
     }
     if (certain) {
-      if (a->phase == Phase::kPlaced) {
+      if (a->phase == AttemptPhase::kRunning) {
         Lose(*job, *a, AttemptResult::kLost, RejectionReason::kUnspecified, {}, why);
         continue;
       }
@@ -1064,13 +1069,13 @@
     }
     // Only the list says so: it may run on behind a broken network. It is told as lost, and stopped if the
     // node can be reached; it counts as settled once the owner's wait has passed (kGone).
-    const bool was_placed = a->phase == Phase::kPlaced && !a->told;
+    const bool was_placed = a->phase == AttemptPhase::kRunning && !a->told;
     TellOutcome(*job, *a, AttemptResult::kLost, RejectionReason::kUnspecified, {});
     if (!a->stopping) Stop(*job, *a);
     if (!was_placed) continue;
     if (job->request == a->of_request) CloseRequest(*job);
     if (job->deleted) continue;
-    Log(Level::kWarn, "lost", job, attempt, node.listed.name, why);
+    Log(LogLevel::kWarn, "lost", job, attempt, node.listed.name, why);
     AskEnded(*job, retry::AskEnd::kLost, 0, why);
   }
 }
@@ -1101,11 +1106,11 @@
     it->second.sync_out = true;
     it->second.sync_sent = now_;
     ++syncs_out_;
-    outputs_.push_back(SyncNode{id});
+    outputs_.push_back(ReconcileNode{id});
   }
 }
 
-void JobManager::On(const SyncFailed& m) {
+void JobManager::On(const ReconcileFailed& m) {
   const auto it = nodes_.find(m.node);
   if (it == nodes_.end()) return;
   NodeRecord& node = it->second;
@@ -1120,7 +1125,7 @@
      m.node);
 }
 
-void JobManager::On(const Synced& m) {
+void JobManager::On(const NodeReconciled& m) {
   const auto it = nodes_.find(m.node);
   if (it == nodes_.end()) return;
   NodeRecord& node = it->second;
@@ -1140,13 +1145,13 @@
     LoseNode(m.node, m.started, true, "lost with its node, which started anew");
   }
   std::set<std::pair<std::uint64_t, std::uint32_t>> there;
-  for (const RunningOnNode& held : m.held) {
+  for (const ReportedAttempt& held : m.held) {
     there.insert({held.attempt.job, held.attempt.number});
     Job* job = nullptr;
     Attempt* a = Get(held.attempt, &job);
     if (a != nullptr && a->restored && !held.ended && !a->told && !a->stopping) {
-      if (a->phase != Phase::kPlaced) {
-        On(Committed{held.attempt});
+      if (a->phase != AttemptPhase::kRunning) {
+        On(AttemptCommitted{held.attempt});
       } else if (job->request == 0) {
         Readopt(*job, *a);
       }
@@ -1157,25 +1162,25 @@
       Adopt(m.node, held);
     } else {
       // The job is known and this attempt of it is over: nobody waits for it.
-      outputs_.push_back(StopOnNode{held.attempt, m.node});
+      outputs_.push_back(StopAttempt{held.attempt, m.node});
     }
   }
   const auto ours = node.held;
   for (const auto& [number, attempt] : ours) {
     Job* job = nullptr;
     Attempt* a = Get({number, attempt}, &job);
-    if (a != nullptr && a->restored && a->phase == Phase::kDoubt && !a->stopping &&
+    if (a != nullptr && a->restored && a->phase == AttemptPhase::kInDoubt && !a->stopping &&
         there.count({number, attempt}) == 0) {
       // Its commit may still be on the way to the node: only the word on a question is final.
-      outputs_.push_back(QueryNode{{number, attempt}, m.node});
+      outputs_.push_back(QueryAttempt{{number, attempt}, m.node});
       continue;
     }
-    if (a != nullptr && a->restored && a->stopping && a->phase != Phase::kOver) {
-      outputs_.push_back(StopOnNode{{number, attempt}, m.node});
+    if (a != nullptr && a->restored && a->stopping && a->phase != AttemptPhase::kEnded) {
+      outputs_.push_back(StopAttempt{{number, attempt}, m.node});
       continue;
     }
     // What was placed after the question went out may be missing in the answer.
-    if (a == nullptr || a->phase != Phase::kPlaced || there.count({number, attempt}) > 0) continue;
+    if (a == nullptr || a->phase != AttemptPhase::kRunning || there.count({number, attempt}) > 0) continue;
     if (job->placed >= node.sync_sent) continue;
     Lose(*job, *a, AttemptResult::kLost, RejectionReason::kUnspecified, {},
          "the node does not know it any more");
@@ -1183,19 +1188,19 @@
 }
 
 // Found running at a node after a restart of this daemon.
-void JobManager::Adopt(NodeId id, const RunningOnNode& held) {
+void JobManager::Adopt(NodeId id, const ReportedAttempt& held) {
   if (live_ >= options_.limits.jobs || held.spec.task_class >= options_.settings.classes.size()) {
-    return Log(Level::kWarn, "not adopted", nullptr, held.attempt.number, NodeOf(id)->name,
-               "no room, or a queue that is not known: " + IdOf(held.attempt.job));
+    return Log(LogLevel::kWarn, "not adopted", nullptr, held.attempt.number, FindNode(id)->name,
+               "no room, or a queue that is not known: " + JobId(held.attempt.job));
   }
   Job& job = jobs_[held.attempt.job];
   job.number = held.attempt.job;
   next_number_ = std::max(next_number_, job.number);
   job.spec = std::make_unique<JobSpec>(held.spec);
   job.state = JobState::kRunning;
-  job.answer = Answer::kPlaced;
+  job.answer = FinalAnswer::kStarted;
   job.adopted = true;
-  job.node = NodeOf(id)->name;
+  job.node = FindNode(id)->name;
   job.comment = "found running on " + job.node + " after a restart";
   job.created = job.queued = job.changed = job.placed = now_;
   job.attempts_made = held.attempt.number;
@@ -1206,13 +1211,13 @@
   Touch(job);
   Attempt a;
   a.number = held.attempt.number;
-  a.phase = Phase::kPlaced;
+  a.phase = AttemptPhase::kRunning;
   a.node = id;
   a.node_started = nodes_[id].listed.started;
   a.sent = now_;
   job.attempts.push_back(a);
   nodes_[id].held.insert({job.number, a.number});
-  Log(Level::kInfo, "adopted", &job, a.number, job.node, "");
+  Log(LogLevel::kInfo, "adopted", &job, a.number, job.node, "");
   job.request = job.attempts.back().of_request = TellRunning(job, id);
 }
 
@@ -1221,7 +1226,7 @@
   attempt.restored = false;
   job.adopted = true;
   job.restored = false;
-  Log(Level::kInfo, "adopted", &job, attempt.number, job.node, "known from before the restart");
+  Log(LogLevel::kInfo, "adopted", &job, attempt.number, job.node, "known from before the restart");
   job.request = attempt.counted ? attempt.of_request : TellRunning(job, attempt.node);
   attempt.of_request = job.request;
   attempt.counted = false;
@@ -1239,7 +1244,7 @@
   running.task.tenant = job.spec->tenant;
   running.task.deadline = now_;
   running.task.key =
-      job.spec->key.empty() ? Hash(IdOf(job.number)) : Hash(KeyIndex(job.spec->user, job.spec->key));
+      job.spec->key.empty() ? Hash(JobId(job.number)) : Hash(KeyIndex(job.spec->user, job.spec->key));
   running.task.service = Hash(job.spec->service);
   running.task.cores = job.spec->cores;
   running.task.memory = job.spec->memory;
@@ -1259,8 +1264,8 @@
 
 namespace {
 
-KeptState StateOf(const Job& job, const std::function<std::string(NodeId)>& name_of) {
-  KeptState s;
+StateRecord StateOf(const Job& job, const std::function<std::string(NodeId)>& name_of) {
+  StateRecord s;
   s.state = job.state;
   s.answer = job.answer;
   s.deleted = job.deleted, s.closing = job.closing, s.settling = job.settling, s.rerun = job.rerun;
@@ -1282,7 +1287,7 @@
 std::vector<std::string> JobManager::TakeJournal() {
   std::vector<std::string> records;
   const auto name_of = [this](NodeId id) {
-    const ListedNode* node = NodeOf(id);
+    const ListedNode* node = FindNode(id);
     return node != nullptr ? node->name : std::string();
   };
   for (const std::uint64_t number : touched_specs_) {
@@ -1301,7 +1306,7 @@
 std::string JobManager::Snapshot() const {
   std::string all;
   const auto name_of = [this](NodeId id) {
-    const ListedNode* node = NodeOf(id);
+    const ListedNode* node = FindNode(id);
     return node != nullptr ? node->name : std::string();
   };
   for (const auto& [number, job] : jobs_) {
@@ -1312,12 +1317,12 @@
 }
 
 bool JobManager::Restore(std::string_view record, std::string* expected) {
-  Kept kept;
-  if (!ReadKept(record, &kept, expected)) return false;
-  if (kept.kind == KeptKind::kForgotten) {
+  JournalRecord kept;
+  if (!ReadRecord(record, &kept, expected)) return false;
+  if (kept.kind == RecordKind::kForgotten) {
     jobs_.erase(kept.job);
     kept_.erase(kept.job);
-  } else if (kept.kind == KeptKind::kSpec) {
+  } else if (kept.kind == RecordKind::kSpec) {
     jobs_[kept.job].spec = std::make_unique<JobSpec>(std::move(kept.spec));
   } else {
     kept_[kept.job] = std::move(kept.state);
@@ -1326,7 +1331,7 @@
   return true;
 }
 
-bool JobManager::Restored(Micros now, std::string* expected) {
+bool JobManager::FinishRestore(Micros now, std::string* expected) {
   now_ = std::max(now_, now);
   std::erase_if(jobs_, [this](const auto& one) { return kept_.count(one.first) == 0; });
   std::vector<std::pair<Micros, std::uint64_t>> complete;
@@ -1343,7 +1348,7 @@
       if (!name.empty()) *index = found ? static_cast<unsigned>(at - names.begin()) : 0;
       if (name.empty() || found || IsOver(s.state)) return true;
       *expected =
-          "job " + IdOf(number) + ": expected " + what + " '" + name + "' to be configured until it is over";
+          "job " + JobId(number) + ": expected " + what + " '" + name + "' to be configured until it is over";
       return false;
     };
     if (!find(options_.classes, job.spec->queue, "queue", &job.spec->task_class) ||
@@ -1370,17 +1375,17 @@
     ++live_;
     script_bytes_ += job.spec->script.size();
     bool runs = false;
-    for (const KeptAttempt& k : s.attempts) {
+    for (const AttemptRecord& k : s.attempts) {
       Attempt a;
       a.number = k.number;
       a.restored = true;
       a.told = k.told;
       a.stopping = k.stopping;
       // Whatever it was, its messages are lost: only what the node confirmed is sure.
-      a.phase = k.phase == Phase::kPlaced ? Phase::kPlaced : Phase::kDoubt;
-      a.node = IdOfNode(k.node);
+      a.phase = k.phase == AttemptPhase::kRunning ? AttemptPhase::kRunning : AttemptPhase::kInDoubt;
+      a.node = NodeIdOf(k.node);
       a.node_started = k.node_started, a.sent = k.sent, a.until = k.until;
-      runs |= a.phase == Phase::kPlaced && !a.told;
+      runs |= a.phase == AttemptPhase::kRunning && !a.told;
       // Danger: until its node speaks a task that runs, or may, would not count for the spread of its
       // service.
       if (!a.told && !a.stopping) {
@@ -1401,8 +1406,8 @@
     const Micros hard = options_.hard_limits[job.spec->task_class];
     const Micros start = std::max(now_, job.spec->due);
     if (job.give_up == 0) {
-      job.give_up = start + (job.spec->owner_time != 0 ? job.spec->owner_time : hard);
-      if (job.spec->owner_deadline != 0) job.give_up = std::min(job.give_up, job.spec->owner_deadline);
+      job.give_up = start + (job.spec->client_wait != 0 ? job.spec->client_wait : hard);
+      if (job.spec->client_deadline != 0) job.give_up = std::min(job.give_up, job.spec->client_deadline);
     }
     job.settling = true;
     if (job.comment.empty()) job.comment = "asked for before a restart of the daemon";
@@ -1417,7 +1422,7 @@
   for (const auto& [ended, number] : complete) history_.push_back(number);
   if (!history_.empty())
     At(std::max(now_, complete.front().first + options_.history_kept), TimerKind::kHistory, 0);
-  Log(Level::kInfo, "restored", nullptr, 0, "",
+  Log(LogLevel::kInfo, "restored", nullptr, 0, "",
       std::to_string(live_) + " jobs, " + std::to_string(history_.size()) + " complete");
   kept_.clear();
   return true;
@@ -1425,16 +1430,16 @@
 
 // ---- In ----
 
-void JobManager::Take(Micros now, const NodeMessage& message) {
+void JobManager::HandleNodeMessage(Micros now, const NodeMessage& message) {
   now_ = std::max(now_, now);
   std::visit([this](const auto& m) { On(m); }, message);
   Pump();
 }
 
-void JobManager::TakeGroup(Micros now, const MembershipChange& group) {
+void JobManager::HandleMembershipChange(Micros now, const MembershipChange& group) {
   now_ = std::max(now_, now);
   if (group.size != group_.size || group.index != group_.index) {
-    Log(group.index < 0 ? Level::kWarn : Level::kInfo, "group", nullptr, 0, "",
+    Log(group.index < 0 ? LogLevel::kWarn : LogLevel::kInfo, "group", nullptr, 0, "",
         std::to_string(group.size) + " daemons, own number " + std::to_string(group.index) +
             (group.undisturbed ? ", as before" : ""));
   }
@@ -1456,9 +1461,9 @@
 void JobManager::FireAttempt(const AttemptId& id) {
   Job* job = nullptr;
   Attempt* a = Get(id, &job);
-  if (a == nullptr || a->told || a->phase == Phase::kPlaced) return;
-  if (a->phase == Phase::kAsked) {
-    outputs_.push_back(AbandonAsk{id, a->node});
+  if (a == nullptr || a->told || a->phase == AttemptPhase::kRunning) return;
+  if (a->phase == AttemptPhase::kPreparing) {
+    outputs_.push_back(AbandonAttempt{id, a->node});
     TellOutcome(*job, *a, AttemptResult::kUnreachable, RejectionReason::kUnspecified, {});
     return Over(*job, id.number);
   }
@@ -1482,7 +1487,7 @@
           for (Attempt& a : job->attempts) {
             if (!a.stopping) Stop(*job, a);
           }
-          Give(*job, Answer::kFailed, job->comment + " (not settled within the owner's time)");
+          Give(*job, FinalAnswer::kFailed, job->comment + " (not settled within the owner's time)");
           return Close(*job);
         }
         return At(std::min(now_ + options_.find_again, job->give_up), TimerKind::kJob, timer.a, timer.b);
@@ -1494,9 +1499,9 @@
       Attempt* a = Get({timer.a, timer.b}, &job);
       if (a == nullptr) return;
       if (a->stopping)
-        outputs_.push_back(StopOnNode{{timer.a, timer.b}, a->node});
-      else if (a->phase == Phase::kDoubt)
-        outputs_.push_back(QueryNode{{timer.a, timer.b}, a->node});
+        outputs_.push_back(StopAttempt{{timer.a, timer.b}, a->node});
+      else if (a->phase == AttemptPhase::kInDoubt)
+        outputs_.push_back(QueryAttempt{{timer.a, timer.b}, a->node});
       return;
     }
     case TimerKind::kSync: {
--- a/src/job_manager/job_manager.hpp
+++ b/src/job_manager/job_manager.hpp
@@ -72,7 +72,7 @@
   Micros find_again = 300'000;  // pause before nodes that did not answer are asked again for a key
 };
 
-enum class Verdict {
+enum class CommandResult {
   kOk,
   kUnknownJob,
   kPermission,
@@ -84,8 +84,8 @@
   kStopping  // the daemon is going down
 };
 
-struct Submitted {
-  Verdict verdict = Verdict::kOk;
+struct SubmitResult {
+  CommandResult verdict = CommandResult::kOk;
   std::uint64_t job = 0;
   std::string reason;
 };
@@ -103,26 +103,26 @@
   // ---- Commands. `user` empty means the operator. ----
 
   std::uint64_t NewJobNumber();  // reserves an id for a submission in progress
-  bool Issued(std::uint64_t number) const { return number <= next_number_; }
+  bool WasIssued(std::uint64_t number) const { return number <= next_number_; }
   // Takes over a submission at its commit. The job is known from here on.
-  Submitted Submit(Micros now, std::uint64_t number, JobSpec spec);
+  SubmitResult Submit(Micros now, std::uint64_t number, JobSpec spec);
   // Looks for a job that the key's owner has here already; 0: none.
-  std::uint64_t JobOfKey(const std::string& user, const std::string& key) const;
-  Verdict Delete(Micros now, std::uint64_t job, const std::string& user);
-  Verdict Hold(Micros now, std::uint64_t job, const std::string& user, const std::string& types);
-  Verdict Release(Micros now, std::uint64_t job, const std::string& user, const std::string& types);
-  Verdict Rerun(Micros now, std::uint64_t job, const std::string& user);
-  Verdict Signal(Micros now, std::uint64_t job, const std::string& user, const std::string& signal);
+  std::uint64_t FindJobByKey(const std::string& user, const std::string& key) const;
+  CommandResult Delete(Micros now, std::uint64_t job, const std::string& user);
+  CommandResult Hold(Micros now, std::uint64_t job, const std::string& user, const std::string& types);
+  CommandResult Release(Micros now, std::uint64_t job, const std::string& user, const std::string& types);
+  CommandResult Rerun(Micros now, std::uint64_t job, const std::string& user);
+  CommandResult Signal(Micros now, std::uint64_t job, const std::string& user, const std::string& signal);
   // Changes the specification of a job that is not running.
-  Verdict Alter(Micros now, std::uint64_t job, const std::string& user,
-                const std::function<bool(JobSpec*)>& change);
+  CommandResult Alter(Micros now, std::uint64_t job, const std::string& user,
+                      const std::function<bool(JobSpec*)>& change);
 
   // ---- Messages ----
 
-  void Take(Micros now, const NodeMessage& message);
-  void TakeList(Micros now, const ListView& view);
-  void TakeGroup(Micros now, const MembershipChange& group);  // who shares the fleet
-  void Tick(Micros now);                                      // runs what is due
+  void HandleNodeMessage(Micros now, const NodeMessage& message);
+  void HandleNodeList(Micros now, const NodeListView& view);
+  void HandleMembershipChange(Micros now, const MembershipChange& group);  // who shares the fleet
+  void Tick(Micros now);                                                   // runs what is due
 
   // ---- Out ----
 
@@ -135,35 +135,35 @@
   bool Restore(std::string_view record, std::string* expected);
   // After the last of them. False with the job and what it expects of the configuration: a queue and an
   // account that live jobs name must still be there, whatever their order.
-  bool Restored(Micros now, std::string* expected);
+  bool FinishRestore(Micros now, std::string* expected);
   std::vector<std::string> TakeJournal();
   std::string Snapshot() const;  // records joined (core/journal.hpp)
   // New submissions are refused with this reason (kFull) until it is empty.
-  void RefuseNew(std::string reason) { refuse_new_ = std::move(reason); }
+  void RejectNewJobs(std::string reason) { refuse_new_ = std::move(reason); }
   // Asked of each submission before anything else sees it; a reason refuses it (kFull).
-  void SetDoor(std::function<std::string(const JobSpec&)> door) { door_ = std::move(door); }
-  const std::string& refuses_new() const { return refuse_new_; }
+  void SetAdmissionCheck(std::function<std::string(const JobSpec&)> door) { door_ = std::move(door); }
+  const std::string& rejection_of_new_jobs() const { return refuse_new_; }
 
   // ---- Reading ----
 
   const Job* Find(std::uint64_t job) const;
   // In the order of their numbers; stops when `visit` returns false.
   void ForEach(std::uint64_t from, const std::function<bool(const Job&)>& visit) const;
-  const ListedNode* NodeOf(NodeId node) const;
+  const ListedNode* FindNode(NodeId node) const;
   void ForEachNode(const std::function<void(NodeId, const ListedNode&)>& visit) const;
   Counts Count() const;
   const JobManagerOptions& options() const { return options_; }
-  std::string IdOf(std::uint64_t job) const;           // NUMBER.SERVER
-  std::uint64_t NumberOf(std::string_view id) const;   // 0: not an id of this server
-  std::string NameOf(const AttemptId& attempt) const;  // NUMBER.SERVER/ATTEMPT
-  bool AttemptOf(std::string_view name, AttemptId* id, std::string* server) const;
+  std::string JobId(std::uint64_t job) const;               // NUMBER.SERVER
+  std::uint64_t ParseJobId(std::string_view id) const;      // 0: not an id of this server
+  std::string AttemptName(const AttemptId& attempt) const;  // NUMBER.SERVER/ATTEMPT
+  bool ParseAttemptName(std::string_view name, AttemptId* id, std::string* server) const;
   std::size_t unsettled() const { return unsettled_.size(); }
   void StopAccepting() { accepting_ = false; }
   // Wall time the module took, for measurements; only counted when a clock is set.
-  void MeasureModule(std::function<std::uint64_t()> clock_ns) { clock_ns_ = std::move(clock_ns); }
-  std::uint64_t module_ns() const { return module_ns_; }
+  void MeasureScheduler(std::function<std::uint64_t()> clock_ns) { clock_ns_ = std::move(clock_ns); }
+  std::uint64_t scheduler_ns() const { return module_ns_; }
 
-  static NodeId IdOfNode(std::string_view name);  // equal at every daemon
+  static NodeId NodeIdOf(std::string_view name);  // equal at every daemon
 
  private:
   struct NodeRecord {
@@ -212,11 +212,11 @@
 
   // ---- Jobs ----
   Job* Get(std::uint64_t number);
-  Verdict Manage(std::uint64_t number, const std::string& user, Job** job);
+  CommandResult Manage(std::uint64_t number, const std::string& user, Job** job);
   void Settle(Job& job);  // from hold, time or wait to the module, as far as it may go
   void Ask(Job& job);     // hands the job to the module as a new request
   void AskEnded(Job& job, retry::AskEnd end, Micros advised, const std::string& reason);
-  void Give(Job& job, Answer answer, const std::string& reason);
+  void Give(Job& job, FinalAnswer answer, const std::string& reason);
   void Complete(Job& job, const std::string& reason);
   void Close(Job& job);   // no further ask; completes when no attempt is left
   void Closed(Job& job);  // if it is closing: completes when no attempt is left
@@ -236,7 +236,7 @@
             const std::string& reason);
   // The node's life is over: `certain` when a later life was seen, else only the list says so.
   void LoseNode(NodeId id, Micros new_start, bool certain, const char* why);
-  void Adopt(NodeId id, const RunningOnNode& held);
+  void Adopt(NodeId id, const ReportedAttempt& held);
   void Readopt(Job& job, Attempt& attempt);  // of an earlier life, found running
   RequestId TellRunning(Job& job, NodeId node);
   void Touch(const Job& job);
@@ -244,19 +244,19 @@
   void StopLater(const AttemptId& id, const Attempt& attempt);
 
   // ---- Messages ----
-  void On(const Ready& m);
-  void On(const Refused& m);
-  void On(const Committed& m);
-  void On(const Broken& m);
-  void On(const Stopped& m);
+  void On(const AttemptPrepared& m);
+  void On(const AttemptRejected& m);
+  void On(const AttemptCommitted& m);
+  void On(const AttemptDisconnected& m);
+  void On(const StopAnswered& m);
   void On(const StopFailed& m);
-  void On(const Found& m);
+  void On(const QueryAnswered& m);
   void On(const QueryFailed& m);
-  void On(const Synced& m);
-  void On(const SyncFailed& m);
-  void On(const KeyFound& m);
+  void On(const NodeReconciled& m);
+  void On(const ReconcileFailed& m);
+  void On(const FindKeyAnswered& m);
   void On(const AttemptFinished& m);
-  void On(const Probed& m);
+  void On(const NodeHealthChecked& m);
 
   // ---- Timers ----
   void At(Micros when, TimerKind kind, std::uint64_t a, std::uint32_t b = 0);
@@ -267,7 +267,7 @@
   void Sync(NodeRecord& node, NodeId id);
   void SyncEnded(NodeRecord& node);  // its turn is the next one's
   double Draw();
-  void Log(Level level, const char* event, const Job* job, std::uint32_t attempt, const std::string& node,
+  void Log(LogLevel level, const char* event, const Job* job, std::uint32_t attempt, const std::string& node,
            const std::string& text);
   std::size_t& CountOf(JobState state);
   void SetState(Job& job, JobState state);
@@ -282,7 +282,7 @@
   std::string refuse_new_;
   std::function<std::string(const JobSpec&)> door_;
   std::set<std::uint64_t> touched_, touched_specs_, forgotten_;  // since the last TakeJournal
-  std::map<std::uint64_t, KeptState> kept_;                      // while restoring
+  std::map<std::uint64_t, StateRecord> kept_;                    // while restoring
   std::uint64_t next_number_ = 0;
   RequestId next_request_ = 0;
   std::map<std::uint64_t, Job> jobs_;
--- a/src/job_manager/journal.cpp
+++ b/src/job_manager/journal.cpp
@@ -24,8 +24,8 @@
   a("memory", s.memory);
   a("walltime", s.walltime);
   a("due", s.due);
-  a("owner_time", s.owner_time);
-  a("owner_deadline", s.owner_deadline);
+  a("owner_time", s.client_wait);
+  a("owner_deadline", s.client_deadline);
   a("earlier_until", s.earlier_until);
   a("priority", s.priority);
   a("rerunnable", s.rerunnable);
@@ -39,8 +39,8 @@
 }
 
 template <typename A, typename S>
-void Fields(A& a, S& s, const KeptState*) {
-  a.Enum("answer", s.answer, Answer::kDeleted);
+void Fields(A& a, S& s, const StateRecord*) {
+  a.Enum("answer", s.answer, FinalAnswer::kDeleted);
   a("deleted", s.deleted);
   a("closing", s.closing);
   a("settling", s.settling);
@@ -49,7 +49,7 @@
   a("attempts_made", s.attempts_made);
   a.List("attempts", s.attempts, [&a](auto& one) {
     a("attempt", one.number);
-    a.Enum("phase", one.phase, Phase::kOver);
+    a.Enum("phase", one.phase, AttemptPhase::kEnded);
     a("told", one.told);
     a("stopping", one.stopping);
     a("attempt node", one.node);
@@ -68,7 +68,7 @@
   a("comment", s.comment);
 }
 
-std::string Head(KeptKind kind, std::uint64_t job) {
+std::string Head(RecordKind kind, std::uint64_t job) {
   std::string record = {static_cast<char>(kind), static_cast<char>(kVersion)};
   Writer write{&record};
   write("job", job);
@@ -78,23 +78,23 @@
 }  // namespace
 
 std::string WriteSpec(std::uint64_t job, const JobSpec& spec) {
-  std::string record = Head(KeptKind::kSpec, job);
+  std::string record = Head(RecordKind::kSpec, job);
   Writer writer(&record);
   Fields(writer, spec, &spec);
   return record;
 }
 
-std::string WriteState(std::uint64_t job, const KeptState& state) {
-  std::string record = Head(KeptKind::kState, job);
+std::string WriteState(std::uint64_t job, const StateRecord& state) {
+  std::string record = Head(RecordKind::kState, job);
   record.push_back(static_cast<char>(state.state));
   Writer writer(&record);
   Fields(writer, state, &state);
   return record;
 }
 
-std::string WriteForgotten(std::uint64_t job) { return Head(KeptKind::kForgotten, job); }
+std::string WriteForgotten(std::uint64_t job) { return Head(RecordKind::kForgotten, job); }
 
-bool ReadKept(std::string_view record, Kept* kept, std::string* expected) {
+bool ReadRecord(std::string_view record, JournalRecord* kept, std::string* expected) {
   if (record.size() < 3 || record[0] < 1 || record[0] > 3) {
     *expected = "kind at byte 0: 1 to 3";
     return false;
@@ -103,7 +103,7 @@
     *expected = "version at byte 1: " + std::to_string(kVersion);
     return false;
   }
-  kept->kind = static_cast<KeptKind>(record[0]);
+  kept->kind = static_cast<RecordKind>(record[0]);
   // The number ends at the first byte without its highest bit.
   std::size_t end = 2;
   while (end < record.size() && (record[end] & 0x80) != 0) ++end;
@@ -111,7 +111,7 @@
   number("job", kept->job);
   if (!number.good()) return false;
   std::string_view rest = record.substr(end + 1);
-  if (kept->kind == KeptKind::kState) {
+  if (kept->kind == RecordKind::kState) {
     constexpr std::string_view kStates = "QHWREC";
     if (rest.empty() || kStates.find(rest[0]) == std::string_view::npos) {
       *expected = "state: one of " + std::string(kStates);
@@ -121,8 +121,8 @@
     rest.remove_prefix(1);
   }
   Reader reader(rest, expected);
-  if (kept->kind == KeptKind::kSpec) Fields(reader, kept->spec, &kept->spec);
-  if (kept->kind == KeptKind::kState) Fields(reader, kept->state, &kept->state);
+  if (kept->kind == RecordKind::kSpec) Fields(reader, kept->spec, &kept->spec);
+  if (kept->kind == RecordKind::kState) Fields(reader, kept->state, &kept->state);
   return reader.AtEnd();
 }
 
--- a/src/job_manager/journal.hpp
+++ b/src/job_manager/journal.hpp
@@ -17,38 +17,38 @@
 
 namespace mountflow::job_manager {
 
-struct KeptAttempt {
+struct AttemptRecord {
   std::uint32_t number = 0;
-  Phase phase = Phase::kAsked;
+  AttemptPhase phase = AttemptPhase::kPreparing;
   bool told = false, stopping = false;
   std::string node;  // by name: numbers of nodes are of this program
   Micros node_started = 0, sent = 0, until = 0;
 };
 
-struct KeptState {
+struct StateRecord {
   JobState state = JobState::kQueued;
-  Answer answer = Answer::kNone;
+  FinalAnswer answer = FinalAnswer::kNone;
   bool deleted = false, closing = false, settling = false, rerun = false, has_exit = false;
   std::uint32_t attempts_made = 0;
-  std::vector<KeptAttempt> attempts;
+  std::vector<AttemptRecord> attempts;
   Micros created = 0, queued = 0, changed = 0, ended = 0, placed = 0, give_up = 0;
   int exit_status = 0;
   std::string node, comment;
 };
 
-enum class KeptKind : std::uint8_t { kSpec = 1, kState = 2, kForgotten = 3 };
-struct Kept {
-  KeptKind kind = KeptKind::kForgotten;
+enum class RecordKind : std::uint8_t { kSpec = 1, kState = 2, kForgotten = 3 };
+struct JournalRecord {
+  RecordKind kind = RecordKind::kForgotten;
   std::uint64_t job = 0;
-  JobSpec spec;     // kSpec
-  KeptState state;  // kState
+  JobSpec spec;       // kSpec
+  StateRecord state;  // kState
 };
 
 std::string WriteSpec(std::uint64_t job, const JobSpec& spec);
-std::string WriteState(std::uint64_t job, const KeptState& state);
+std::string WriteState(std::uint64_t job, const StateRecord& state);
 std::string WriteForgotten(std::uint64_t job);
 // False with what was expected, and where.
-bool ReadKept(std::string_view record, Kept* kept, std::string* expected);
+bool ReadRecord(std::string_view record, JournalRecord* kept, std::string* expected);
 
 // Records joined to one text and taken apart again: a snapshot.
 void JoinRecord(std::string_view record, std::string* to);
--- a/src/job_manager/messages.hpp
+++ b/src/job_manager/messages.hpp
@@ -22,32 +22,32 @@
 
 // ---- Out: to nodes ----
 
-struct AskNode {  // submit the job up to and including "ready to commit"
+struct PrepareAttempt {  // submit the job up to and including "ready to commit"
   AttemptId attempt;
   NodeId node = 0;
 };
-struct CommitNode {
+struct CommitAttempt {
   AttemptId attempt;
   NodeId node = 0;
 };
-struct AbandonAsk {  // before any commit; the node forgets it, no reply comes
+struct AbandonAttempt {  // before any commit; the node forgets it, no reply comes
   AttemptId attempt;
   NodeId node = 0;
 };
-struct StopOnNode {  // answered by Stopped, or by Unreachable with `stopping`
+struct StopAttempt {  // answered by Stopped, or by Unreachable with `stopping`
   AttemptId attempt;
   NodeId node = 0;
 };
-struct SignalOnNode {  // no answer comes back to the core
+struct SignalAttempt {  // no answer comes back to the core
   AttemptId attempt;
   NodeId node = 0;
   std::string signal;
 };
-struct QueryNode {  // answered by Found; an attempt that is not found can never be accepted later
+struct QueryAttempt {  // answered by Found; an attempt that is not found can never be accepted later
   AttemptId attempt;
   NodeId node = 0;
 };
-struct SyncNode {  // answered by Synced
+struct ReconcileNode {  // answered by Synced
   NodeId node = 0;
 };
 struct FindKey {  // answered by KeyFound from this node
@@ -55,7 +55,7 @@
   std::uint64_t job = 0;  // who asks
   std::string key;
 };
-struct ProbeNode {
+struct CheckNodeHealth {
   NodeId node = 0;
 };
 
@@ -65,18 +65,18 @@
 
 // ---- Out: others ----
 
-struct Answered {  // the job's one answer is there
+struct JobAnswered {  // the job's one answer is there
   std::uint64_t job = 0;
 };
-struct Ended {  // the job is complete
+struct JobCompleted {  // the job is complete
   std::uint64_t job = 0;
 };
-struct AskList {  // (re)read the node list; answered by a view or ListFailed
+struct ReadNodeList {  // (re)read the node list; answered by a view or ListFailed
   bool follow = true;
 };
-enum class Level { kInfo, kWarn };
+enum class LogLevel { kInfo, kWarn };
 struct LogEntry {
-  Level level = Level::kInfo;
+  LogLevel level = LogLevel::kInfo;
   std::string event;
   std::uint64_t job = 0;      // 0: none
   std::uint32_t attempt = 0;  // 0: none
@@ -84,7 +84,7 @@
   std::string text;
 };
 
-struct Used {  // an attempt of ours held room at a node, whatever became of it
+struct ResourceUsage {  // an attempt of ours held room at a node, whatever became of it
   AttemptId attempt;
   NodeId node = 0;
   unsigned task_class = 0, tenant = 0;
@@ -92,57 +92,58 @@
   Micros started = 0, ended = 0;
 };
 
-using Output = std::variant<Used, AskNode, CommitNode, AbandonAsk, StopOnNode, SignalOnNode, QueryNode,
-                            SyncNode, FindKey, ProbeNode, ForgetNode, Answered, Ended, AskList, LogEntry>;
+using Output = std::variant<ResourceUsage, PrepareAttempt, CommitAttempt, AbandonAttempt, StopAttempt,
+                            SignalAttempt, QueryAttempt, ReconcileNode, FindKey, CheckNodeHealth, ForgetNode,
+                            JobAnswered, JobCompleted, ReadNodeList, LogEntry>;
 
 // ---- In: from nodes ----
 
-struct Ready {  // the node holds room and waits for the commit
+struct AttemptPrepared {  // the node holds room and waits for the commit
   AttemptId attempt;
 };
-struct Refused {
+struct AttemptRejected {
   AttemptId attempt;
   RejectionReason cause = RejectionReason::kUnspecified;
   std::string reason;  // the node's own words
   LoadReport report;
   bool error = false;  // it answered the commit with an error: it may have run
 };
-struct Committed {
+struct AttemptCommitted {
   AttemptId attempt;
 };
 // The way to the node failed while the attempt was out. `sent`: the commit went out before.
-struct Broken {
+struct AttemptDisconnected {
   AttemptId attempt;
   bool sent = false;
 };
-struct Stopped {
+struct StopAnswered {
   AttemptId attempt;
   bool known = false;  // the node had it; its end is reported by AttemptEnded
 };
 struct StopFailed {
   AttemptId attempt;
 };
-struct Found {
+struct QueryAnswered {
   AttemptId attempt;
   bool found = false;
 };
 struct QueryFailed {
   AttemptId attempt;
 };
-struct RunningOnNode {  // one entry of a node's own list
+struct ReportedAttempt {  // one entry of a node's own list
   AttemptId attempt;
   JobSpec spec;
   bool ended = false;  // its end is on the way
 };
-struct Synced {
+struct NodeReconciled {
   NodeId node = 0;
   Micros started = 0;  // the node's start
-  std::vector<RunningOnNode> held;
+  std::vector<ReportedAttempt> held;
 };
-struct SyncFailed {
+struct ReconcileFailed {
   NodeId node = 0;
 };
-struct KeyFound {
+struct FindKeyAnswered {
   NodeId node = 0;
   std::uint64_t job = 0;  // who asked
   bool reached = false;   // the node answered
@@ -151,7 +152,7 @@
   std::string server;  // that daemon's name
   std::string key;
 };
-enum class EndReason { kExited, kKilled, kEvicted, kPushedOut, kSentAway, kError, kLost };
+enum class EndReason { kExited, kKilled, kEvicted, kPreempted, kDrained, kError, kLost };
 struct AttemptFinished {
   AttemptId attempt;
   EndReason reason = EndReason::kExited;
@@ -160,15 +161,16 @@
   LoadReport report;
   Micros started = 0, ended = 0;  // wall time by the node's clock; 0: not told
 };
-struct Probed {
+struct NodeHealthChecked {
   NodeId node = 0;
   bool answered = false;
   Micros elapsed = 0;
   LoadReport report;
 };
 
-using NodeMessage = std::variant<Ready, Refused, Committed, Broken, Stopped, StopFailed, Found, QueryFailed,
-                                 Synced, SyncFailed, KeyFound, AttemptFinished, Probed>;
+using NodeMessage = std::variant<AttemptPrepared, AttemptRejected, AttemptCommitted, AttemptDisconnected,
+                                 StopAnswered, StopFailed, QueryAnswered, QueryFailed, NodeReconciled,
+                                 ReconcileFailed, FindKeyAnswered, AttemptFinished, NodeHealthChecked>;
 
 // ---- In: the node list ----
 
@@ -183,7 +185,7 @@
   double free_cores = 0.0;
   double free_memory = 0.0;
 };
-struct ListView {
+struct NodeListView {
   NodeListKind kind = NodeListKind::kSnapshot;
   std::vector<ListedNode> nodes;
 };
--- a/src/node_sessions/node_sessions.cpp
+++ b/src/node_sessions/node_sessions.cpp
@@ -46,7 +46,7 @@
 
 // The node's address may change with a new life; connections to the old one are of no use then.
 NodeLinks::Node* NodeLinks::NodeFor(NodeId id) {
-  const job_manager::ListedNode* listed = core_->NodeOf(id);
+  const job_manager::ListedNode* listed = core_->FindNode(id);
   if (listed == nullptr) {
     const auto it = nodes_.find(id);
     return it == nodes_.end() || it->second.address.empty() ? nullptr : &it->second;
@@ -88,21 +88,21 @@
 }
 
 void NodeLinks::Take(Micros now, const job_manager::Output& output) {
-  if (const auto* ask = std::get_if<job_manager::AskNode>(&output)) return Ask(now, *ask);
-  if (const auto* go = std::get_if<job_manager::CommitNode>(&output)) {
+  if (const auto* ask = std::get_if<job_manager::PrepareAttempt>(&output)) return Ask(now, *ask);
+  if (const auto* go = std::get_if<job_manager::CommitAttempt>(&output)) {
     const auto of = of_attempt_.find({go->attempt.job, go->attempt.number});
     if (of == of_attempt_.end()) {  // its connection broke meanwhile: nothing was sent
-      messages_.push_back(job_manager::Broken{go->attempt, false});
+      messages_.push_back(job_manager::AttemptDisconnected{go->attempt, false});
       return;
     }
     Conn& conn = conns_.at(of->second);
     conn.step = Step::kGoing;
     std::string bytes;
-    pbs_protocol::Encode(Form(pbs_protocol::RequestType::kCommit, options_.user, core_->NameOf(go->attempt)),
-                         &bytes);
+    pbs_protocol::Encode(
+        Form(pbs_protocol::RequestType::kCommit, options_.user, core_->AttemptName(go->attempt)), &bytes);
     return Send(of->second, conn, std::move(bytes));
   }
-  if (const auto* abandon = std::get_if<job_manager::AbandonAsk>(&output)) {
+  if (const auto* abandon = std::get_if<job_manager::AbandonAttempt>(&output)) {
     const auto of = of_attempt_.find({abandon->attempt.job, abandon->attempt.number});
     if (of != of_attempt_.end()) {  // a connection lost before the commit leaves no job
       const ConnId id = of->second;
@@ -116,22 +116,22 @@
     if (node != nodes_.end()) std::erase(node->second.waiting, abandon->attempt);
     return;
   }
-  if (const auto* stop = std::get_if<job_manager::StopOnNode>(&output)) {
+  if (const auto* stop = std::get_if<job_manager::StopAttempt>(&output)) {
     // Its commit's reply may never come; the connection is not kept for it for ever.
     const auto of = of_attempt_.find({stop->attempt.job, stop->attempt.number});
     if (of != of_attempt_.end())
       SetDeadline(of->second, conns_.at(of->second), now + 2 * options_.control_timeout);
     return ControlRequest(now, stop->node, output);
   }
-  if (const auto* signal = std::get_if<job_manager::SignalOnNode>(&output))
+  if (const auto* signal = std::get_if<job_manager::SignalAttempt>(&output))
     return ControlRequest(now, signal->node, output);
-  if (const auto* query = std::get_if<job_manager::QueryNode>(&output))
+  if (const auto* query = std::get_if<job_manager::QueryAttempt>(&output))
     return ControlRequest(now, query->node, output);
-  if (const auto* sync = std::get_if<job_manager::SyncNode>(&output))
+  if (const auto* sync = std::get_if<job_manager::ReconcileNode>(&output))
     return ControlRequest(now, sync->node, output);
   if (const auto* find = std::get_if<job_manager::FindKey>(&output))
     return ControlRequest(now, find->node, output);
-  if (const auto* probe = std::get_if<job_manager::ProbeNode>(&output))
+  if (const auto* probe = std::get_if<job_manager::CheckNodeHealth>(&output))
     return ControlRequest(now, probe->node, output);
   if (const auto* forget = std::get_if<job_manager::ForgetNode>(&output)) {
     std::vector<ConnId> its;
@@ -148,11 +148,11 @@
 
 // ---- Attempts ----
 
-void NodeLinks::Ask(Micros now, const job_manager::AskNode& ask) {
+void NodeLinks::Ask(Micros now, const job_manager::PrepareAttempt& ask) {
   Node* node = NodeFor(ask.node);
   if (node == nullptr ||
       (node->busy >= options_.most_connections && node->waiting.size() >= options_.most_waiting)) {
-    messages_.push_back(job_manager::Broken{ask.attempt, false});
+    messages_.push_back(job_manager::AttemptDisconnected{ask.attempt, false});
     return;
   }
   if (node->busy >= options_.most_connections) {
@@ -171,7 +171,7 @@
     }
   }
   if (of == nullptr) {
-    messages_.push_back(job_manager::Broken{attempt, false});
+    messages_.push_back(job_manager::AttemptDisconnected{attempt, false});
     return;
   }
   ConnId conn_id = 0;
@@ -188,7 +188,7 @@
   conn.refused = false;
   of_attempt_[{attempt.job, attempt.number}] = conn_id;
   const job_manager::JobSpec& spec = *job->spec;
-  const std::string name = core_->NameOf(attempt);
+  const std::string name = core_->AttemptName(attempt);
   std::string bytes;
   pbs_protocol::Request queue = Form(pbs_protocol::RequestType::kQueueJob, options_.user, name);
   queue.destination = spec.queue;
@@ -242,21 +242,21 @@
 // ---- Control ----
 
 void NodeLinks::FailControl(const job_manager::Output& asked, NodeId node) {
-  if (const auto* stop = std::get_if<job_manager::StopOnNode>(&asked))
+  if (const auto* stop = std::get_if<job_manager::StopAttempt>(&asked))
     messages_.push_back(job_manager::StopFailed{stop->attempt});
-  if (const auto* query = std::get_if<job_manager::QueryNode>(&asked))
+  if (const auto* query = std::get_if<job_manager::QueryAttempt>(&asked))
     messages_.push_back(job_manager::QueryFailed{query->attempt});
-  if (std::holds_alternative<job_manager::SyncNode>(asked))
-    messages_.push_back(job_manager::SyncFailed{node});
+  if (std::holds_alternative<job_manager::ReconcileNode>(asked))
+    messages_.push_back(job_manager::ReconcileFailed{node});
   if (const auto* find = std::get_if<job_manager::FindKey>(&asked)) {
-    job_manager::KeyFound found;
+    job_manager::FindKeyAnswered found;
     found.node = node;
     found.job = find->job;
     found.key = find->key;
     messages_.push_back(found);
   }
-  if (std::holds_alternative<job_manager::ProbeNode>(asked))
-    messages_.push_back(job_manager::Probed{node, false, 0, {}});
+  if (std::holds_alternative<job_manager::CheckNodeHealth>(asked))
+    messages_.push_back(job_manager::NodeHealthChecked{node, false, 0, {}});
 }
 
 void NodeLinks::ControlRequest(Micros now, NodeId id, const job_manager::Output& asked) {
@@ -266,17 +266,17 @@
   Conn& conn = conns_.at(node->control);
   if (conn.awaited.size() >= options_.most_controls) return FailControl(asked, id);
   pbs_protocol::Request r = Form(pbs_protocol::RequestType::kStatusJob, options_.user, "");
-  if (const auto* stop = std::get_if<job_manager::StopOnNode>(&asked)) {
+  if (const auto* stop = std::get_if<job_manager::StopAttempt>(&asked)) {
     r.type = pbs_protocol::RequestType::kDeleteJob;
     r.command = 1;
-    r.id = core_->NameOf(stop->attempt);
-  } else if (const auto* signal = std::get_if<job_manager::SignalOnNode>(&asked)) {
+    r.id = core_->AttemptName(stop->attempt);
+  } else if (const auto* signal = std::get_if<job_manager::SignalAttempt>(&asked)) {
     r.type = pbs_protocol::RequestType::kSignalJob;
-    r.id = core_->NameOf(signal->attempt);
+    r.id = core_->AttemptName(signal->attempt);
     r.signal = signal->signal;
-  } else if (const auto* query = std::get_if<job_manager::QueryNode>(&asked)) {
-    r.id = core_->NameOf(query->attempt);
-  } else if (std::holds_alternative<job_manager::SyncNode>(asked)) {
+  } else if (const auto* query = std::get_if<job_manager::QueryAttempt>(&asked)) {
+    r.id = core_->AttemptName(query->attempt);
+  } else if (std::holds_alternative<job_manager::ReconcileNode>(asked)) {
     r.attributes.push_back({"server", "", core_->options().server, pbs_protocol::Op::kEq});
     r.attributes.push_back({"report_to", "", options_.report_to, pbs_protocol::Op::kSet});
   } else if (const auto* find = std::get_if<job_manager::FindKey>(&asked)) {
@@ -292,8 +292,8 @@
   Send(node->control, conn, std::move(bytes));
 }
 
-job_manager::Synced NodeLinks::ReadSync(NodeId node, const pbs_protocol::Reply& reply) const {
-  job_manager::Synced synced;
+job_manager::NodeReconciled NodeLinks::ReadSync(NodeId node, const pbs_protocol::Reply& reply) const {
+  job_manager::NodeReconciled synced;
   synced.node = node;
   for (const pbs_protocol::StatusObject& o : reply.objects) {
     if (o.type == pbs_protocol::ObjectType::kServer) {
@@ -302,9 +302,10 @@
         synced.started = started;
       continue;
     }
-    job_manager::RunningOnNode held;
+    job_manager::ReportedAttempt held;
     std::string server;
-    if (!core_->AttemptOf(o.name, &held.attempt, &server) || server != core_->options().server) continue;
+    if (!core_->ParseAttemptName(o.name, &held.attempt, &server) || server != core_->options().server)
+      continue;
     held.ended = pbs_protocol::ValueOf(o.attributes, "job_state") == "E";
     held.spec.user = pbs_protocol::ValueOf(o.attributes, "Job_Owner");
     pbs_protocol::Attributes known = o.attributes;
@@ -323,24 +324,25 @@
 void NodeLinks::OnControlReply(Micros now, Conn& conn, const pbs_protocol::Reply& reply) {
   const Control control = std::move(conn.awaited.front());
   conn.awaited.pop_front();
-  if (const auto* stop = std::get_if<job_manager::StopOnNode>(&control.asked)) {
-    messages_.push_back(job_manager::Stopped{stop->attempt, reply.code == pbs_protocol::Code::kNone});
-  } else if (const auto* query = std::get_if<job_manager::QueryNode>(&control.asked)) {
-    messages_.push_back(job_manager::Found{query->attempt, reply.code == pbs_protocol::Code::kNone});
-  } else if (std::holds_alternative<job_manager::SyncNode>(control.asked)) {
+  if (const auto* stop = std::get_if<job_manager::StopAttempt>(&control.asked)) {
+    messages_.push_back(job_manager::StopAnswered{stop->attempt, reply.code == pbs_protocol::Code::kNone});
+  } else if (const auto* query = std::get_if<job_manager::QueryAttempt>(&control.asked)) {
+    messages_.push_back(job_manager::QueryAnswered{query->attempt, reply.code == pbs_protocol::Code::kNone});
+  } else if (std::holds_alternative<job_manager::ReconcileNode>(control.asked)) {
     messages_.push_back(ReadSync(conn.node, reply));
   } else if (const auto* find = std::get_if<job_manager::FindKey>(&control.asked)) {
-    job_manager::KeyFound found;
+    job_manager::FindKeyAnswered found;
     found.node = conn.node;
     found.job = find->job;
     found.key = find->key;
     found.reached = reply.code == pbs_protocol::Code::kNone;
     if (found.reached && !reply.ids.empty()) {
-      found.found = core_->AttemptOf(reply.ids[0], &found.attempt, &found.server);
+      found.found = core_->ParseAttemptName(reply.ids[0], &found.attempt, &found.server);
     }
     messages_.push_back(found);
-  } else if (std::holds_alternative<job_manager::ProbeNode>(control.asked)) {
-    job_manager::Probed probed{conn.node, reply.code == pbs_protocol::Code::kNone, now - control.sent, {}};
+  } else if (std::holds_alternative<job_manager::CheckNodeHealth>(control.asked)) {
+    job_manager::NodeHealthChecked probed{
+        conn.node, reply.code == pbs_protocol::Code::kNone, now - control.sent, {}};
     if (!reply.objects.empty())
       probed.report = pbs_server::ReadLoad(pbs_protocol::ValueOf(reply.objects[0].attributes, "load"));
     messages_.push_back(probed);
@@ -396,11 +398,11 @@
   if (conn.step == Step::kGoing) {
     const job_manager::AttemptId attempt = conn.attempt;
     if (reply.code == pbs_protocol::Code::kNone) {
-      messages_.push_back(job_manager::Committed{attempt});
+      messages_.push_back(job_manager::AttemptCommitted{attempt});
     } else {
       auto [words, load] = SplitRefusal(reply.text);
       if (words.empty()) words = pbs_protocol::Describe(reply.code);
-      messages_.push_back(job_manager::Refused{
+      messages_.push_back(job_manager::AttemptRejected{
           attempt, static_cast<RejectionReason>(std::clamp<std::int64_t>(reply.auxiliary, 0, 7)), words,
           load});
     }
@@ -413,12 +415,12 @@
   if (--conn.replies > 0) return;
   if (!conn.refused) {
     conn.step = Step::kReady;
-    messages_.push_back(job_manager::Ready{conn.attempt});
+    messages_.push_back(job_manager::AttemptPrepared{conn.attempt});
     return;
   }
   auto [words, load] = SplitRefusal(conn.refusal.text);
   if (words.empty()) words = pbs_protocol::Describe(conn.refusal.code);
-  messages_.push_back(job_manager::Refused{
+  messages_.push_back(job_manager::AttemptRejected{
       conn.attempt, static_cast<RejectionReason>(std::clamp<std::int64_t>(conn.refusal.auxiliary, 0, 7)),
       words, load, false});
   Free(now, id, conn);
@@ -438,11 +440,11 @@
     if (node.control == id) node.control = 0;
     bool synced = false;
     for (const Control& c : conn.awaited) {
-      synced |= std::holds_alternative<job_manager::SyncNode>(c.asked);
+      synced |= std::holds_alternative<job_manager::ReconcileNode>(c.asked);
       FailControl(c.asked, conn.node);
     }
     // A control connection that broke may mean that the node died: its list of attempts is asked for again.
-    if (!synced) messages_.push_back(job_manager::SyncFailed{conn.node});
+    if (!synced) messages_.push_back(job_manager::ReconcileFailed{conn.node});
     return;
   }
   if (conn.step == Step::kIdle) {
@@ -451,7 +453,7 @@
   }
   of_attempt_.erase({conn.attempt.job, conn.attempt.number});
   --node.busy;
-  messages_.push_back(job_manager::Broken{conn.attempt, conn.step == Step::kGoing});
+  messages_.push_back(job_manager::AttemptDisconnected{conn.attempt, conn.step == Step::kGoing});
   Next(now, conn.node);
 }
 
--- a/src/node_sessions/node_sessions.hpp
+++ b/src/node_sessions/node_sessions.hpp
@@ -112,7 +112,7 @@
 
   ConnId OpenTo(Micros now, NodeId id, Node& node, bool control);
   Node* NodeFor(NodeId id);
-  void Ask(Micros now, const job_manager::AskNode& ask);
+  void Ask(Micros now, const job_manager::PrepareAttempt& ask);
   void Start(Micros now, NodeId id, Node& node, const job_manager::AttemptId& attempt);
   void Send(ConnId id, Conn& conn, std::string bytes);
   void Drop(ConnId id);  // closes it from our side
@@ -123,7 +123,7 @@
   void ControlRequest(Micros now, NodeId node, const job_manager::Output& asked);
   void FailControl(const job_manager::Output& asked, NodeId node);
   void Break(Micros now, ConnId id);
-  job_manager::Synced ReadSync(NodeId node, const pbs_protocol::Reply& reply) const;
+  job_manager::NodeReconciled ReadSync(NodeId node, const pbs_protocol::Reply& reply) const;
   void SetDeadline(ConnId id, Conn& conn, Micros deadline);
 
   const job_manager::JobManager* core_;
--- a/src/pbs_server/attribute_mapping.cpp
+++ b/src/pbs_server/attribute_mapping.cpp
@@ -61,25 +61,25 @@
 
 }  // namespace
 
-pbs_protocol::Code CodeOf(job_manager::Verdict verdict) {
+pbs_protocol::Code CodeOf(job_manager::CommandResult verdict) {
   switch (verdict) {
-    case job_manager::Verdict::kOk:
+    case job_manager::CommandResult::kOk:
       return pbs_protocol::Code::kNone;
-    case job_manager::Verdict::kUnknownJob:
+    case job_manager::CommandResult::kUnknownJob:
       return pbs_protocol::Code::kUnknownJob;
-    case job_manager::Verdict::kPermission:
+    case job_manager::CommandResult::kPermission:
       return pbs_protocol::Code::kPermission;
-    case job_manager::Verdict::kBadState:
+    case job_manager::CommandResult::kBadState:
       return pbs_protocol::Code::kBadState;
-    case job_manager::Verdict::kNotRunning:
+    case job_manager::CommandResult::kNotRunning:
       return pbs_protocol::Code::kNotRunning;
-    case job_manager::Verdict::kFull:
+    case job_manager::CommandResult::kFull:
       return pbs_protocol::Code::kTooMany;
-    case job_manager::Verdict::kExists:
+    case job_manager::CommandResult::kExists:
       return pbs_protocol::Code::kExists;
-    case job_manager::Verdict::kBadValue:
+    case job_manager::CommandResult::kBadValue:
       return pbs_protocol::Code::kBadValue;
-    case job_manager::Verdict::kStopping:
+    case job_manager::CommandResult::kStopping:
       return pbs_protocol::Code::kSystem;
   }
   return pbs_protocol::Code::kSystem;
@@ -259,11 +259,11 @@
     } else if (a.name == "repeat") {
       if (!Flag(a.value, &spec->repeat)) return Bad(a, "true or false");
     } else if (a.name == "owner_deadline") {
-      if (!ReadCount(a.value, &spec->owner_deadline)) return Bad(a, "microseconds since the epoch");
+      if (!ReadCount(a.value, &spec->client_deadline)) return Bad(a, "microseconds since the epoch");
     } else if (a.name == "earlier_until") {
       if (!ReadCount(a.value, &spec->earlier_until)) return Bad(a, "microseconds since the epoch");
     } else if (a.name == "owner_time") {
-      if (!ReadTime(a.value, &spec->owner_time) || spec->owner_time == 0) {
+      if (!ReadTime(a.value, &spec->client_wait) || spec->client_wait == 0) {
         return Bad(a, "how long the owner waits for an answer, as HH:MM:SS or seconds");
       }
     } else if (IsPassed(a.name)) {
@@ -293,7 +293,7 @@
   put("service", spec.service);
   if (!spec.key.empty()) put("key", spec.key);
   if (spec.rerunnable) put("Rerunable", "y");
-  if (spec.owner_time != 0) put("owner_time", WriteTime(spec.owner_time));
+  if (spec.client_wait != 0) put("owner_time", WriteTime(spec.client_wait));
   for (const auto& [name, value] : spec.passed) put(name.c_str(), value);
   return list;
 }
@@ -319,7 +319,7 @@
   put("mtime", seconds(job.changed));
   if (job.placed != 0) put("stime", seconds(job.placed));
   if (!job.node.empty()) put("exec_host", job.node + "/0");
-  if (job.answer != job_manager::Answer::kNone) put("answer", job_manager::Name(job.answer));
+  if (job.answer != job_manager::FinalAnswer::kNone) put("answer", job_manager::Name(job.answer));
   if (!job.comment.empty()) put("comment", job.comment);
   if (job.has_exit) put("exit_status", std::to_string(job.exit_status));
   if (job.attempts_made != 0) put("run_count", std::to_string(job.attempts_made));
--- a/src/pbs_server/attribute_mapping.hpp
+++ b/src/pbs_server/attribute_mapping.hpp
@@ -44,7 +44,7 @@
                                    const Vocabulary& words);
 
 // The reply code of a command's verdict.
-pbs_protocol::Code CodeOf(job_manager::Verdict verdict);
+pbs_protocol::Code CodeOf(job_manager::CommandResult verdict);
 
 // "512mb", "2gb", "1024" (bytes) and the like in bytes; false when it is not a size.
 bool ReadSize(std::string_view text, double* bytes);
--- a/src/pbs_server/pbs_server.cpp
+++ b/src/pbs_server/pbs_server.cpp
@@ -157,7 +157,7 @@
 
   pbs_protocol::StatusObject ObjectOf(const job_manager::Job& job, const pbs_protocol::Attributes& wanted) {
     pbs_protocol::StatusObject object;
-    object.name = core().IdOf(job.number);
+    object.name = core().JobId(job.number);
     object.attributes = ForStatus(core(), job, options().words);
     if (!wanted.empty()) {
       std::erase_if(object.attributes, [&wanted](const pbs_protocol::Attribute& a) {
@@ -223,8 +223,8 @@
       case pbs_protocol::RequestType::kMoveJob: {
         pbs_protocol::Attributes none;
         Problem problem;
-        const std::uint64_t number = core().NumberOf(r->id);
-        const job_manager::Verdict v =
+        const std::uint64_t number = core().ParseJobId(r->id);
+        const job_manager::CommandResult v =
             core().Alter(now, number, ActsAs(user), [&](job_manager::JobSpec* spec) {
               problem = Read(none, r->destination, options().words, false, spec);
               return problem.code == pbs_protocol::Code::kNone;
@@ -251,14 +251,14 @@
     Send(Of(pbs_protocol::Code::kUnknownRequest));
   }
 
-  void Reply(job_manager::Verdict verdict) {
-    if (verdict == job_manager::Verdict::kOk) return Send(Of(pbs_protocol::Code::kNone));
+  void Reply(job_manager::CommandResult verdict) {
+    if (verdict == job_manager::CommandResult::kOk) return Send(Of(pbs_protocol::Code::kNone));
     Send(Of(CodeOf(verdict)));
   }
 
   template <typename Act>
   void Manage(const pbs_protocol::Request& r, Act act) {
-    const std::uint64_t number = core().NumberOf(r.id);
+    const std::uint64_t number = core().ParseJobId(r.id);
     if (number == 0) return Send(Of(pbs_protocol::Code::kUnknownJob));
     Reply(act(number));
   }
@@ -300,7 +300,7 @@
   }
 
   void Turned(const admission::Verdict& verdict) {
-    pbs_protocol::Reply no = Text(CodeOf(job_manager::Verdict::kFull), verdict.reason);
+    pbs_protocol::Reply no = Text(CodeOf(job_manager::CommandResult::kFull), verdict.reason);
     if (verdict.wait != 0) {
       no.auxiliary = static_cast<std::int64_t>((verdict.wait + 999) / 1000);
       no.text += "; ask again in " + std::to_string(no.auxiliary) + " ms";
@@ -311,8 +311,8 @@
   void Queue(pbs_protocol::Request* r, const std::string& user) {
     if (open_)
       return Send(Text(pbs_protocol::Code::kTooMany, "a submission is in progress on this connection"));
-    if (!core().refuses_new().empty()) {
-      return Send(Text(CodeOf(job_manager::Verdict::kFull), core().refuses_new()), true);
+    if (!core().rejection_of_new_jobs().empty()) {
+      return Send(Text(CodeOf(job_manager::CommandResult::kFull), core().rejection_of_new_jobs()), true);
     }
     job_manager::JobSpec spec;
     spec.user = user;
@@ -321,19 +321,20 @@
     std::uint64_t number = 0;
     if (!r->id.empty()) {
       // An id from a client is one that it got before: a repeat of a submission whose end it did not learn.
-      number = core().NumberOf(r->id);
+      number = core().ParseJobId(r->id);
       if (number == 0) return Send(Of(pbs_protocol::Code::kUnknownJob));
-      if (core().Find(number) != nullptr) return Send(Text(pbs_protocol::Code::kExists, core().IdOf(number)));
-      if (!core().Issued(number))
+      if (core().Find(number) != nullptr)
+        return Send(Text(pbs_protocol::Code::kExists, core().JobId(number)));
+      if (!core().WasIssued(number))
         return Send(Text(pbs_protocol::Code::kBadValue, "job id: expected one that was given out"));
-    } else if (const std::uint64_t had = core().JobOfKey(user, spec.key); had != 0) {
-      return Send(Text(pbs_protocol::Code::kExists, core().IdOf(had)));
+    } else if (const std::uint64_t had = core().FindJobByKey(user, spec.key); had != 0) {
+      return Send(Text(pbs_protocol::Code::kExists, core().JobId(had)));
     }
     if (number == 0) number = core().NewJobNumber();
     open_ = true;
     open_number_ = number;
     open_spec_ = std::move(spec);
-    open_id_ = core().IdOf(number);
+    open_id_ = core().JobId(number);
     pbs_protocol::Reply reply;
     reply.choice = pbs_protocol::Choice::kQueued;
     reply.text = open_id_;
@@ -369,17 +370,17 @@
 
   void Commit(Micros now, const pbs_protocol::Request& r) {
     if (!IsOpen(r.id)) {
-      const std::uint64_t number = core().NumberOf(r.id);
+      const std::uint64_t number = core().ParseJobId(r.id);
       return Send(Of(number != 0 && core().Find(number) != nullptr ? pbs_protocol::Code::kExists
                                                                    : pbs_protocol::Code::kUnknownJob));
     }
-    const job_manager::Submitted done = core().Submit(now, open_number_, std::move(open_spec_));
+    const job_manager::SubmitResult done = core().Submit(now, open_number_, std::move(open_spec_));
     Drop();
-    if (done.verdict == job_manager::Verdict::kExists)
-      return Send(Text(pbs_protocol::Code::kExists, core().IdOf(done.job)));
-    if (done.verdict != job_manager::Verdict::kOk) {
-      const bool full =
-          done.verdict == job_manager::Verdict::kFull || done.verdict == job_manager::Verdict::kStopping;
+    if (done.verdict == job_manager::CommandResult::kExists)
+      return Send(Text(pbs_protocol::Code::kExists, core().JobId(done.job)));
+    if (done.verdict != job_manager::CommandResult::kOk) {
+      const bool full = done.verdict == job_manager::CommandResult::kFull ||
+                        done.verdict == job_manager::CommandResult::kStopping;
       return Send(Text(CodeOf(done.verdict), done.reason), full);
     }
     pbs_protocol::Reply reply;
@@ -389,13 +390,14 @@
   }
 
   void Alter(Micros now, const pbs_protocol::Request& r, const std::string& user) {
-    const std::uint64_t number = core().NumberOf(r.id);
+    const std::uint64_t number = core().ParseJobId(r.id);
     if (number == 0) return Send(Of(pbs_protocol::Code::kUnknownJob));
     Problem problem;
-    const job_manager::Verdict v = core().Alter(now, number, ActsAs(user), [&](job_manager::JobSpec* spec) {
-      problem = Read(r.attributes, "", options().words, true, spec);
-      return problem.code == pbs_protocol::Code::kNone;
-    });
+    const job_manager::CommandResult v =
+        core().Alter(now, number, ActsAs(user), [&](job_manager::JobSpec* spec) {
+          problem = Read(r.attributes, "", options().words, true, spec);
+          return problem.code == pbs_protocol::Code::kNone;
+        });
     if (problem.code != pbs_protocol::Code::kNone) return Send(Text(problem.code, problem.text));
     Reply(v);
   }
@@ -410,7 +412,7 @@
       const pbs_protocol::Attributes shown = ForStatus(core(), job, options().words);
       const bool fits = std::all_of(r.attributes.begin(), r.attributes.end(),
                                     [&shown](const pbs_protocol::Attribute& a) { return Matches(shown, a); });
-      if (fits) reply.ids.push_back(core().IdOf(job.number));
+      if (fits) reply.ids.push_back(core().JobId(job.number));
       return reply.ids.size() < pbs_protocol::kMostObjects;
     });
     Send(reply);
@@ -421,7 +423,7 @@
     reply.choice = pbs_protocol::Choice::kStatus;
     if (!r.id.empty() && std::find(options().words.queues.begin(), options().words.queues.end(), r.id) ==
                              options().words.queues.end()) {
-      const std::uint64_t number = core().NumberOf(r.id);
+      const std::uint64_t number = core().ParseJobId(r.id);
       const job_manager::Job* job = number != 0 ? core().Find(number) : nullptr;
       if (job == nullptr) return Send(Of(pbs_protocol::Code::kUnknownJob));
       if (r.extension.rfind("wait=", 0) == 0) return Wait(now, r, *job);
@@ -442,7 +444,7 @@
   void Wait(Micros now, const pbs_protocol::Request& r, const job_manager::Job& job) {
     wait_for_end = r.extension.rfind("wait=end", 0) == 0;
     const bool there = wait_for_end ? job.state == job_manager::JobState::kComplete
-                                    : job.answer != job_manager::Answer::kNone;
+                                    : job.answer != job_manager::FinalAnswer::kNone;
     if (there) return SendStatus(job.number);
     Micros longest = options().longest_wait;
     const std::size_t at = r.extension.find(",seconds=");
@@ -536,15 +538,15 @@
     }
     job_manager::AttemptFinished ended;
     std::string server;
-    if (!core().AttemptOf(r.id, &ended.attempt, &server)) {
+    if (!core().ParseAttemptName(r.id, &ended.attempt, &server)) {
       return Send(Text(pbs_protocol::Code::kUnknownJob, "expected an attempt's name"));
     }
     if (server != core().options().server) return Send(Of(pbs_protocol::Code::kUnknownJob));
     const std::string_view reason = pbs_protocol::ValueOf(r.attributes, "end_reason");
     static const std::pair<const char*, job_manager::EndReason> kReasons[] = {
-        {"exited", job_manager::EndReason::kExited},      {"killed", job_manager::EndReason::kKilled},
-        {"evicted", job_manager::EndReason::kEvicted},    {"pushed_out", job_manager::EndReason::kPushedOut},
-        {"sent_away", job_manager::EndReason::kSentAway}, {"error", job_manager::EndReason::kError},
+        {"exited", job_manager::EndReason::kExited},     {"killed", job_manager::EndReason::kKilled},
+        {"evicted", job_manager::EndReason::kEvicted},   {"pushed_out", job_manager::EndReason::kPreempted},
+        {"sent_away", job_manager::EndReason::kDrained}, {"error", job_manager::EndReason::kError},
         {"lost", job_manager::EndReason::kLost}};
     for (const auto& [name, value] : kReasons) {
       if (reason == name) ended.reason = value;
@@ -558,7 +560,7 @@
     }
     ended.report = ReadLoad(pbs_protocol::ValueOf(r.attributes, "load"));
     const bool known = core().Find(ended.attempt.job) != nullptr;
-    core().Take(now, ended);
+    core().HandleNodeMessage(now, ended);
     Send(Of(known ? pbs_protocol::Code::kNone : pbs_protocol::Code::kUnknownJob));
   }
 
@@ -643,8 +645,8 @@
   for (Id id : ready) Finish(now, id, *sessions_.at(id), job);
 }
 
-void Front::On(Micros now, const job_manager::Answered& answered) { Wake(now, answered.job, false); }
-void Front::On(Micros now, const job_manager::Ended& ended) { Wake(now, ended.job, true); }
+void Front::On(Micros now, const job_manager::JobAnswered& answered) { Wake(now, answered.job, false); }
+void Front::On(Micros now, const job_manager::JobCompleted& ended) { Wake(now, ended.job, true); }
 
 void Front::Tick(Micros now) {
   while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
--- a/src/pbs_server/pbs_server.hpp
+++ b/src/pbs_server/pbs_server.hpp
@@ -71,8 +71,8 @@
   void Close(Micros now, Id session);  // the connection is gone; an uncommitted submission leaves no job
 
   // Call with each of the core's outputs that concerns fronts.
-  void On(Micros now, const job_manager::Answered& answered);
-  void On(Micros now, const job_manager::Ended& ended);
+  void On(Micros now, const job_manager::JobAnswered& answered);
+  void On(Micros now, const job_manager::JobCompleted& ended);
   void Tick(Micros now);  // ends waits whose time is over
   Micros NextTimer() const;
 
--- a/tests/daemon/wire_golden_test.cpp
+++ b/tests/daemon/wire_golden_test.cpp
@@ -120,7 +120,7 @@
 }
 
 void AddRegistryMessages(GoldenFile* golden) {
-  job_manager::ListedNode node = CoreRig::Node("a", "rack-1", 7 * kSecond);
+  job_manager::ListedNode node = JobManagerFixture::Node("a", "rack-1", 7 * kSecond);
   for (const NodeState state : {NodeState::kGone, NodeState::kReady, NodeState::kDraining}) {
     node.state = state;
     const std::string entry = discovery::WriteEntry(node);
@@ -144,15 +144,15 @@
 void AddHttpReplies(GoldenFile* golden) {
   golden->AddBytes("http.request", http::WriteRequest("PUT", "/a?b=c", {{"X-One", "1"}}, "body"));
   golden->AddBytes("http.reply", http::WriteReply(503, {{"Retry-After", "2"}}, "body", false));
-  CoreRig rig;
+  JobManagerFixture rig;
   pbs_server::FrontOptions options;
   daemon::HttpFront front(&rig.core, &options, nullptr);
-  rig.List({CoreRig::Node("a")});
+  rig.List({JobManagerFixture::Node("a")});
   rig.SyncAll();
-  const std::string placed = rig.core.IdOf(rig.PlaceNew(1, "key-1").attempt.job);
+  const std::string placed = rig.core.JobId(rig.PlaceNew(1, "key-1").attempt.job);
   job_manager::JobSpec held;
   held.user = "thandi", held.task_class = 1, held.queue = "safe", held.hold = "u";
-  const std::string waiting = rig.core.IdOf(rig.Submit(held));
+  const std::string waiting = rig.core.JobId(rig.Submit(held));
   int asked = 0;
   const auto ask = [&](const std::string& method, const std::string& path, const std::string& body = "") {
     http::Message request;
--- a/tests/job_manager/memory_growth_test.cpp
+++ b/tests/job_manager/memory_growth_test.cpp
@@ -48,8 +48,8 @@
       } else if (next == end_at) {
         const AttemptId id = ends_.top().second;
         ends_.pop();
-        rig_.core.Take(rig_.now,
-                       AttemptFinished{id, EndReason::kExited, 0, "", {}, rig_.now - 1000, rig_.now});
+        rig_.core.HandleNodeMessage(
+            rig_.now, AttemptFinished{id, EndReason::kExited, 0, "", {}, rig_.now - 1000, rig_.now});
         Answer();
       } else if (next == job_at) {
         job_at += every;
@@ -86,13 +86,13 @@
 
  private:
   void View() {
-    ListView view;
+    NodeListView view;
     view.kind = gone_.empty() && random_() % 10 != 0 ? NodeListKind::kDelta : NodeListKind::kSnapshot;
     for (const std::string& name : names_) {
-      view.nodes.push_back(CoreRig::Node(name, name + "-rack"));
+      view.nodes.push_back(JobManagerFixture::Node(name, name + "-rack"));
       view.nodes.back().free_cores = 8.0 + static_cast<double>(random_() % 8);
     }
-    rig_.core.TakeList(rig_.now, view);
+    rig_.core.HandleNodeList(rig_.now, view);
     Answer();
   }
   void Submit() {
@@ -113,22 +113,23 @@
     while (!rig_.core.outputs().empty()) {
       const std::vector<Output> outputs = std::exchange(rig_.core.outputs(), {});
       for (const Output& o : outputs) {
-        if (const auto* ask = std::get_if<AskNode>(&o)) {
+        if (const auto* ask = std::get_if<PrepareAttempt>(&o)) {
           ++asked_;
           if (random_() % 100 == 0) {
             ++refused_;
-            rig_.core.Take(rig_.now, Refused{ask->attempt, RejectionReason::kNoCores, "full", {}, false});
+            rig_.core.HandleNodeMessage(
+                rig_.now, AttemptRejected{ask->attempt, RejectionReason::kNoCores, "full", {}, false});
           } else {
-            rig_.core.Take(rig_.now, Ready{ask->attempt});
+            rig_.core.HandleNodeMessage(rig_.now, AttemptPrepared{ask->attempt});
           }
-        } else if (const auto* commit = std::get_if<CommitNode>(&o)) {
+        } else if (const auto* commit = std::get_if<CommitAttempt>(&o)) {
           ++placed_;
-          rig_.core.Take(rig_.now, Committed{commit->attempt});
+          rig_.core.HandleNodeMessage(rig_.now, AttemptCommitted{commit->attempt});
           ends_.emplace(rig_.now + (1 + random_() % 300) * kSecond, commit->attempt);
-        } else if (const auto* sync = std::get_if<SyncNode>(&o)) {
-          rig_.core.Take(rig_.now, Synced{sync->node, 0, {}});
-        } else if (const auto* stop = std::get_if<StopOnNode>(&o)) {
-          rig_.core.Take(rig_.now, Stopped{stop->attempt, false});
+        } else if (const auto* sync = std::get_if<ReconcileNode>(&o)) {
+          rig_.core.HandleNodeMessage(rig_.now, NodeReconciled{sync->node, 0, {}});
+        } else if (const auto* stop = std::get_if<StopAttempt>(&o)) {
+          rig_.core.HandleNodeMessage(rig_.now, StopAnswered{stop->attempt, false});
         }
       }
     }
@@ -139,7 +140,7 @@
       return a.first > b.first;
     }
   };
-  CoreRig rig_;
+  JobManagerFixture rig_;
   std::mt19937_64 random_;
   std::vector<std::string> names_;
   std::string gone_;
--- a/tests/job_manager/output_digest_test.cpp
+++ b/tests/job_manager/output_digest_test.cpp
@@ -30,7 +30,7 @@
     options_.limits.jobs = 60;
     options_.limits.history = 40;
     options_.limits.syncs = 2;
-    rig_ = std::make_unique<CoreRig>(options_, seed);
+    rig_ = std::make_unique<JobManagerFixture>(options_, seed);
   }
 
   void Play() {
@@ -104,7 +104,7 @@
     if (spec.repeat) spec.earlier_until = rig_->now + Draw(4 * kSecond);
     if (Chance(10)) spec.hold = "u";
     if (Chance(10)) spec.due = rig_->now + Draw(3 * kSecond);
-    if (Chance(20)) spec.owner_time = 500 * kMs + Draw(6 * kSecond);
+    if (Chance(20)) spec.client_wait = 500 * kMs + Draw(6 * kSecond);
     spec.cores = static_cast<double>(1 + Draw(4));
     spec.script = "echo " + std::to_string(Draw(1000));
     jobs_.push_back(rig_->Submit(std::move(spec)));
@@ -118,7 +118,7 @@
     for (unsigned i = 0; i < 5; ++i) {
       if (Chance(20)) starts_[i] = rig_->now - Draw(30 * kSecond);
       ListedNode node =
-          CoreRig::Node("node-" + std::to_string(i), "rack-" + std::to_string(i / 2), starts_[i]);
+          JobManagerFixture::Node("node-" + std::to_string(i), "rack-" + std::to_string(i / 2), starts_[i]);
       if (Chance(10)) node.state = Chance(50) ? NodeState::kDraining : NodeState::kGone;
       node.free_cores = static_cast<double>(Draw(17));
       if (Chance(85)) nodes.push_back(node);
@@ -132,18 +132,18 @@
     MembershipChange change;
     change.size = static_cast<int>(1 + Draw(3));
     change.index = Chance(80) ? 0 : -1;
-    rig_->core.TakeGroup(rig_->now, change);
+    rig_->core.HandleMembershipChange(rig_->now, change);
     rig_->Collect();
   }
 
   void Restart() {
     Collect();
     const Micros now = rig_->now + Draw(3 * kSecond);
-    rig_ = std::make_unique<CoreRig>(options_, 8);
+    rig_ = std::make_unique<JobManagerFixture>(options_, 8);
     rig_->now = now;
     std::string expected;
     for (const std::string& record : kept_) ASSERT_TRUE(rig_->core.Restore(record, &expected)) << expected;
-    ASSERT_TRUE(rig_->core.Restored(now, &expected)) << expected;
+    ASSERT_TRUE(rig_->core.FinishRestore(now, &expected)) << expected;
     digest.Add(std::string_view(rig_->core.Snapshot()));
     rig_->Collect();
     coming_.clear();
@@ -164,47 +164,48 @@
     }
   }
   void Answer(const Output& output) {
-    if (const auto* ask = std::get_if<AskNode>(&output)) {
+    if (const auto* ask = std::get_if<PrepareAttempt>(&output)) {
       if (Chance(80)) {
-        coming_.push_back(Ready{ask->attempt});
+        coming_.push_back(AttemptPrepared{ask->attempt});
       } else if (Chance(60)) {
         coming_.push_back(
-            Refused{ask->attempt, static_cast<RejectionReason>(Draw(5)), "no room", {}, Chance(20)});
+            AttemptRejected{ask->attempt, static_cast<RejectionReason>(Draw(5)), "no room", {}, Chance(20)});
       } else {
-        coming_.push_back(Broken{ask->attempt, false});
+        coming_.push_back(AttemptDisconnected{ask->attempt, false});
       }
-    } else if (const auto* commit = std::get_if<CommitNode>(&output)) {
+    } else if (const auto* commit = std::get_if<CommitAttempt>(&output)) {
       if (Chance(85)) {
-        coming_.push_back(Committed{commit->attempt});
+        coming_.push_back(AttemptCommitted{commit->attempt});
         if (Chance(80)) coming_.push_back(DrawnEnd(commit->attempt));
         running_.push_back(commit->attempt);
       } else {
-        coming_.push_back(Broken{commit->attempt, true});
+        coming_.push_back(AttemptDisconnected{commit->attempt, true});
       }
-    } else if (const auto* stop = std::get_if<StopOnNode>(&output)) {
+    } else if (const auto* stop = std::get_if<StopAttempt>(&output)) {
       const bool known = Chance(50);
       if (Chance(20)) {
         coming_.push_back(StopFailed{stop->attempt});
         return;
       }
-      coming_.push_back(Stopped{stop->attempt, known});
+      coming_.push_back(StopAnswered{stop->attempt, known});
       if (known) coming_.push_back(AttemptFinished{stop->attempt, EndReason::kKilled, 9, "", {}, 1, 2});
-    } else if (const auto* query = std::get_if<QueryNode>(&output)) {
+    } else if (const auto* query = std::get_if<QueryAttempt>(&output)) {
       if (Chance(20)) {
         coming_.push_back(QueryFailed{query->attempt});
       } else {
-        coming_.push_back(Found{query->attempt, Chance(50)});
+        coming_.push_back(QueryAnswered{query->attempt, Chance(50)});
       }
-    } else if (const auto* sync = std::get_if<SyncNode>(&output)) {
+    } else if (const auto* sync = std::get_if<ReconcileNode>(&output)) {
       if (Chance(15)) {
-        coming_.push_back(SyncFailed{sync->node});
+        coming_.push_back(ReconcileFailed{sync->node});
       } else {
         coming_.push_back(DrawnSynced(sync->node));
       }
     } else if (const auto* find = std::get_if<FindKey>(&output)) {
-      coming_.push_back(KeyFound{find->node, find->job, Chance(85), Chance(20), {7, 1}, "d1", find->key});
-    } else if (const auto* probe = std::get_if<ProbeNode>(&output)) {
-      coming_.push_back(Probed{probe->node, Chance(50), 20 * kMs, {}});
+      coming_.push_back(
+          FindKeyAnswered{find->node, find->job, Chance(85), Chance(20), {7, 1}, "d1", find->key});
+    } else if (const auto* probe = std::get_if<CheckNodeHealth>(&output)) {
+      coming_.push_back(NodeHealthChecked{probe->node, Chance(50), 20 * kMs, {}});
     }
   }
   AttemptFinished DrawnEnd(const AttemptId& attempt) {
@@ -215,15 +216,15 @@
     if (Chance(40)) ended.report.utilisation = static_cast<double>(Draw(100)) / 100.0;
     return ended;
   }
-  Synced DrawnSynced(NodeId node) {
-    Synced synced{node, 0, {}};
+  NodeReconciled DrawnSynced(NodeId node) {
+    NodeReconciled synced{node, 0, {}};
     for (unsigned i = 0; i < 5; ++i) {
-      if (JobManager::IdOfNode("node-" + std::to_string(i)) == node) synced.started = starts_[i];
+      if (JobManager::NodeIdOf("node-" + std::to_string(i)) == node) synced.started = starts_[i];
     }
     for (const AttemptId& attempt : running_) {
       const Job* job = rig_->core.Find(attempt.job);
       if (job == nullptr || !Chance(20)) continue;
-      RunningOnNode held{attempt, *job->spec, Chance(10)};
+      ReportedAttempt held{attempt, *job->spec, Chance(10)};
       synced.held.push_back(held);
     }
     return synced;
@@ -238,7 +239,7 @@
 
   std::mt19937_64 random_;
   JobManagerOptions options_;
-  std::unique_ptr<CoreRig> rig_;
+  std::unique_ptr<JobManagerFixture> rig_;
   std::vector<std::uint64_t> jobs_;
   std::vector<AttemptId> running_;
   std::vector<NodeMessage> coming_;
--- a/tests/node_agent/node_agent_test.cpp
+++ b/tests/node_agent/node_agent_test.cpp
@@ -209,7 +209,7 @@
 
 class Wire : public ::testing::Test {
  protected:
-  CoreRig rig;
+  JobManagerFixture rig;
   pbs_server::Vocabulary words;
   std::unique_ptr<node_sessions::NodeLinks> links;
   std::unique_ptr<node_agent::NodeServer> server;
@@ -225,7 +225,7 @@
     c.admit = 0;
     server = std::make_unique<node_agent::NodeServer>(std::make_unique<NodeModel>(c, nullptr, rig.now, 0),
                                                       node_agent::ServerOptions{});
-    rig.List({CoreRig::Node("a")});
+    rig.List({JobManagerFixture::Node("a")});
     Settle();
   }
   // Carries everything back and forth until all is quiet. `reach`: whether bytes get to the node.
@@ -261,7 +261,7 @@
       }
       for (const auto& m : std::exchange(links->messages(), {})) {
         quiet = false;
-        rig.core.Take(rig.now, m);
+        rig.core.HandleNodeMessage(rig.now, m);
       }
       rig.Collect();
       if (quiet && rig.last.empty()) return;
@@ -273,7 +273,7 @@
       server->Close(rig.now, id);
       links->Closed(rig.now, id);
     }
-    for (const auto& m : std::exchange(links->messages(), {})) rig.core.Take(rig.now, m);
+    for (const auto& m : std::exchange(links->messages(), {})) rig.core.HandleNodeMessage(rig.now, m);
     rig.Collect();
   }
 };
@@ -281,7 +281,7 @@
 TEST_F(Wire, AJobGoesThroughAndItsConnectionIsKept) {
   const auto first = rig.Submit(1);
   Settle();
-  EXPECT_EQ(rig.Job(first).answer, job_manager::Answer::kPlaced);
+  EXPECT_EQ(rig.Job(first).answer, job_manager::FinalAnswer::kStarted);
   const std::size_t connections = links->connections();
   for (int i = 0; i < 2; ++i) rig.Submit(1), Settle();
   EXPECT_EQ(links->connections(), connections);
@@ -293,7 +293,7 @@
   spec.user = "thandi", spec.task_class = 1, spec.queue = "safe", spec.service = "s", spec.cores = 6.0;
   const auto job = rig.Submit(spec);
   Settle();
-  EXPECT_EQ(rig.Job(job).answer, job_manager::Answer::kRefused);
+  EXPECT_EQ(rig.Job(job).answer, job_manager::FinalAnswer::kRejected);
   EXPECT_EQ(rig.Job(job).comment, "node a: no cores: 4 of 4 free, asked for 6");
 }
 
@@ -313,21 +313,21 @@
     server->Pump(rig.now);
     for (const auto id : server->TakeTouched())
       links->Received(rig.now, id, std::exchange(*server->OutputOf(id), {}));
-    for (const auto& m : std::exchange(links->messages(), {})) rig.core.Take(rig.now, m);
+    for (const auto& m : std::exchange(links->messages(), {})) rig.core.HandleNodeMessage(rig.now, m);
     rig.Collect();
   }
-  ASSERT_FALSE(rig.All<job_manager::CommitNode>().empty());
+  ASSERT_FALSE(rig.All<job_manager::CommitAttempt>().empty());
   CutAll();
-  EXPECT_EQ(rig.Job(job).answer, job_manager::Answer::kNone);
+  EXPECT_EQ(rig.Job(job).answer, job_manager::FinalAnswer::kNone);
   Settle();  // the daemon asks; the node has nothing, and never will
-  EXPECT_EQ(rig.Job(job).answer, job_manager::Answer::kRefused);
+  EXPECT_EQ(rig.Job(job).answer, job_manager::FinalAnswer::kRejected);
   EXPECT_TRUE(server->model().Held().empty());
 }
 
 TEST_F(Wire, ACommitWhoseReplyWasLostIsFoundRunning) {
   const auto job = rig.Submit(2);
   Settle(true, true);
-  EXPECT_EQ(rig.Job(job).answer, job_manager::Answer::kPlaced);
+  EXPECT_EQ(rig.Job(job).answer, job_manager::FinalAnswer::kStarted);
   const auto second = rig.Submit(2);
   for (int i = 0; i < 4; ++i) {  // replies are lost from the commit on
     for (const auto& o : std::exchange(rig.last, {})) links->Take(rig.now, o);
@@ -344,21 +344,21 @@
       const std::string bytes = std::exchange(*server->OutputOf(id), {});
       if (!committed) links->Received(rig.now, id, bytes);
     }
-    for (const auto& m : std::exchange(links->messages(), {})) rig.core.Take(rig.now, m);
+    for (const auto& m : std::exchange(links->messages(), {})) rig.core.HandleNodeMessage(rig.now, m);
     rig.Collect();
   }
   EXPECT_EQ(server->model().Held().size(), 2u);
-  EXPECT_EQ(rig.Job(second).answer, job_manager::Answer::kNone);
+  EXPECT_EQ(rig.Job(second).answer, job_manager::FinalAnswer::kNone);
   CutAll();
   Settle();
-  EXPECT_EQ(rig.Job(second).answer, job_manager::Answer::kPlaced);
+  EXPECT_EQ(rig.Job(second).answer, job_manager::FinalAnswer::kStarted);
   EXPECT_EQ(server->model().Held().size(), 2u);
 }
 
 TEST_F(Wire, ReportsAreKeptUntilTheyAreAcknowledged) {
   const auto job = rig.Submit(1);
   Settle();
-  const auto attempt = rig.Last<job_manager::AskNode>()->attempt;
+  const auto attempt = rig.Last<job_manager::PrepareAttempt>()->attempt;
   rig.core.Delete(rig.now, job, "");
   rig.Collect();
   Settle();
@@ -369,7 +369,7 @@
   pbs_protocol::Request obit;
   ASSERT_EQ(pbs_protocol::Decode(server->ReportsFor("d0")[0].bytes, &obit).state,
             pbs_protocol::DisState::kOk);
-  EXPECT_EQ(obit.id, rig.core.NameOf(attempt));
+  EXPECT_EQ(obit.id, rig.core.AttemptName(attempt));
   server->Acknowledged("d0", 1);
   EXPECT_TRUE(server->ServersOwed().empty());
 }
@@ -377,17 +377,17 @@
 TEST_F(Wire, AskedWhatRunsTheNodeTellsAndARestartedDaemonAdopts) {
   const auto job = rig.Submit(0, "k");
   Settle();
-  const std::string id = rig.core.IdOf(job);
+  const std::string id = rig.core.JobId(job);
   rig.core = job_manager::JobManager(Options(), 9, rig.now + kSecond);  // the daemon starts anew
   rig.now += kSecond;
   links = std::make_unique<node_sessions::NodeLinks>(&rig.core, words, node_sessions::LinkOptions{});
-  rig.List({CoreRig::Node("a")});
+  rig.List({JobManagerFixture::Node("a")});
   Settle();
   ASSERT_NE(rig.core.Find(job), nullptr);
   EXPECT_TRUE(rig.Job(job).adopted);
   EXPECT_EQ(rig.Job(job).spec->key, "k");
-  EXPECT_EQ(rig.core.JobOfKey("thandi", "k"), job);
-  EXPECT_EQ(rig.core.IdOf(job), id);
+  EXPECT_EQ(rig.core.FindJobByKey("thandi", "k"), job);
+  EXPECT_EQ(rig.core.JobId(job), id);
 }
 
 TEST_F(Wire, BeyondItsBoundsAnAttemptIsToldAsNeverSent) {
@@ -396,10 +396,10 @@
   o.most_waiting = 1;
   links = std::make_unique<node_sessions::NodeLinks>(&rig.core, words, o);
   for (int i = 0; i < 3; ++i) rig.Submit(1);
-  const auto asks = rig.All<job_manager::AskNode>();
+  const auto asks = rig.All<job_manager::PrepareAttempt>();
   for (const auto& ask : asks) links->Take(rig.now, ask);
   ASSERT_EQ(links->messages().size(), 1u);
-  EXPECT_FALSE(std::get<job_manager::Broken>(links->messages()[0]).sent);
+  EXPECT_FALSE(std::get<job_manager::AttemptDisconnected>(links->messages()[0]).sent);
   EXPECT_EQ(links->connections(), 1u);
 }
 
--- a/tests/pbs_server/pbs_server_test.cpp
+++ b/tests/pbs_server/pbs_server_test.cpp
@@ -17,13 +17,13 @@
 
 class FrontTest : public ::testing::Test {
  protected:
-  CoreRig rig;
+  JobManagerFixture rig;
   pbs_server::FrontOptions options;
   std::unique_ptr<pbs_server::Front> front;
   std::uint64_t next = 0;
 
   void SetUp() override {
-    rig.List({CoreRig::Node("a"), CoreRig::Node("b")});
+    rig.List({JobManagerFixture::Node("a"), JobManagerFixture::Node("b")});
     rig.SyncAll();
     rig.Clear();
     options.words.queues = {"keyed", "safe", "unsafe"};
@@ -68,8 +68,8 @@
   std::vector<Reply> Send(std::uint64_t session, const std::string& bytes) {
     front->Receive(rig.now, session, bytes);
     rig.Collect();
-    for (const auto& a : CoreRig::Of<job_manager::Answered>(rig.last)) front->On(rig.now, a);
-    for (const auto& e : CoreRig::Of<job_manager::Ended>(rig.last)) front->On(rig.now, e);
+    for (const auto& a : JobManagerFixture::Of<job_manager::JobAnswered>(rig.last)) front->On(rig.now, a);
+    for (const auto& e : JobManagerFixture::Of<job_manager::JobCompleted>(rig.last)) front->On(rig.now, e);
     return Replies(session);
   }
   Reply Call(std::uint64_t session, const Request& r) {
@@ -111,7 +111,7 @@
   EXPECT_EQ(Jobs(), 0u);
   EXPECT_EQ(Call(s, Make(RequestType::kCommit, queued.text)).choice, pbs_protocol::Choice::kCommitted);
   EXPECT_EQ(Jobs(), 1u);
-  const job_manager::Job& job = rig.Job(rig.core.NumberOf(queued.text));
+  const job_manager::Job& job = rig.Job(rig.core.ParseJobId(queued.text));
   EXPECT_EQ(job.spec->script, "echo\n");
   EXPECT_EQ(job.spec->cores, 2.0);
   // A commit that comes again is told that the job is there.
@@ -186,10 +186,10 @@
   Request wait = Make(RequestType::kStatusJob, id);
   wait.extension = "wait=answer";
   EXPECT_TRUE(Send(s, Bytes(wait) + Bytes(Make(RequestType::kStatusServer))).empty());
-  const auto ask = *rig.Last<job_manager::AskNode>();
-  rig.Take(job_manager::Ready{ask.attempt});
-  rig.Take(job_manager::Committed{ask.attempt});
-  for (const auto& a : CoreRig::Of<job_manager::Answered>(rig.last)) front->On(rig.now, a);
+  const auto ask = *rig.Last<job_manager::PrepareAttempt>();
+  rig.Take(job_manager::AttemptPrepared{ask.attempt});
+  rig.Take(job_manager::AttemptCommitted{ask.attempt});
+  for (const auto& a : JobManagerFixture::Of<job_manager::JobAnswered>(rig.last)) front->On(rig.now, a);
   const auto replies = Replies(s);
   ASSERT_EQ(replies.size(), 2u);
   EXPECT_EQ(pbs_protocol::ValueOf(replies[0].objects[0].attributes, "answer"), "placed");
@@ -299,7 +299,7 @@
   EXPECT_EQ(Call(s, Make(RequestType::kStatusJob, "1.other")).code, Code::kUnknownJob);
   EXPECT_EQ(Call(s, Make(RequestType::kStatusQueue)).objects.size(), 3u);
   EXPECT_EQ(Call(s, Make(RequestType::kReleaseJob, id)).code, Code::kNone);
-  EXPECT_EQ(rig.All<job_manager::AskNode>().size(), 1u);
+  EXPECT_EQ(rig.All<job_manager::PrepareAttempt>().size(), 1u);
 }
 
 TEST(Translate, SizesTimesAndLoadsComeBack) {
--- a/tests/storage/stored_state_test.cpp
+++ b/tests/storage/stored_state_test.cpp
@@ -75,7 +75,7 @@
 discovery::Snapshot View() {
   discovery::Snapshot view;
   view.taken_at = 1'796'083'200 * kSecond;
-  view.nodes = {CoreRig::Node("a"), CoreRig::Node("b", "rack-2", 7 * kSecond)};
+  view.nodes = {JobManagerFixture::Node("a"), JobManagerFixture::Node("b", "rack-2", 7 * kSecond)};
   view.nodes[1].state = NodeState::kDraining;
   return view;
 }
@@ -87,11 +87,11 @@
   std::vector<std::string> told;
   storage::Log log(files, LogNamed("jobs"));
   ASSERT_TRUE(log.Open({}, &told, &error)) << error;
-  CoreRig rig(Durable());
+  JobManagerFixture rig(Durable());
   const auto commit = [&] { ASSERT_TRUE(log.Commit(rig.core.TakeJournal(), &error)) << error; };
-  rig.List({CoreRig::Node("a"), CoreRig::Node("b", "rack-2")});
+  rig.List({JobManagerFixture::Node("a"), JobManagerFixture::Node("b", "rack-2")});
   rig.SyncAll();
-  const AskNode first = rig.PlaceNew(1, "key-1");
+  const PrepareAttempt first = rig.PlaceNew(1, "key-1");
   rig.Take(AttemptFinished{first.attempt, EndReason::kExited, 3, "", {}, rig.now, rig.now + kSecond});
   commit();
   rig.PlaceNew(0, "key-2");
@@ -107,7 +107,7 @@
   rig.PlaceNew(1);
   rig.Clear();
   rig.Submit(2);
-  rig.Take(Ready{rig.Last<AskNode>()->attempt});
+  rig.Take(AttemptPrepared{rig.Last<PrepareAttempt>()->attempt});
   const std::uint64_t last = rig.Submit(held);
   rig.core.Delete(rig.now, last, "thandi");
   rig.Collect();
@@ -173,7 +173,7 @@
   ASSERT_NE(files, nullptr) << error;
   std::vector<std::string> told;
 
-  CoreRig rig(Durable());
+  JobManagerFixture rig(Durable());
   std::size_t snapshots = 0, records = 0;
   const auto restore = [&](std::string_view record) { return rig.core.Restore(record, &expected); };
   storage::Replay replay;
@@ -189,7 +189,7 @@
   ASSERT_TRUE(jobs.Open(replay, &told, &error)) << error;
   EXPECT_EQ(snapshots, 1u);
   EXPECT_GT(records, 3u);
-  ASSERT_TRUE(rig.core.Restored(rig.now + kSecond, &expected)) << expected;
+  ASSERT_TRUE(rig.core.FinishRestore(rig.now + kSecond, &expected)) << expected;
   std::vector<const Job*> all;
   rig.core.ForEach(0, [&](const Job& job) {
     all.push_back(&job);
@@ -200,15 +200,15 @@
   EXPECT_EQ(job(1).state, JobState::kComplete);
   EXPECT_EQ(job(1).exit_status, 3);
   EXPECT_EQ(job(2).state, JobState::kRunning);
-  EXPECT_EQ(job(2).answer, Answer::kPlaced);
+  EXPECT_EQ(job(2).answer, FinalAnswer::kStarted);
   EXPECT_EQ(job(3).state, JobState::kHeld);
   EXPECT_EQ(job(3).spec->script, "echo held");
   EXPECT_EQ(job(4).state, JobState::kWaiting);
   EXPECT_EQ(job(5).state, JobState::kRunning);
-  EXPECT_EQ(job(6).answer, Answer::kNone);
+  EXPECT_EQ(job(6).answer, FinalAnswer::kNone);
   EXPECT_EQ(job(6).attempts.size(), 1u);
-  EXPECT_EQ(job(7).answer, Answer::kDeleted);
-  EXPECT_EQ(rig.core.JobOfKey("thandi", "key-2"), job(2).number);
+  EXPECT_EQ(job(7).answer, FinalAnswer::kDeleted);
+  EXPECT_EQ(rig.core.FindJobByKey("thandi", "key-2"), job(2).number);
 
   ledger::Book book(BillingRules());
   storage::Replay posted;
--- a/tests/support/job_manager_fixture.hpp
+++ b/tests/support/job_manager_fixture.hpp
@@ -46,9 +46,9 @@
   return o;
 }
 
-class CoreRig {
+class JobManagerFixture {
  public:
-  explicit CoreRig(job_manager::JobManagerOptions options = Options(), std::uint64_t seed = 7)
+  explicit JobManagerFixture(job_manager::JobManagerOptions options = Options(), std::uint64_t seed = 7)
       : now(1'000'000 * kSecond), core(std::move(options), seed, now) {}
 
   Micros now;
@@ -63,7 +63,7 @@
   }
   void Clear() { all.clear(); }
   void Take(const job_manager::NodeMessage& m) {
-    core.Take(now, m);
+    core.HandleNodeMessage(now, m);
     Collect();
   }
   // Runs all timers up to `to`, each at its time.
@@ -90,16 +90,16 @@
     return n;
   }
   void List(std::vector<job_manager::ListedNode> nodes, NodeListKind mode = NodeListKind::kSnapshot) {
-    job_manager::ListView v;
+    job_manager::NodeListView v;
     v.kind = mode;
     v.nodes = std::move(nodes);
-    core.TakeList(now, v);
+    core.HandleNodeList(now, v);
     Collect();
   }
   // Answers the sync of each listed node: nothing runs there.
   void SyncAll(Micros started = 0) {
-    for (const job_manager::SyncNode& s : Of<job_manager::SyncNode>(all))
-      Take(job_manager::Synced{s.node, started, {}});
+    for (const job_manager::ReconcileNode& s : Of<job_manager::ReconcileNode>(all))
+      Take(job_manager::NodeReconciled{s.node, started, {}});
   }
   std::uint64_t Submit(unsigned task_class, const std::string& key = "", bool rerunnable = false) {
     job_manager::JobSpec spec;
@@ -112,12 +112,12 @@
     return Submit(std::move(spec));
   }
   std::uint64_t Submit(job_manager::JobSpec spec) {
-    const job_manager::Submitted done = core.Submit(now, core.NewJobNumber(), std::move(spec));
+    const job_manager::SubmitResult done = core.Submit(now, core.NewJobNumber(), std::move(spec));
     verdict = done.verdict;
     Collect();
     return done.job;
   }
-  job_manager::Verdict verdict = job_manager::Verdict::kOk;
+  job_manager::CommandResult verdict = job_manager::CommandResult::kOk;
 
   template <typename T>
   static std::vector<T> Of(const std::vector<job_manager::Output>& from) {
@@ -138,12 +138,13 @@
   }
   const job_manager::Job& Job(std::uint64_t number) const { return *core.Find(number); }
   // Submits and has the node say yes to all.
-  job_manager::AskNode PlaceNew(unsigned task_class, const std::string& key = "", bool rerunnable = false) {
+  job_manager::PrepareAttempt PlaceNew(unsigned task_class, const std::string& key = "",
+                                       bool rerunnable = false) {
     Clear();
     Submit(task_class, key, rerunnable);
-    const job_manager::AskNode ask = *Last<job_manager::AskNode>();
-    Take(job_manager::Ready{ask.attempt});
-    Take(job_manager::Committed{ask.attempt});
+    const job_manager::PrepareAttempt ask = *Last<job_manager::PrepareAttempt>();
+    Take(job_manager::AttemptPrepared{ask.attempt});
+    Take(job_manager::AttemptCommitted{ask.attempt});
     return ask;
   }
 };
--- a/tests/support/output_digest.hpp
+++ b/tests/support/output_digest.hpp
@@ -18,7 +18,7 @@
 struct OutputDigester {
   Digest* digest;
 
-  void operator()(const job_manager::Used& o) const {
+  void operator()(const job_manager::ResourceUsage& o) const {
     AddAttempt(o.attempt, digest);
     digest->Add(o.node);
     digest->Add(o.task_class);
@@ -28,26 +28,26 @@
     digest->Add(o.started);
     digest->Add(o.ended);
   }
-  void operator()(const job_manager::AskNode& o) const { AddAtNode(o); }
-  void operator()(const job_manager::CommitNode& o) const { AddAtNode(o); }
-  void operator()(const job_manager::AbandonAsk& o) const { AddAtNode(o); }
-  void operator()(const job_manager::StopOnNode& o) const { AddAtNode(o); }
-  void operator()(const job_manager::QueryNode& o) const { AddAtNode(o); }
-  void operator()(const job_manager::SignalOnNode& o) const {
+  void operator()(const job_manager::PrepareAttempt& o) const { AddAtNode(o); }
+  void operator()(const job_manager::CommitAttempt& o) const { AddAtNode(o); }
+  void operator()(const job_manager::AbandonAttempt& o) const { AddAtNode(o); }
+  void operator()(const job_manager::StopAttempt& o) const { AddAtNode(o); }
+  void operator()(const job_manager::QueryAttempt& o) const { AddAtNode(o); }
+  void operator()(const job_manager::SignalAttempt& o) const {
     AddAtNode(o);
     digest->Add(std::string_view(o.signal));
   }
-  void operator()(const job_manager::SyncNode& o) const { digest->Add(o.node); }
+  void operator()(const job_manager::ReconcileNode& o) const { digest->Add(o.node); }
   void operator()(const job_manager::FindKey& o) const {
     digest->Add(o.node);
     digest->Add(o.job);
     digest->Add(std::string_view(o.key));
   }
-  void operator()(const job_manager::ProbeNode& o) const { digest->Add(o.node); }
+  void operator()(const job_manager::CheckNodeHealth& o) const { digest->Add(o.node); }
   void operator()(const job_manager::ForgetNode& o) const { digest->Add(o.node); }
-  void operator()(const job_manager::Answered& o) const { digest->Add(o.job); }
-  void operator()(const job_manager::Ended& o) const { digest->Add(o.job); }
-  void operator()(const job_manager::AskList& o) const { digest->Add(o.follow); }
+  void operator()(const job_manager::JobAnswered& o) const { digest->Add(o.job); }
+  void operator()(const job_manager::JobCompleted& o) const { digest->Add(o.job); }
+  void operator()(const job_manager::ReadNodeList& o) const { digest->Add(o.follow); }
   void operator()(const job_manager::LogEntry& o) const {
     digest->Add(o.level);
     digest->Add(o.job);
--- a/tests/support/registry_fixture.hpp
+++ b/tests/support/registry_fixture.hpp
@@ -181,7 +181,7 @@
     }
     return true;
   }
-  void Apply(const job_manager::ListView& v) {
+  void Apply(const job_manager::NodeListView& v) {
     ++views;
     if (v.kind == NodeListKind::kSnapshot) ++full_views, view.clear();
     for (const auto& n : v.nodes) {
--- a/tools/fuzz/targets.cpp
+++ b/tools/fuzz/targets.cpp
@@ -73,7 +73,7 @@
   front.Tick(1'000'000'000 + 3'600'000'000);
   // Every job that was taken has its answer by now: there is no node.
   core.ForEach(0, [](const job_manager::Job& job) {
-    Must(job.answer != job_manager::Answer::kNone || !job.spec->hold.empty() || job.spec->due != 0,
+    Must(job.answer != job_manager::FinalAnswer::kNone || !job.spec->hold.empty() || job.spec->due != 0,
          "a taken job is answered");
     return true;
   });
