--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -98,7 +98,7 @@
   UsageLedger& ledger = durable_state_.ledger();
   if (!ledger.is_open()) return {};
   http_front_.SetBook(&ledger.book());
-  job_manager_.SetDoor(
+  job_manager_.SetAdmissionCheck(
       [this, &ledger](const job_manager::JobSpec& spec) { return ledger.Rejection(loop_->Now(), spec); });
   return {};
 }
@@ -131,7 +131,7 @@
 
 void Daemon::PollGroup() {
   if (const std::optional<MembershipChange> change = group_->Poll()) {
-    job_manager_.TakeGroup(loop_->Now(), *change);
+    job_manager_.HandleMembershipChange(loop_->Now(), *change);
     log_.FlushInfoAtOnce(true);  // changes of the group are rare, and operators wait for them
     DispatchOutputs(std::exchange(job_manager_.outputs(), {}));
     log_.FlushInfoAtOnce(false);
@@ -159,7 +159,7 @@
   DispatchOutputs(outputs);
   const std::vector<job_manager::NodeMessage> messages = std::exchange(node_sessions_.messages(), {});
   const ScopedCpuTimer timer(&cpu_profile_, &CpuTimes::job_manager);
-  for (const job_manager::NodeMessage& message : messages) job_manager_.Take(loop_->Now(), message);
+  for (const job_manager::NodeMessage& message : messages) job_manager_.HandleNodeMessage(loop_->Now(), message);
   return !outputs.empty() || !messages.empty();
 }
 
@@ -189,14 +189,14 @@
   const Micros now = loop_->Now();
   if (const auto* entry = std::get_if<job_manager::LogEntry>(&output)) {
     log_.Write(job_manager_, *entry);
-  } else if (const auto* answered = std::get_if<job_manager::Answered>(&output)) {
+  } else if (const auto* answered = std::get_if<job_manager::JobAnswered>(&output)) {
     admission_.Answered();
     pbs_server_.On(now, *answered);
-  } else if (const auto* usage = std::get_if<job_manager::Used>(&output)) {
+  } else if (const auto* usage = std::get_if<job_manager::ResourceUsage>(&output)) {
     durable_state_.ledger().Post(now, *usage);
-  } else if (const auto* ended = std::get_if<job_manager::Ended>(&output)) {
+  } else if (const auto* ended = std::get_if<job_manager::JobCompleted>(&output)) {
     pbs_server_.On(now, *ended);
-  } else if (std::holds_alternative<job_manager::AskList>(output)) {
+  } else if (std::holds_alternative<job_manager::ReadNodeList>(output)) {
     node_list_.ReadAnew();
   } else {
     const ScopedCpuTimer timer(&cpu_profile_, &CpuTimes::node_sessions);
@@ -252,12 +252,12 @@
 
 void Daemon::EnableCpuProfile() {
   cpu_profile_.enabled = true;
-  job_manager_.MeasureModule(ProcessCpuNanoseconds);
+  job_manager_.MeasureScheduler(ProcessCpuNanoseconds);
 }
 
 CpuTimes Daemon::cpu_times() const {
   CpuTimes times = cpu_profile_.times;
-  times.scheduler = job_manager_.module_ns();
+  times.scheduler = job_manager_.scheduler_ns();
   times.process = ProcessCpuNanoseconds();
   return times;
 }
--- a/src/daemon/durable_state.cpp
+++ b/src/daemon/durable_state.cpp
@@ -110,7 +110,7 @@
   if (!opened) return tl::unexpected(StorageFailure("", error));
   if (!jobs.failure().empty()) return tl::unexpected(StorageFailure(directory_, jobs.failure()));
   std::string expected;
-  if (!job_manager_->Restored(loop_->Now(), &expected)) {
+  if (!job_manager_->FinishRestore(loop_->Now(), &expected)) {
     return tl::unexpected(StorageFailure(directory_, expected));
   }
   return {};
@@ -144,7 +144,7 @@
     gate_.Saw(jobs, nullptr, 0);
   }
   log_->WarnEach("storage", gate_.TakeComplaints());
-  job_manager_->RefuseNew(gate_.Refusal());
+  job_manager_->RejectNewJobs(gate_.Refusal());
 }
 
 void DurableState::WriteSnapshotIfDue(Micros now) {
--- a/src/daemon/event_log.cpp
+++ b/src/daemon/event_log.cpp
@@ -18,8 +18,8 @@
   return std::make_shared<spdlog::sinks::basic_file_sink_st>(file, false);
 }
 
-spdlog::level::level_enum ToSpdlog(job_manager::Level level) {
-  return level == job_manager::Level::kWarn ? spdlog::level::warn : spdlog::level::info;
+spdlog::level::level_enum ToSpdlog(job_manager::LogLevel level) {
+  return level == job_manager::LogLevel::kWarn ? spdlog::level::warn : spdlog::level::info;
 }
 
 void WriteLine(spdlog::logger* logger, spdlog::level::level_enum level, const nlohmann::json& line) {
@@ -60,8 +60,8 @@
   const spdlog::level::level_enum level = ToSpdlog(entry.level);
   if (!logger_->should_log(level)) return;
   nlohmann::json line = {{"event", entry.event}};
-  if (entry.job != 0) line["job"] = job_manager.IdOf(entry.job);
-  if (entry.attempt != 0) line["attempt"] = job_manager.NameOf({entry.job, entry.attempt});
+  if (entry.job != 0) line["job"] = job_manager.JobId(entry.job);
+  if (entry.attempt != 0) line["attempt"] = job_manager.AttemptName({entry.job, entry.attempt});
   if (!entry.node.empty()) line["node"] = entry.node;
   if (!entry.text.empty()) line["text"] = entry.text;
   WriteLine(logger_.get(), level, line);
--- a/src/daemon/http_front.cpp
+++ b/src/daemon/http_front.cpp
@@ -174,7 +174,7 @@
 // ---- Reading jobs ----
 
 json HttpFront::JobToJson(const job_manager::Job& job) const {
-  json shown = {{"id", job_manager_->IdOf(job.number)}};
+  json shown = {{"id", job_manager_->JobId(job.number)}};
   for (const pbs_protocol::Attribute& attribute :
        pbs_server::ForStatus(*job_manager_, job, options_->words)) {
     if (attribute.resource.empty()) {
@@ -197,7 +197,7 @@
   }
   std::uint64_t from = 0;
   if (message.query.count("from") > 0) {
-    from = job_manager_->NumberOf(message.Query("from"));
+    from = job_manager_->ParseJobId(message.Query("from"));
     if (from == 0) return Fail(HttpStatus::kBadRequest, "from: expected a job id");
   }
   const JobFilter filter = FilterOf(message);
@@ -206,7 +206,7 @@
   job_manager_->ForEach(from, [&](const job_manager::Job& job) {
     if (!filter.Matches(job)) return true;
     if (jobs.size() == limit) {
-      next_id = job_manager_->IdOf(job.number);
+      next_id = job_manager_->JobId(job.number);
       return false;
     }
     jobs.push_back(JobToJson(job));
@@ -218,7 +218,7 @@
 }
 
 JsonResult HttpFront::ShowJob(const Request& request) const {
-  const job_manager::Job* job = job_manager_->Find(job_manager_->NumberOf(request.parameter));
+  const job_manager::Job* job = job_manager_->Find(job_manager_->ParseJobId(request.parameter));
   if (job == nullptr) return Fail(HttpStatus::kNotFound, "no job " + request.parameter);
   return JsonReply{HttpStatus::kOk, JobToJson(*job)};
 }
@@ -231,11 +231,11 @@
   std::optional<HttpProblem> rejection = CheckAdmission(request, *spec);
   if (rejection) return tl::unexpected(std::move(*rejection));
   const std::uint64_t number = job_manager_->NewJobNumber();
-  const job_manager::Submitted submitted = job_manager_->Submit(request.now, number, std::move(*spec));
+  const job_manager::SubmitResult submitted = job_manager_->Submit(request.now, number, std::move(*spec));
   switch (submitted.verdict) {
-    case job_manager::Verdict::kOk:
+    case job_manager::CommandResult::kOk:
       return JsonReply{HttpStatus::kCreated, JobToJson(*job_manager_->Find(submitted.job))};
-    case job_manager::Verdict::kExists:
+    case job_manager::CommandResult::kExists:
       return JsonReply{HttpStatus::kOk, JobToJson(*job_manager_->Find(submitted.job))};
     default:
       break;
@@ -243,8 +243,8 @@
   HttpProblem problem;
   problem.status = HttpStatusOf(submitted.verdict);
   problem.detail = submitted.reason;
-  problem.stored_nothing = submitted.verdict == job_manager::Verdict::kFull ||
-                           submitted.verdict == job_manager::Verdict::kStopping;
+  problem.stored_nothing = submitted.verdict == job_manager::CommandResult::kFull ||
+                           submitted.verdict == job_manager::CommandResult::kStopping;
   return tl::unexpected(std::move(problem));
 }
 
@@ -252,12 +252,12 @@
                                                      const job_manager::JobSpec& spec) const {
   if (admission_ == nullptr) return std::nullopt;
   const Micros wait =
-      spec.owner_time != 0 ? spec.owner_time : job_manager_->options().hard_limits[spec.task_class];
+      spec.client_wait != 0 ? spec.client_wait : job_manager_->options().hard_limits[spec.task_class];
   admission::Asked submission;
   submission.now = request.now;
   submission.arrived = request.arrived;
   submission.give_up = request.arrived + wait;
-  if (spec.owner_deadline != 0) submission.give_up = std::min(submission.give_up, spec.owner_deadline);
+  if (spec.client_deadline != 0) submission.give_up = std::min(submission.give_up, spec.client_deadline);
   submission.unanswered = job_manager_->Count().queued;
   const admission::Verdict decision = admission_->Ask(submission);
   if (decision.admit) return std::nullopt;
@@ -275,30 +275,30 @@
   return options_->managers.count(request.user) > 0 ? "" : request.user;
 }
 
-JsonResult HttpFront::AnswerCommand(job_manager::Verdict verdict, std::uint64_t job) const {
-  if (verdict != job_manager::Verdict::kOk) {
+JsonResult HttpFront::AnswerCommand(job_manager::CommandResult verdict, std::uint64_t job) const {
+  if (verdict != job_manager::CommandResult::kOk) {
     return Fail(HttpStatusOf(verdict), pbs_protocol::Describe(pbs_server::CodeOf(verdict)));
   }
   return JsonReply{HttpStatus::kOk, JobToJson(*job_manager_->Find(job))};
 }
 
 JsonResult HttpFront::DeleteJob(const Request& request) const {
-  const std::uint64_t job = job_manager_->NumberOf(request.parameter);
+  const std::uint64_t job = job_manager_->ParseJobId(request.parameter);
   return AnswerCommand(job_manager_->Delete(request.now, job, ActingUser(request)), job);
 }
 
 JsonResult HttpFront::HoldJob(const Request& request) const {
-  const std::uint64_t job = job_manager_->NumberOf(request.parameter);
+  const std::uint64_t job = job_manager_->ParseJobId(request.parameter);
   return AnswerCommand(job_manager_->Hold(request.now, job, ActingUser(request), kUserHold), job);
 }
 
 JsonResult HttpFront::ReleaseJob(const Request& request) const {
-  const std::uint64_t job = job_manager_->NumberOf(request.parameter);
+  const std::uint64_t job = job_manager_->ParseJobId(request.parameter);
   return AnswerCommand(job_manager_->Release(request.now, job, ActingUser(request), kUserHold), job);
 }
 
 JsonResult HttpFront::RerunJob(const Request& request) const {
-  const std::uint64_t job = job_manager_->NumberOf(request.parameter);
+  const std::uint64_t job = job_manager_->ParseJobId(request.parameter);
   return AnswerCommand(job_manager_->Rerun(request.now, job, ActingUser(request)), job);
 }
 
--- a/src/daemon/http_problem.cpp
+++ b/src/daemon/http_problem.cpp
@@ -18,22 +18,22 @@
 
 }  // namespace
 
-HttpStatus HttpStatusOf(job_manager::Verdict verdict) {
+HttpStatus HttpStatusOf(job_manager::CommandResult verdict) {
   switch (verdict) {
-    case job_manager::Verdict::kOk:
+    case job_manager::CommandResult::kOk:
       return HttpStatus::kOk;
-    case job_manager::Verdict::kUnknownJob:
+    case job_manager::CommandResult::kUnknownJob:
       return HttpStatus::kNotFound;
-    case job_manager::Verdict::kPermission:
+    case job_manager::CommandResult::kPermission:
       return HttpStatus::kForbidden;
-    case job_manager::Verdict::kBadState:
-    case job_manager::Verdict::kNotRunning:
-    case job_manager::Verdict::kExists:
+    case job_manager::CommandResult::kBadState:
+    case job_manager::CommandResult::kNotRunning:
+    case job_manager::CommandResult::kExists:
       return HttpStatus::kConflict;
-    case job_manager::Verdict::kBadValue:
+    case job_manager::CommandResult::kBadValue:
       return HttpStatus::kBadRequest;
-    case job_manager::Verdict::kFull:
-    case job_manager::Verdict::kStopping:
+    case job_manager::CommandResult::kFull:
+    case job_manager::CommandResult::kStopping:
       return HttpStatus::kServiceUnavailable;
   }
   return HttpStatus::kInternalError;
--- a/src/daemon/node_list_source.cpp
+++ b/src/daemon/node_list_source.cpp
@@ -14,23 +14,23 @@
       file_(config.list_snapshot, log) {}
 
 void NodeListSource::LoadSavedList() {
-  const std::optional<job_manager::ListView> saved = file_.Load(loop_->Now());
-  if (saved) job_manager_->TakeList(loop_->Now(), *saved);
+  const std::optional<job_manager::NodeListView> saved = file_.Load(loop_->Now());
+  if (saved) job_manager_->HandleNodeList(loop_->Now(), *saved);
 }
 
 void NodeListSource::Poll() {
   connection_.Poll();
-  for (const job_manager::ListView& view : client_.TakeViews()) {
-    job_manager_->TakeList(loop_->Now(), view);
+  for (const job_manager::NodeListView& view : client_.TakeViews()) {
+    job_manager_->HandleNodeList(loop_->Now(), view);
     file_.MarkChanged();
   }
 }
 
 void NodeListSource::OnConnectionClosed() {
   if (!list_on_request_) return;
-  job_manager::ListView unavailable;
+  job_manager::NodeListView unavailable;
   unavailable.kind = NodeListKind::kUnavailable;
-  job_manager_->TakeList(loop_->Now(), unavailable);
+  job_manager_->HandleNodeList(loop_->Now(), unavailable);
 }
 
 }  // namespace mountflow::daemon
--- a/src/daemon/usage_ledger.cpp
+++ b/src/daemon/usage_ledger.cpp
@@ -76,11 +76,11 @@
   return {};
 }
 
-ledger::Use UsageLedger::ToLedgerUse(const job_manager::Used& usage) const {
+ledger::Use UsageLedger::ToLedgerUse(const job_manager::ResourceUsage& usage) const {
   const job_manager::JobManagerOptions& options = job_manager_->options();
-  const job_manager::ListedNode* node = job_manager_->NodeOf(usage.node);
+  const job_manager::ListedNode* node = job_manager_->FindNode(usage.node);
   ledger::Use use;
-  use.attempt = job_manager_->NameOf(usage.attempt);
+  use.attempt = job_manager_->AttemptName(usage.attempt);
   use.tenant = NameAt(options.tenants, usage.tenant);
   use.task_class = NameAt(options.classes, usage.task_class);
   use.kind = node != nullptr ? node->kind : "";
@@ -91,7 +91,7 @@
   return use;
 }
 
-void UsageLedger::Post(Micros now, const job_manager::Used& usage) {
+void UsageLedger::Post(Micros now, const job_manager::ResourceUsage& usage) {
   if (!is_open()) return;
   const ledger::Decision decision = book_.Post(now, ToLedgerUse(usage));
   if (decision.verdict == ledger::Verdict::kTwice) return;
--- a/src/daemon/usage_ledger.hpp
+++ b/src/daemon/usage_ledger.hpp
@@ -45,7 +45,7 @@
   [[nodiscard]] DaemonStatus Replay(std::string_view record);
 
   // Posts what an attempt used. A use that cannot be posted is logged.
-  void Post(Micros now, const job_manager::Used& usage);
+  void Post(Micros now, const job_manager::ResourceUsage& usage);
   // The records posted since the last CommitPosted, in their form for the jobs' log.
   [[nodiscard]] std::vector<std::string> RecordsForJobsLog();
   // Hands the same records to the ledger's own log.
@@ -62,7 +62,7 @@
 
  private:
   [[nodiscard]] DaemonStatus Apply(std::string_view record);
-  [[nodiscard]] ledger::Use ToLedgerUse(const job_manager::Used& usage) const;
+  [[nodiscard]] ledger::Use ToLedgerUse(const job_manager::ResourceUsage& usage) const;
 
   const double memory_unit_bytes_;
   const job_manager::JobManager* job_manager_;
--- a/tests/daemon/event_log_test.cpp
+++ b/tests/daemon/event_log_test.cpp
@@ -49,7 +49,7 @@
 
 TEST_F(EventLogTest, EntryNamesJobAttemptAndNode) {
   job_manager::LogEntry entry;
-  entry.level = job_manager::Level::kWarn;
+  entry.level = job_manager::LogLevel::kWarn;
   entry.event = "lost";
   entry.job = 7;
   entry.attempt = 2;
