--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -36,7 +36,8 @@
 
 }  // namespace
 
-Daemon::Daemon(event_loop::EventLoop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> logger)
+Daemon::Daemon(event_loop::EventLoop* loop, config::DaemonConfig config,
+               std::shared_ptr<spdlog::logger> logger)
     : loop_(loop),
       config_(std::move(config)),
       log_(std::move(logger)),
@@ -159,7 +160,8 @@
   DispatchOutputs(outputs);
   const std::vector<job_manager::NodeMessage> messages = std::exchange(node_sessions_.messages(), {});
   const ScopedCpuTimer timer(&cpu_profile_, &CpuTimes::job_manager);
-  for (const job_manager::NodeMessage& message : messages) job_manager_.HandleNodeMessage(loop_->Now(), message);
+  for (const job_manager::NodeMessage& message : messages)
+    job_manager_.HandleNodeMessage(loop_->Now(), message);
   return !outputs.empty() || !messages.empty();
 }
 
--- a/src/daemon/durable_state.cpp
+++ b/src/daemon/durable_state.cpp
@@ -13,9 +13,9 @@
 
 constexpr char kLogName[] = "jobs";
 
-storage::GateOptions GateOptionsOf(const config::DaemonConfig& config) {
-  storage::GateOptions options;
-  options.snapshot_after = config.storage_snapshot;
+storage::CommitGateOptions GateOptionsOf(const config::DaemonConfig& config) {
+  storage::CommitGateOptions options;
+  options.snapshot_after_bytes = config.storage_snapshot;
   return options;
 }
 
@@ -74,9 +74,9 @@
 DurableState::~DurableState() { Close(); }
 
 DaemonStatus DurableState::Open() {
-  std::string error;
-  files_ = storage::PosixFiles::Open(directory_, &error);
-  if (!files_) return tl::unexpected(StorageFailure("", error));
+  auto files = storage::PosixFiles::Open(directory_);
+  if (!files) return tl::unexpected(StorageFailure("", Describe(files.error())));
+  files_ = std::move(*files);
   signal_.emplace();
   const auto notify = [this] { signal_->Notify(); };
   if (billing_) {
@@ -103,11 +103,10 @@
   replay.record = [&](std::uint64_t sequence, std::string_view record) {
     jobs.ApplyLogRecord(sequence, record);
   };
-  std::vector<std::string> warnings;
-  std::string error;
-  const bool opened = jobs_log->Open(replay, &warnings, &error);
-  log_->WarnEach("storage", warnings);
-  if (!opened) return tl::unexpected(StorageFailure("", error));
+  std::vector<storage::RecoveryNotice> notices;
+  const storage::StorageStatus opened = jobs_log->Open(replay, &notices);
+  for (const storage::RecoveryNotice& notice : notices) log_->Warn("storage", Describe(notice));
+  if (!opened) return tl::unexpected(StorageFailure("", Describe(opened.error())));
   if (!jobs.failure().empty()) return tl::unexpected(StorageFailure(directory_, jobs.failure()));
   std::string expected;
   if (!job_manager_->FinishRestore(loop_->Now(), &expected)) {
@@ -133,18 +132,18 @@
   return gate_.Hold(commit, *reply_bytes);
 }
 
-std::optional<std::uint64_t> DurableState::NextDurableTurn() { return gate_.Next(); }
+std::optional<std::uint64_t> DurableState::NextDurableTurn() { return gate_.ReleaseNext(); }
 
 void DurableState::UpdateStatus() {
   const storage::CommitStatus jobs = jobs_committer_->Status();
   if (ledger_.is_open()) {
     const storage::CommitStatus ledger = ledger_.Status();
-    gate_.Saw(jobs, &ledger, ledger_.last_commit());
+    gate_.UpdateStatus(jobs, &ledger, ledger_.last_commit());
   } else {
-    gate_.Saw(jobs, nullptr, 0);
+    gate_.UpdateStatus(jobs, nullptr, 0);
   }
-  log_->WarnEach("storage", gate_.TakeComplaints());
-  job_manager_->RejectNewJobs(gate_.Refusal());
+  log_->WarnEach("storage", gate_.TakeWarnings());
+  job_manager_->RejectNewJobs(gate_.RejectionReason());
 }
 
 void DurableState::WriteSnapshotIfDue(Micros now) {
--- a/src/daemon/durable_state.hpp
+++ b/src/daemon/durable_state.hpp
@@ -2,7 +2,8 @@
 //
 // Open replays both logs into the job manager and the ledger. Afterwards each turn's records are committed on
 // threads of their own, and the turn's replies may be sent when NextDurableTurn gives its number. Snapshots
-// of the jobs keep their log short. New jobs are rejected while commits fail or lag (storage/gate.hpp).
+// of the jobs keep their log short. New jobs are rejected while commits fail or lag
+// (storage/commit_gate.hpp).
 #ifndef MOUNTFLOW_DAEMON_DURABLE_STATE_HPP_
 #define MOUNTFLOW_DAEMON_DURABLE_STATE_HPP_
 
@@ -19,9 +20,9 @@
 #include "daemon/usage_ledger.hpp"
 #include "event_loop/event_loop.hpp"
 #include "job_manager/job_manager.hpp"
+#include "storage/commit_gate.hpp"
 #include "storage/committer.hpp"
 #include "storage/files.hpp"
-#include "storage/gate.hpp"
 
 namespace mountflow::daemon {
 
@@ -60,7 +61,7 @@
   [[nodiscard]] bool HasHeldTurns() const { return !gate_.Empty(); }
   // Whether so many bytes of replies are held that further ones are refused at once, with Rejection().
   [[nodiscard]] bool IsFull() const { return gate_.Full(); }
-  [[nodiscard]] std::string Rejection() const { return gate_.Refusal(); }
+  [[nodiscard]] std::string Rejection() const { return gate_.RejectionReason(); }
   [[nodiscard]] UsageLedger& ledger() { return ledger_; }
 
  private:
@@ -71,7 +72,7 @@
   event_loop::EventLoop* loop_;
   job_manager::JobManager* job_manager_;
   EventLog* log_;
-  storage::Gate gate_;
+  storage::CommitGate gate_;
   std::optional<CommitSignal> signal_;  // from Open on
   std::unique_ptr<storage::PosixFiles> files_;
   UsageLedger ledger_;
--- a/src/daemon/held_replies.hpp
+++ b/src/daemon/held_replies.hpp
@@ -1,9 +1,9 @@
 // Replies and messages to nodes that wait until the records of their turn are durable. Bookkeeping only: no
 // I/O, no clock.
 //
-// Replies of the current turn are collected, then closed under the number that storage::Gate gave the turn;
-// they come out whole, by that number. A reply must not overtake an earlier one of its connection, so this
-// also knows which connections have a reply here.
+// Replies of the current turn are collected, then closed under the number that storage::CommitGate gave the
+// turn; they come out whole, by that number. A reply must not overtake an earlier one of its connection, so
+// this also knows which connections have a reply here.
 //
 // Bounds: the gate refuses submissions beyond a number of bytes, and HTTP connections are not read while a
 // reply of theirs is held.
--- a/src/daemon/http_connections.cpp
+++ b/src/daemon/http_connections.cpp
@@ -43,7 +43,8 @@
   while (!requests.empty()) {
     const http::Message request = std::move(requests.front());
     requests.pop_front();
-    HttpResponse response = front_->Handle(loop_->Now(), request, connection->peer, loop_->PreviousTurnStart());
+    HttpResponse response =
+        front_->Handle(loop_->Now(), request, connection->peer, loop_->PreviousTurnStart());
     SendOrHold({id, std::move(response.bytes), !request.keep_alive}, response.reports_stored_state);
     if (!request.keep_alive) return false;
   }
--- a/src/daemon/node_list_source.cpp
+++ b/src/daemon/node_list_source.cpp
@@ -4,8 +4,9 @@
 
 namespace mountflow::daemon {
 
-NodeListSource::NodeListSource(const config::DaemonConfig& config, std::uint64_t seed, event_loop::EventLoop* loop,
-                               job_manager::JobManager* job_manager, tls::Keys* keys, EventLog* log)
+NodeListSource::NodeListSource(const config::DaemonConfig& config, std::uint64_t seed,
+                               event_loop::EventLoop* loop, job_manager::JobManager* job_manager,
+                               tls::Keys* keys, EventLog* log)
     : loop_(loop),
       job_manager_(job_manager),
       list_on_request_(config.core.settings.list_on_request),
--- a/src/daemon/registry_group.hpp
+++ b/src/daemon/registry_group.hpp
@@ -27,7 +27,8 @@
     std::uint64_t members = 0;    // of the client that reads the entries
     std::uint64_t own_entry = 0;  // of the registrar
   };
-  RegistryGroup(const config::DaemonConfig& config, Seeds seeds, event_loop::EventLoop* loop, tls::Keys* keys);
+  RegistryGroup(const config::DaemonConfig& config, Seeds seeds, event_loop::EventLoop* loop,
+                tls::Keys* keys);
   RegistryGroup(const RegistryGroup&) = delete;
   RegistryGroup& operator=(const RegistryGroup&) = delete;
 
--- a/src/daemon/usage_ledger.cpp
+++ b/src/daemon/usage_ledger.cpp
@@ -42,13 +42,12 @@
     invalid_record->detail =
         "ledger record " + std::to_string(sequence) + ": expected " + invalid_record->detail;
   };
-  std::vector<std::string> warnings;
-  std::string error;
-  const bool opened = ledger_log->Open(replay, &warnings, &error);
-  log_->WarnEach("storage", warnings);
-  if (!opened) return StorageFailure("", error);
+  std::vector<storage::RecoveryNotice> notices;
+  const storage::StorageStatus opened = ledger_log->Open(replay, &notices);
+  for (const storage::RecoveryNotice& notice : notices) log_->Warn("storage", Describe(notice));
+  if (!opened) return StorageFailure("", Describe(opened.error()));
   if (invalid_record) return tl::unexpected(*invalid_record);
-  outbox_ = ledger::Outbox(ledger_log->last());
+  outbox_ = ledger::Outbox(ledger_log->last_sequence());
   committer_ = std::make_unique<storage::Committer>(std::move(ledger_log), std::move(notify));
   return {};
 }
--- a/tests/daemon/event_log_test.cpp
+++ b/tests/daemon/event_log_test.cpp
@@ -29,7 +29,7 @@
   std::ostringstream lines_;
   std::shared_ptr<spdlog::logger> logger_;
   daemon::EventLog log_;
-  CoreRig rig_;
+  JobManagerFixture rig_;
 };
 
 TEST_F(EventLogTest, EventHasItsNameAndText) {
--- a/tests/daemon/http_front_test.cpp
+++ b/tests/daemon/http_front_test.cpp
@@ -16,7 +16,7 @@
  protected:
   HttpFrontTest() : front_(&rig_.core, &options_, nullptr) {
     options_.words.queues = rig_.core.options().classes;
-    rig_.List({CoreRig::Node("a")});
+    rig_.List({JobManagerFixture::Node("a")});
     rig_.SyncAll();
   }
 
@@ -56,7 +56,7 @@
     return reply.body.value("id", "");
   }
 
-  CoreRig rig_;
+  JobManagerFixture rig_;
   pbs_server::FrontOptions options_;
   daemon::HttpFront front_;
   std::map<std::string, std::string> query_;
--- a/tests/daemon/node_list_file_test.cpp
+++ b/tests/daemon/node_list_file_test.cpp
@@ -25,7 +25,7 @@
     char directory[] = "/tmp/mountflow-list-XXXXXX";
     directory_ = mkdtemp(directory);
     name_ = directory_ + "/nodes";
-    rig_.List({CoreRig::Node("a")});
+    rig_.List({JobManagerFixture::Node("a")});
   }
   ~NodeListFileTest() override {
     std::remove(name_.c_str());
@@ -38,7 +38,7 @@
 
   std::ostringstream lines_;
   daemon::EventLog log_;
-  CoreRig rig_;
+  JobManagerFixture rig_;
   std::string directory_;
   std::string name_;
 };
