--- /dev/null
+++ b/tests/daemon/durable_state_test.cpp
@@ -0,0 +1,159 @@
+// The state directory: what a second life of the daemon finds, and when a turn is durable.
+#include "daemon/durable_state.hpp"
+
+#include <gtest/gtest.h>
+#include <spdlog/sinks/ostream_sink.h>
+#include <spdlog/spdlog.h>
+
+#include <chrono>
+#include <cstdlib>
+#include <filesystem>
+#include <fstream>
+#include <memory>
+#include <optional>
+#include <sstream>
+#include <string>
+#include <thread>
+
+#include "tests/support/job_manager_fixture.hpp"
+
+namespace mountflow::testing {
+namespace {
+
+job_manager::JobManagerOptions DurableOptions() {
+  job_manager::JobManagerOptions options = Options();
+  options.durable = true;
+  return options;
+}
+
+class DurableStateTest : public ::testing::Test {
+ protected:
+  // One life of a daemon in the directory.
+  struct Life {
+    Life(const std::string& directory, event_loop::EventLoop* loop)
+        : log(std::make_shared<spdlog::logger>("test",
+                                               std::make_shared<spdlog::sinks::ostream_sink_st>(lines))) {
+      config.storage_folder = directory;
+      state = std::make_unique<daemon::DurableState>(config, loop, &rig.core, &log);
+    }
+    // The number of the next durable turn, for which it waits.
+    std::optional<std::uint64_t> AwaitDurableTurn() {
+      constexpr int kMaxPolls = 10'000;
+      for (int i = 0; i < kMaxPolls; ++i) {
+        state->UpdateStatus();
+        if (const auto number = state->NextDurableTurn()) return number;
+        std::this_thread::sleep_for(std::chrono::milliseconds(1));
+      }
+      return std::nullopt;
+    }
+
+    std::ostringstream lines;
+    daemon::EventLog log;
+    config::DaemonConfig config;
+    JobManagerFixture rig{DurableOptions()};
+    std::unique_ptr<daemon::DurableState> state;
+  };
+
+  DurableStateTest() {
+    char made[] = "/tmp/mountflow-state-XXXXXX";
+    directory_ = mkdtemp(made);
+  }
+  ~DurableStateTest() override { std::filesystem::remove_all(directory_); }
+
+  event_loop::EventLoop loop_;  // never runs: the tests ask for the status
+  std::string directory_;
+};
+
+TEST_F(DurableStateTest, TurnWithoutRecordsOrRepliesHasNoNumber) {
+  Life life(directory_, &loop_);
+  ASSERT_TRUE(life.state->Open().has_value());
+  EXPECT_EQ(life.state->CommitTurn(std::nullopt), std::nullopt);
+  EXPECT_FALSE(life.state->HasHeldTurns());
+}
+
+TEST_F(DurableStateTest, TurnWithRecordsAloneHoldsNothing) {
+  Life life(directory_, &loop_);
+  ASSERT_TRUE(life.state->Open().has_value());
+  life.rig.Submit(1);
+  EXPECT_EQ(life.state->CommitTurn(std::nullopt), std::nullopt);
+  EXPECT_FALSE(life.state->HasHeldTurns());
+}
+
+TEST_F(DurableStateTest, TurnWithRepliesIsDurableAfterItsRecords) {
+  Life life(directory_, &loop_);
+  ASSERT_TRUE(life.state->Open().has_value());
+  life.rig.Submit(1);
+  EXPECT_EQ(life.state->CommitTurn(100), 1u);
+  EXPECT_TRUE(life.state->HasHeldTurns());
+  EXPECT_EQ(life.AwaitDurableTurn(), 1u);
+  EXPECT_FALSE(life.state->HasHeldTurns());
+  EXPECT_EQ(life.state->CommitTurn(0), 2u);  // without records: durable at once
+  life.state->UpdateStatus();
+  EXPECT_EQ(life.state->NextDurableTurn(), 2u);
+  EXPECT_EQ(life.state->Rejection(), "");
+  EXPECT_FALSE(life.state->IsFull());
+}
+
+TEST_F(DurableStateTest, SecondLifeHasTheJobsOfTheFirst) {
+  std::uint64_t job = 0;
+  {
+    Life life(directory_, &loop_);
+    ASSERT_TRUE(life.state->Open().has_value());
+    job = life.rig.Submit(1);
+    ASSERT_EQ(life.state->CommitTurn(0), 1u);
+    life.state->Close();  // commits what waits
+  }
+  Life life(directory_, &loop_);
+  ASSERT_TRUE(life.state->Open().has_value());
+  ASSERT_NE(life.rig.core.Find(job), nullptr);
+  EXPECT_EQ(life.rig.core.Find(job)->spec->user, "thandi");
+}
+
+TEST_F(DurableStateTest, DirectoryOfAnotherLifeIsLocked) {
+  Life first(directory_, &loop_);
+  ASSERT_TRUE(first.state->Open().has_value());
+  Life second(directory_, &loop_);
+  const daemon::DaemonStatus opened = second.state->Open();
+  ASSERT_FALSE(opened.has_value());
+  EXPECT_EQ(opened.error().code, daemon::DaemonErrorCode::kStorage);
+  EXPECT_FALSE(second.state->is_open());
+}
+
+TEST_F(DurableStateTest, RecordThatIsNotValidNamesDirectoryAndPlace) {
+  {
+    auto files = storage::PosixFiles::Open(directory_);
+    ASSERT_TRUE(files.has_value());
+    storage::LogOptions options;
+    options.name = "jobs";
+    storage::Log log(files->get(), options);
+    std::vector<storage::RecoveryNotice> notices;
+    ASSERT_TRUE(log.Open({}, &notices).has_value());
+    ASSERT_TRUE(log.Commit({"no record"}).has_value());
+  }
+  Life life(directory_, &loop_);
+  const daemon::DaemonStatus opened = life.state->Open();
+  ASSERT_FALSE(opened.has_value());
+  EXPECT_EQ(Describe(opened.error()).rfind(directory_ + ": record 1: expected ", 0), 0u)
+      << Describe(opened.error());
+}
+
+TEST_F(DurableStateTest, SnapshotThatIsNotWholeNamesDirectoryAndPlace) {
+  {
+    auto files = storage::PosixFiles::Open(directory_);
+    ASSERT_TRUE(files.has_value());
+    storage::LogOptions options;
+    options.name = "jobs";
+    storage::Log log(files->get(), options);
+    std::vector<storage::RecoveryNotice> notices;
+    ASSERT_TRUE(log.Open({}, &notices).has_value());
+    ASSERT_TRUE(log.Commit({"record"}).has_value());
+    ASSERT_TRUE(log.WriteSnapshot(1, "\x7f").has_value());  // a record of 127 bytes begins, and none follows
+  }
+  Life life(directory_, &loop_);
+  const daemon::DaemonStatus opened = life.state->Open();
+  ASSERT_FALSE(opened.has_value());
+  EXPECT_EQ(Describe(opened.error()), directory_ + ": snapshot at 1: expected whole records");
+}
+
+}  // namespace
+}  // namespace mountflow::testing
