--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -27,11 +27,13 @@
   return {SeedOf(config) ^ kGroupMembersSeed, SeedOf(config) ^ kOwnEntrySeed};
 }
 
+tl::unexpected<DaemonError> ListenFailure(const event_loop::EventLoopError& error) {
+  return tl::unexpected(DaemonError{DaemonErrorCode::kListen, "", Describe(error)});
+}
+
 std::string HostOf(const std::string& address) {
-  std::string host;
-  int port = 0;
-  event_loop::SplitAddress(address, &host, &port);
-  return host;
+  const std::optional<event_loop::HostAndPort> parts = event_loop::SplitAddress(address);
+  return parts ? parts->host : "";
 }
 
 }  // namespace
@@ -83,12 +85,13 @@
 }
 
 DaemonStatus Daemon::Listen() {
-  std::string error;
-  batch_listener_ = loop_->Listen(config_.batch_address, &batch_connections_, &error);
-  if (batch_listener_ == 0) return tl::unexpected(DaemonError{DaemonErrorCode::kListen, "", error});
+  const auto batch_listener = loop_->Listen(config_.batch_address, &batch_connections_);
+  if (!batch_listener) return ListenFailure(batch_listener.error());
+  batch_listener_ = *batch_listener;
   if (config_.http_address.empty()) return {};
-  http_listener_ = loop_->Listen(config_.http_address, &http_connections_, &error);
-  if (http_listener_ == 0) return tl::unexpected(DaemonError{DaemonErrorCode::kListen, "", error});
+  const auto http_listener = loop_->Listen(config_.http_address, &http_connections_);
+  if (!http_listener) return ListenFailure(http_listener.error());
+  http_listener_ = *http_listener;
   return {};
 }
 
