--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -6,71 +6,116 @@
 namespace mountflow::admission {
 namespace {
 
-constexpr Micros kHorizon = 100'000;  // of the busy share, and the least window of the cost
-constexpr double kSaturated = 0.9;    // busy share from which what is ahead counts as waiting time
-constexpr std::size_t kEnough = 20;   // answers in a window that tell the cost
-constexpr double kGain = 0.3;         // of one window
-constexpr double kLeastCost = 10.0, kMostCost = 100'000.0;  // microseconds
-constexpr Micros kLeastTold = 20'000;
+constexpr Micros kWindow = 100'000;      // averaging time of the busy share, shortest measurement of the cost
+constexpr double kSaturatedShare = 0.9;  // busy share from which the jobs ahead count as waiting time
+constexpr std::size_t kMinAnswers = 20;  // answers that a measurement of the cost needs
+constexpr double kSmoothing = 0.3;       // weight of one measurement
+constexpr double kMaxChange = 2.0;       // factor by which one measurement may differ from the estimate
+constexpr double kMinCostPerJob = 10.0;  // microseconds
+constexpr double kMaxCostPerJob = 100'000.0;  // microseconds
+constexpr Micros kMinRetryAfter = 20'000;
 
 }  // namespace
 
-Door::Door(DoorOptions options) : options_(options), cost_(static_cast<double>(options.first_cost)) {}
-
-void Door::Turn(Micros began, Micros ended) {
-  if (ended_ == 0) ended_ = window_began_ = began;
-  began = std::max(began, ended_);
-  ended = std::max(ended, began);
-  const double period = static_cast<double>(ended - ended_), worked = static_cast<double>(ended - began);
-  if (period > 0.0) {
-    const double weight = std::min(1.0, period / static_cast<double>(kHorizon));
-    busy_ += weight * (worked / period - busy_);
+std::string_view Describe(AdmissionResult result) {
+  switch (result) {
+    case AdmissionResult::kAdmitted:
+      return "";
+    case AdmissionResult::kDeadlinePassed:
+      return "the owner's time was over before the request was read";
+    case AdmissionResult::kDeadlineUnreachable:
+      return "no answer could come within the owner's time";
+    case AdmissionResult::kQueueFull:
+      return "as many submissions wait as may";
+    case AdmissionResult::kStorageBacklog:
+      return "the disk does not keep up";
+    case AdmissionResult::kOverloaded:
+      return "more work than this daemon gets done";
   }
-  ended_ = ended;
-  worked_ += ended - began;
-  if (ended - window_began_ < kHorizon) return;
-  // Danger: a stall (a slow disk, a stopped process) is no cost of a job: one window moves it by little.
-  if (answers_ >= kEnough) {
-    const double seen = static_cast<double>(worked_) / static_cast<double>(answers_);
-    cost_ += kGain * (std::clamp(seen, cost_ / 2.0, cost_ * 2.0) - cost_);
-    cost_ = std::clamp(cost_, kLeastCost, kMostCost);
+  return "";
+}
+
+AdmissionController::AdmissionController(const AdmissionOptions& options)
+    : options_(options), cost_per_job_(static_cast<double>(options.initial_cost_per_job)) {}
+
+void AdmissionController::RecordLoopIteration(Micros began_at, Micros ended_at) {
+  if (last_iteration_ended_at_ == 0) {
+    last_iteration_ended_at_ = began_at;
+    window_began_at_ = began_at;
   }
-  window_began_ = ended;
-  worked_ = 0;
-  answers_ = 0;
+  began_at = std::max(began_at, last_iteration_ended_at_);
+  ended_at = std::max(ended_at, began_at);
+  UpdateBusyShare(ended_at - last_iteration_ended_at_, ended_at - began_at);
+  last_iteration_ended_at_ = ended_at;
+  worked_in_window_ += ended_at - began_at;
+  if (ended_at - window_began_at_ < kWindow) return;
+  UpdateCostPerJob();
+  window_began_at_ = ended_at;
+  worked_in_window_ = 0;
+  answers_in_window_ = 0;
 }
 
-bool Door::saturated() const { return busy_ >= kSaturated; }
+void AdmissionController::UpdateBusyShare(Micros period, Micros worked) {
+  if (period == 0) return;
+  const auto period_us = static_cast<double>(period);
+  const double weight = std::min(1.0, period_us / static_cast<double>(kWindow));
+  busy_share_ += weight * (static_cast<double>(worked) / period_us - busy_share_);
+}
 
-std::size_t Door::Batch() const {
-  return std::max<std::size_t>(
-      1, static_cast<std::size_t>(std::lround(static_cast<double>(options_.slice) / cost_)));
+void AdmissionController::UpdateCostPerJob() {
+  if (answers_in_window_ < kMinAnswers) return;
+  const double measured = static_cast<double>(worked_in_window_) / static_cast<double>(answers_in_window_);
+  // Danger: a stall (slow storage, a suspended process) is not the cost of a job, so one measurement may move
+  // the estimate only a little.
+  const double bounded = std::clamp(measured, cost_per_job_ / kMaxChange, cost_per_job_ * kMaxChange);
+  cost_per_job_ += kSmoothing * (bounded - cost_per_job_);
+  cost_per_job_ = std::clamp(cost_per_job_, kMinCostPerJob, kMaxCostPerJob);
 }
 
-Verdict Door::Ask(const Asked& asked) {
-  const Micros owner = asked.give_up > asked.arrived ? asked.give_up - asked.arrived : 0;
-  const Micros waited = asked.now > asked.arrived ? asked.now - asked.arrived : 0;
-  const Micros allowed =
-      std::min(options_.most_wait, static_cast<Micros>(options_.share * static_cast<double>(owner)));
-  const double ahead = saturated() ? static_cast<double>(asked.in_line + asked.unanswered) * cost_ : 0.0;
-  const auto expected = static_cast<Micros>(ahead);
-  if (asked.now >= asked.give_up) return {false, 0, "the owner's time was over before the request was read"};
-  if (waited + expected >= owner)
-    return Refuse(asked, "no answer could come within the owner's time", expected);
-  if (asked.in_line >= options_.most_line) return Refuse(asked, "as many submissions wait as may", expected);
-  if (disk_owes_ > allowed) return Refuse(asked, "the disk does not keep up", disk_owes_);
-  if (waited + expected > allowed)
-    return Refuse(asked, "more work than this daemon gets done", waited + expected - allowed);
+bool AdmissionController::saturated() const { return busy_share_ >= kSaturatedShare; }
+
+std::size_t AdmissionController::MaxAdmissionsPerIteration() const {
+  const auto affordable = std::lround(static_cast<double>(options_.iteration_budget) / cost_per_job_);
+  return std::max<std::size_t>(1, static_cast<std::size_t>(affordable));
+}
+
+AdmissionDecision AdmissionController::Decide(const SubmissionState& submission) {
+  const Micros now = submission.now;
+  const Micros arrived_at = submission.arrived_at;
+  const Micros client_time = submission.deadline > arrived_at ? submission.deadline - arrived_at : 0;
+  const Micros waited = now > arrived_at ? now - arrived_at : 0;
+  const auto allowed_share = static_cast<Micros>(options_.max_wait_share * static_cast<double>(client_time));
+  const Micros allowed_wait = std::min(options_.max_wait, allowed_share);
+  const auto jobs_ahead = static_cast<double>(submission.queued_ahead + submission.unanswered_jobs);
+  const auto expected_wait = static_cast<Micros>(saturated() ? jobs_ahead * cost_per_job_ : 0.0);
+
+  if (now >= submission.deadline) return {AdmissionResult::kDeadlinePassed, 0};
+  if (waited + expected_wait >= client_time) {
+    return Reject(submission, AdmissionResult::kDeadlineUnreachable, expected_wait);
+  }
+  if (submission.queued_ahead >= options_.max_queue_length) {
+    return Reject(submission, AdmissionResult::kQueueFull, expected_wait);
+  }
+  if (storage_backlog_age_ > allowed_wait) {
+    return Reject(submission, AdmissionResult::kStorageBacklog, storage_backlog_age_);
+  }
+  if (waited + expected_wait > allowed_wait) {
+    return Reject(submission, AdmissionResult::kOverloaded, waited + expected_wait - allowed_wait);
+  }
   return {};
 }
 
-Verdict Door::Refuse(const Asked& asked, const char* reason, Micros drained_in) {
-  Verdict verdict{false, 0, reason};
-  next_place_ = std::max(next_place_, asked.now + std::max(drained_in, kLeastTold));
-  // Beyond the longest wait all are told the same: the schedule does not grow without end.
-  next_place_ = std::min(next_place_ + static_cast<Micros>(cost_), asked.now + options_.most_told);
-  if (next_place_ < asked.give_up) verdict.wait = next_place_ - asked.now;
-  return verdict;
+AdmissionDecision AdmissionController::Reject(const SubmissionState& submission, AdmissionResult result,
+                                              Micros drained_in) {
+  const Micros now = submission.now;
+  next_retry_at_ = std::max(next_retry_at_, now + std::max(drained_in, kMinRetryAfter));
+  next_retry_at_ += static_cast<Micros>(cost_per_job_);
+  // Beyond the longest Retry-After all clients are told the same time: the schedule does not grow without
+  // bound.
+  next_retry_at_ = std::min(next_retry_at_, now + options_.max_retry_after);
+  AdmissionDecision decision{result, 0};
+  if (next_retry_at_ < submission.deadline) decision.retry_after = next_retry_at_ - now;
+  return decision;
 }
 
 }  // namespace mountflow::admission
--- a/src/admission/admission.hpp
+++ b/src/admission/admission.hpp
@@ -1,80 +1,103 @@
-// Who may come in when there is more than can be done: decisions on new submissions
-// before the core, free of I/O, clock and threads. Equal events, equal verdicts.
+// Admission control for new submissions: sheds load that would not be answered in time.
 //
-// A submission waits at the door from the arrival of its bytes until the daemon has
-// done what comes first in a turn: answers, ends, commits, drains. It is refused at once
-// when its owner's time is over or could not be kept any more, when it waited or would
-// wait longer than `share` of that time (`most_wait` at the most), when `most_line` stand
-// in line, and while the disk has owed a confirmation for that long.
+// Pure decisions, free of I/O, clocks and threads: equal events give equal decisions.
 //
-// How long it would wait: the jobs ahead of it times what a job costs this daemon. The
-// cost is the time that the loop worked by the answers that came of it (utilization law);
-// it counts only while the loop works without a pause, so that jobs which wait for slow
-// nodes keep nobody out. Who is refused is told when to ask again: each the next place in
-// a schedule of one job a cost, so that those who come back do not come together.
+// A submission waits in the admission queue from the arrival of its bytes until the daemon has finished the
+// more urgent work of an event loop iteration (answers, task ends, commits, draining). It is rejected at once
+// when
+//   - its client's deadline has passed or could not be met any more,
+//   - it has waited, or would wait, longer than `max_wait_share` of the client's time, or than `max_wait`,
+//   - `max_queue_length` submissions are queued, or
+//   - the oldest unconfirmed write to storage is older than that wait.
+//
+// The expected wait is the number of jobs ahead times the cost of a job: the time the event loop worked,
+// divided by the answers it produced (utilisation law). It counts only while the loop works without idling,
+// so jobs that wait for slow nodes reject nobody. Each rejected client is told a different time to retry, one
+// job cost apart, so that they do not come back together.
 #ifndef MOUNTFLOW_ADMISSION_ADMISSION_HPP_
 #define MOUNTFLOW_ADMISSION_ADMISSION_HPP_
 
 #include <cstddef>
-#include <string>
+#include <string_view>
 
 #include "mountflow/scheduler.hpp"
 
 namespace mountflow::admission {
 
-struct DoorOptions {
-  double share = 0.25;             // of the owner's time, that may pass at the door
-  Micros most_wait = 500'000;      // and never longer than this
-  std::size_t most_line = 16'384;  // submissions in line; beyond: refused
-  Micros slice = 2'000;            // of one turn, for letting in
-  Micros first_cost = 200;         // of a job, until answers tell
-  Micros most_told = 30'000'000;   // the longest wait that is told
+struct AdmissionOptions {
+  double max_wait_share = 0.25;           // of the client's time that a submission may spend in the queue
+  Micros max_wait = 500'000;              // upper bound of that wait
+  std::size_t max_queue_length = 16'384;  // submissions; more are rejected
+  Micros iteration_budget = 2'000;        // of one event loop iteration, for admitting submissions
+  Micros initial_cost_per_job = 200;      // until measured
+  Micros max_retry_after = 30'000'000;    // the longest Retry-After a client is told
 };
 
-struct Asked {
+// A submission and the load it meets.
+struct SubmissionState {
   Micros now = 0;
-  Micros arrived = 0;          // of its bytes
-  Micros give_up = 0;          // when its owner's time is over
-  std::size_t in_line = 0;     // ahead of it at the door
-  std::size_t unanswered = 0;  // in the core
+  Micros arrived_at = 0;            // of its bytes
+  Micros deadline = 0;              // the client waits no longer
+  std::size_t queued_ahead = 0;     // submissions ahead of it in the admission queue
+  std::size_t unanswered_jobs = 0;  // admitted, without a final answer
+};
+
+enum class AdmissionResult {
+  kAdmitted,
+  kDeadlinePassed,       // before the request was read
+  kDeadlineUnreachable,  // the expected wait ends after the deadline
+  kQueueFull,
+  kStorageBacklog,  // storage has not confirmed a write for too long
+  kOverloaded,      // the wait would be too long
 };
 
-struct Verdict {
-  bool admit = true;
-  Micros wait = 0;     // a refused one may ask again after this; 0: not within its time
-  std::string reason;  // of a refusal
+// The text that clients are told; empty for kAdmitted.
+[[nodiscard]] std::string_view Describe(AdmissionResult result);
+
+struct AdmissionDecision {
+  AdmissionResult result = AdmissionResult::kAdmitted;
+  Micros retry_after = 0;  // of a rejection; 0: a retry before the deadline is useless
+
+  [[nodiscard]] bool admitted() const { return result == AdmissionResult::kAdmitted; }
 };
 
-class Door {
+// Not thread-safe: used by the event loop's thread alone.
+class AdmissionController {
  public:
-  explicit Door(DoorOptions options);
+  explicit AdmissionController(const AdmissionOptions& options);
 
-  // The loop worked from `began` to `ended`, and had nothing to do before since the last turn's end.
-  void Turn(Micros began, Micros ended);
-  void Answered() { ++answers_; }
-  // How long the oldest that waits for the disk has waited; 0: nothing waits.
-  void DiskOwes(Micros since) { disk_owes_ = since; }
+  // The event loop worked from `began_at` to `ended_at`, and was idle between the previous iteration and
+  // `began_at`.
+  void RecordLoopIteration(Micros began_at, Micros ended_at);
+  // A job got its final answer.
+  void RecordAnswer() { ++answers_in_window_; }
+  // The age of the oldest write that storage has not confirmed; 0: there is none.
+  void SetStorageBacklogAge(Micros age) { storage_backlog_age_ = age; }
 
-  // At its arrival, and again when its turn has come (with nobody in line ahead of it).
-  Verdict Ask(const Asked& asked);
-  // So many of the line may come in this turn.
-  std::size_t Batch() const;
+  // Called when a submission arrives, and again (with `queued_ahead` 0) when it reaches the head of the
+  // queue. A rejection takes a place in the retry schedule.
+  [[nodiscard]] AdmissionDecision Decide(const SubmissionState& submission);
+  // How many queued submissions may be admitted in one event loop iteration; at least 1.
+  [[nodiscard]] std::size_t MaxAdmissionsPerIteration() const;
 
-  double cost() const { return cost_; }  // of a job, microseconds of the loop
-  double busy() const { return busy_; }  // share of the time that the loop works, over some 100 ms
-  bool saturated() const;
+  [[nodiscard]] double cost_per_job() const { return cost_per_job_; }  // microseconds of the event loop
+  [[nodiscard]] double busy_share() const { return busy_share_; }      // moving average over some 100 ms
+  [[nodiscard]] bool saturated() const;
 
  private:
-  Verdict Refuse(const Asked& asked, const char* reason, Micros drained_in);
-
-  DoorOptions options_;
-  double cost_, busy_ = 0.0;
-  Micros ended_ = 0;         // of the last turn
-  Micros window_began_ = 0;  // of the window that the cost is measured in
-  Micros worked_ = 0;        // in it
-  std::size_t answers_ = 0;  // in it
-  Micros next_place_ = 0;    // in the schedule of those who are told to come back
-  Micros disk_owes_ = 0;
+  void UpdateBusyShare(Micros period, Micros worked);
+  void UpdateCostPerJob();
+  AdmissionDecision Reject(const SubmissionState& submission, AdmissionResult result, Micros drained_in);
+
+  AdmissionOptions options_;
+  double cost_per_job_;
+  double busy_share_ = 0.0;
+  Micros last_iteration_ended_at_ = 0;  // 0: none yet
+  Micros window_began_at_ = 0;          // of the current measurement of the cost
+  Micros worked_in_window_ = 0;
+  std::size_t answers_in_window_ = 0;
+  Micros next_retry_at_ = 0;  // the latest time a rejected client was told to retry
+  Micros storage_backlog_age_ = 0;
 };
 
 }  // namespace mountflow::admission
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -263,11 +263,11 @@
   }
   if (root.contains("door")) {
     const json& d = root["door"];
-    c.door.share = d.value("share", c.door.share);
-    c.door.most_wait = Time(d, "most_wait_s", c.door.most_wait);
-    c.door.most_line = d.value("most_line", c.door.most_line);
-    c.door.slice = Time(d, "slice_s", c.door.slice);
-    c.door.most_told = Time(d, "most_told_s", c.door.most_told);
+    c.door.max_wait_share = d.value("share", c.door.max_wait_share);
+    c.door.max_wait = Time(d, "most_wait_s", c.door.max_wait);
+    c.door.max_queue_length = d.value("most_line", c.door.max_queue_length);
+    c.door.iteration_budget = Time(d, "slice_s", c.door.iteration_budget);
+    c.door.max_retry_after = Time(d, "most_told_s", c.door.max_retry_after);
   }
   if (root.contains("repeats")) {
     const json& r = root["repeats"];
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -22,7 +22,7 @@
 struct DaemonConfig {
   job_manager::JobManagerOptions core;
   pbs_server::FrontOptions front;
-  admission::DoorOptions door;
+  admission::AdmissionOptions door;
   node_sessions::LinkOptions links;
   std::string batch_address = "127.0.0.1:15001";
   std::string http_address = "127.0.0.1:15080";  // empty: no HTTP
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -492,7 +492,7 @@
     WriteLine(*log_, job_manager::Level::kWarn, {{"event", "storage"}, {"text", text}});
   }
   core_.RefuseNew(gate_.Refusal());
-  door_.DiskOwes(held_.empty() ? 0 : loop_->Now() - held_.begin()->second.since);
+  door_.SetStorageBacklogAge(held_.empty() ? 0 : loop_->Now() - held_.begin()->second.since);
 }
 
 bool Daemon::Start(std::string* error) {
@@ -570,7 +570,7 @@
   const Micros now = loop_->Now();
   if (const auto* entry = std::get_if<job_manager::LogEntry>(&output)) return Log(*entry);
   if (const auto* answered = std::get_if<job_manager::Answered>(&output)) {
-    door_.Answered();
+    door_.RecordAnswer();
     return front_.On(now, *answered);
   }
   if (const auto* used = std::get_if<job_manager::Used>(&output)) return PostUse(*used);
@@ -717,7 +717,7 @@
   if (stopping_) next = std::min(next, stop_at_);
   if (front_.at_door() > 0) next = loop_->Now();
   loop_->SetMainTimer(next, nullptr);
-  door_.Turn(loop_->TurnBegan(), loop_->Now());
+  door_.RecordLoopIteration(loop_->TurnBegan(), loop_->Now());
 }
 
 bool Daemon::Owes() const {
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -89,7 +89,7 @@
   config::DaemonConfig config_;
   std::shared_ptr<spdlog::logger> log_;
   job_manager::JobManager core_;
-  admission::Door door_;
+  admission::AdmissionController door_;
   pbs_server::Front front_;
   HttpFront http_;
   node_sessions::NodeLinks links_;
--- a/src/daemon/http_front.cpp
+++ b/src/daemon/http_front.cpp
@@ -198,17 +198,17 @@
   const pbs_server::Problem problem = pbs_server::Read(list, queue, options_->words, false, &spec);
   if (problem.code != pbs_protocol::Code::kNone) return Problem(r, 400, problem.text);
   if (door_ != nullptr) {
-    admission::Asked asked;
+    admission::SubmissionState asked;
     asked.now = now;
-    asked.arrived = arrived;
-    asked.give_up =
+    asked.arrived_at = arrived;
+    asked.deadline =
         arrived + (spec.owner_time != 0 ? spec.owner_time : core_->options().hard_limits[spec.task_class]);
-    if (spec.owner_deadline != 0) asked.give_up = std::min(asked.give_up, spec.owner_deadline);
-    asked.unanswered = core_->Count().queued;
-    const admission::Verdict verdict = door_->Ask(asked);
-    if (!verdict.admit) {
+    if (spec.owner_deadline != 0) asked.deadline = std::min(asked.deadline, spec.owner_deadline);
+    asked.unanswered_jobs = core_->Count().queued;
+    const admission::AdmissionDecision verdict = door_->Decide(asked);
+    if (!verdict.admitted()) {
       said_nothing_kept_ = true;
-      return Problem(r, 503, verdict.reason, verdict.wait);
+      return Problem(r, 503, std::string(admission::Describe(verdict.result)), verdict.retry_after);
     }
   }
   const job_manager::Submitted done = core_->Submit(now, core_->NewJobNumber(), std::move(spec));
--- a/src/daemon/http_front.hpp
+++ b/src/daemon/http_front.hpp
@@ -27,7 +27,7 @@
       : core_(core), options_(options), list_(list) {}
   // The last reply refused a submission at the door: it tells of nothing that the core keeps.
   bool said_nothing_kept() const { return said_nothing_kept_; }
-  void SetDoor(admission::Door* door) { door_ = door; }
+  void SetDoor(admission::AdmissionController* door) { door_ = door; }
   void SetBook(const ledger::Book* book) { book_ = book; }
   // The whole reply as bytes.
   // `arrived`: when its bytes did, at the earliest.
@@ -42,7 +42,7 @@
   const pbs_server::FrontOptions* options_;
   const discovery::RegistryClient* list_;
   const ledger::Book* book_ = nullptr;
-  admission::Door* door_ = nullptr;
+  admission::AdmissionController* door_ = nullptr;
   bool said_nothing_kept_ = false;
 };
 
--- a/src/pbs_server/pbs_server.cpp
+++ b/src/pbs_server/pbs_server.cpp
@@ -129,11 +129,11 @@
   }
 
   // Its turn at the door has come.
-  void Enter(Micros now, const admission::Verdict& verdict) {
+  void Enter(Micros now, const admission::AdmissionDecision& verdict) {
     pbs_protocol::Request request = std::move(*asked_);
     asked_.reset();
     at_door = false;
-    if (verdict.admit) {
+    if (verdict.admitted()) {
       Queue(&request, UserOf(request.user));
     } else {
       Turned(verdict);
@@ -270,17 +270,17 @@
   }
 
   void Arrive(Micros now, pbs_protocol::Request* r) {
-    admission::Asked asked;
+    admission::SubmissionState asked;
     asked.now = now;
-    asked.arrived = marks_.empty() ? now : marks_.front().second;
-    asked.give_up = GiveUp(*r, asked.arrived);
-    asked.in_line = front_->line_.size();
-    asked.unanswered = core().Count().queued;
-    const admission::Verdict verdict = front_->door_->Ask(asked);
-    if (!verdict.admit) return Turned(verdict);
+    asked.arrived_at = marks_.empty() ? now : marks_.front().second;
+    asked.deadline = GiveUp(*r, asked.arrived_at);
+    asked.queued_ahead = front_->line_.size();
+    asked.unanswered_jobs = core().Count().queued;
+    const admission::AdmissionDecision verdict = front_->door_->Decide(asked);
+    if (!verdict.admitted()) return Turned(verdict);
     at_door = true;
     asked_ = std::make_unique<pbs_protocol::Request>(std::move(*r));
-    front_->line_.push_back({id_, ++visits, asked.arrived, asked.give_up});
+    front_->line_.push_back({id_, ++visits, asked.arrived_at, asked.deadline});
   }
 
   // The end of the owner's time as far as the request tells it; what is wrong in it is told later.
@@ -299,10 +299,11 @@
     return give_up;
   }
 
-  void Turned(const admission::Verdict& verdict) {
-    pbs_protocol::Reply no = Text(CodeOf(job_manager::Verdict::kFull), verdict.reason);
-    if (verdict.wait != 0) {
-      no.auxiliary = static_cast<std::int64_t>((verdict.wait + 999) / 1000);
+  void Turned(const admission::AdmissionDecision& verdict) {
+    pbs_protocol::Reply no =
+        Text(CodeOf(job_manager::Verdict::kFull), std::string(admission::Describe(verdict.result)));
+    if (verdict.retry_after != 0) {
+      no.auxiliary = static_cast<std::int64_t>((verdict.retry_after + 999) / 1000);
       no.text += "; ask again in " + std::to_string(no.auxiliary) + " ms";
     }
     Send(no, true);
@@ -593,15 +594,16 @@
   if (door_ == nullptr) return false;
   bool did = false;
   std::size_t entered = 0;
-  const std::size_t most = door_->Batch();
+  const std::size_t most = door_->MaxAdmissionsPerIteration();
   while (!line_.empty() && entered < most) {
     const AtDoor one = line_.front();
     line_.pop_front();
     const auto it = sessions_.find(one.session);
     if (it == sessions_.end() || !it->second->at_door || it->second->visits != one.number) continue;
     did = true;
-    const admission::Verdict verdict = door_->Ask({now, one.arrived, one.give_up, 0, core_->Count().queued});
-    entered += verdict.admit;
+    const admission::AdmissionDecision verdict =
+        door_->Decide({now, one.arrived, one.give_up, 0, core_->Count().queued});
+    entered += verdict.admitted();
     it->second->Enter(now, verdict);
   }
   return did;
--- a/src/pbs_server/pbs_server.hpp
+++ b/src/pbs_server/pbs_server.hpp
@@ -85,7 +85,7 @@
   bool SaysNothingKept(Id session) const;
   // Goes on with input that was kept back, once output was written. True when something was done.
   bool Resume(Micros now, Id session);
-  void SetDoor(admission::Door* door) { door_ = door; }
+  void SetDoor(admission::AdmissionController* door) { door_ = door; }
   // Lets in, or refuses, those at the door that may be dealt with in this turn. True when there were any.
   bool Admit(Micros now);
   std::size_t at_door() const { return line_.size(); }
@@ -112,7 +112,7 @@
   std::multimap<std::uint64_t, Id> waiting_;   // job -> session
   std::set<std::pair<Micros, Id>> deadlines_;  // of waits
   std::vector<Id> touched_;                    // some more than once, some closed since
-  admission::Door* door_ = nullptr;
+  admission::AdmissionController* door_ = nullptr;
   std::deque<AtDoor> line_;  // bounded by the door; entries of closed sessions are passed over
   Complaints complaints_;
 };
--- a/tests/admission/admission_test.cpp
+++ b/tests/admission/admission_test.cpp
@@ -1,4 +1,5 @@
-// The door: who is refused, when, and what it is told. No sockets, time by hand.
+// Admission control: which submissions are rejected, when, and what Retry-After they get. No sockets; the
+// test sets the time.
 #include "admission/admission.hpp"
 
 #include <gtest/gtest.h>
@@ -7,151 +8,165 @@
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
-constexpr Micros kOwner = 8 * kSecond;
+constexpr Micros kClientTime = 8 * kSecond;
+constexpr Micros kIteration = 10'000;
 
-// Turns of 10 ms: `worked` of each, `answers` in each.
-void Turns(Door* door, Micros* now, int count, Micros worked, int answers) {
+// Event loop iterations of 10 ms: `worked` of each, `answers` in each.
+void RunIterations(AdmissionController* controller, Micros* now, int count, Micros worked, int answers) {
   for (int i = 0; i < count; ++i) {
-    for (int a = 0; a < answers; ++a) door->Answered();
-    door->Turn(*now + 10'000 - worked, *now + 10'000);
-    *now += 10'000;
+    for (int answer = 0; answer < answers; ++answer) controller->RecordAnswer();
+    controller->RecordLoopIteration(*now + kIteration - worked, *now + kIteration);
+    *now += kIteration;
   }
 }
 
-Asked Fresh(Micros now, std::size_t in_line = 0, std::size_t unanswered = 0) {
-  return {now, now, now + kOwner, in_line, unanswered};
+SubmissionState ArrivingAt(Micros now, std::size_t queued_ahead = 0, std::size_t unanswered_jobs = 0) {
+  return {now, now, now + kClientTime, queued_ahead, unanswered_jobs};
 }
 
-TEST(Door, TheCostOfAJobIsTheTimeWorkedByTheAnswers) {
-  Door door({});
+TEST(AdmissionController, MeasuresCostOfJobAsTimeWorkedPerAnswer) {
+  AdmissionController controller({});
   Micros now = 100 * kSecond;
-  Turns(&door, &now, 200, 5'000, 50);
-  EXPECT_NEAR(door.cost(), 100.0, 1.0);
-  EXPECT_NEAR(door.busy(), 0.5, 0.01);
-  EXPECT_EQ(door.Batch(), 20u);
+  RunIterations(&controller, &now, 200, 5'000, 50);
+  EXPECT_NEAR(controller.cost_per_job(), 100.0, 1.0);
+  EXPECT_NEAR(controller.busy_share(), 0.5, 0.01);
+  EXPECT_EQ(controller.MaxAdmissionsPerIteration(), 20u);
 }
 
-TEST(Door, ADaemonThatPausesKeepsNobodyOutHoweverManyWaitForSlowNodes) {
-  Door door({});
+TEST(AdmissionController, AdmitsWhileLoopIdlesHoweverManyJobsWaitForSlowNodes) {
+  AdmissionController controller({});
   Micros now = 100 * kSecond;
-  Turns(&door, &now, 200, 8'000, 40);
-  EXPECT_TRUE(door.Ask(Fresh(now, 100, 50'000)).admit);
+  RunIterations(&controller, &now, 200, 8'000, 40);
+  EXPECT_TRUE(controller.Decide(ArrivingAt(now, 100, 50'000)).admitted());
 }
 
-TEST(Door, AtFullWorkWhoWouldWaitTooLongIsRefusedAndTheOthersAreNot) {
-  Door door({});
+TEST(AdmissionController, RejectsOnlySubmissionsThatWouldWaitTooLongWhenSaturated) {
+  AdmissionController controller({});
   Micros now = 100 * kSecond;
-  Turns(&door, &now, 200, 10'000, 50);  // 200 us a job
-  ASSERT_TRUE(door.saturated());
-  EXPECT_TRUE(door.Ask(Fresh(now, 100, 2'000)).admit) << "0.42 s of work";
-  const Verdict no = door.Ask(Fresh(now, 1'000, 2'000));  // 0.6 s
-  EXPECT_FALSE(no.admit);
-  EXPECT_EQ(no.reason, "more work than this daemon gets done");
-  EXPECT_GE(no.wait, 100'000u);
-  EXPECT_LT(no.wait, kSecond);
+  RunIterations(&controller, &now, 200, 10'000, 50);  // 200 us a job
+  ASSERT_TRUE(controller.saturated());
+  EXPECT_TRUE(controller.Decide(ArrivingAt(now, 100, 2'000)).admitted()) << "0.42 s of work";
+  const AdmissionDecision rejected = controller.Decide(ArrivingAt(now, 1'000, 2'000));  // 0.6 s
+  EXPECT_FALSE(rejected.admitted());
+  EXPECT_EQ(Describe(rejected.result), "more work than this daemon gets done");
+  EXPECT_GE(rejected.retry_after, 100'000u);
+  EXPECT_LT(rejected.retry_after, kSecond);
 }
 
-TEST(Door, AShortOwnersTimeBoundsTheWaitMoreThanTheMost) {
-  Door door({});
+TEST(AdmissionController, BoundsWaitByShareOfShortClientTime) {
+  AdmissionController controller({});
   Micros now = 100 * kSecond;
-  Turns(&door, &now, 200, 10'000, 50);
-  Asked a = Fresh(now, 1'000, 0);  // 0.2 s
-  EXPECT_TRUE(door.Ask(a).admit);
-  a.give_up = now + 400'000;  // a quarter of it is 0.1 s
-  EXPECT_FALSE(door.Ask(a).admit);
+  RunIterations(&controller, &now, 200, 10'000, 50);
+  SubmissionState submission = ArrivingAt(now, 1'000, 0);  // 0.2 s
+  EXPECT_TRUE(controller.Decide(submission).admitted());
+  submission.deadline = now + 400'000;  // a quarter of it is 0.1 s
+  EXPECT_FALSE(controller.Decide(submission).admitted());
 }
 
-TEST(Door, WhatWaitedTooLongIsRefusedWhateverTheLoad) {
-  Door door({});
+TEST(AdmissionController, RejectsSubmissionThatWaitedTooLongWhateverTheLoad) {
+  AdmissionController controller({});
   const Micros now = 100 * kSecond;
-  Asked a{now, now - 600'000, now + kOwner, 0, 0};
-  EXPECT_FALSE(door.Ask(a).admit);
-  a.arrived = now - 400'000;
-  EXPECT_TRUE(door.Ask(a).admit);
+  SubmissionState submission{now, now - 600'000, now + kClientTime, 0, 0};
+  EXPECT_FALSE(controller.Decide(submission).admitted());
+  submission.arrived_at = now - 400'000;
+  EXPECT_TRUE(controller.Decide(submission).admitted());
 }
 
-TEST(Door, AnOwnerWhoseTimeIsOverIsToldSoAndNotToAskAgain) {
-  Door door({});
+TEST(AdmissionController, RejectsPassedDeadlineWithoutRetryAfter) {
+  AdmissionController controller({});
   const Micros now = 100 * kSecond;
-  const Verdict late = door.Ask({now, now - kSecond, now, 0, 0});
-  EXPECT_FALSE(late.admit);
-  EXPECT_EQ(late.wait, 0u);
+  const AdmissionDecision late = controller.Decide({now, now - kSecond, now, 0, 0});
+  EXPECT_FALSE(late.admitted());
+  EXPECT_EQ(late.retry_after, 0u);
 }
 
-TEST(Door, TheRefusedAreToldTimesApartByTheCostOfAJobAndNoneBeyondItsOwnersTime) {
-  Door door({});
+TEST(AdmissionController, SpacesRetryAfterByCostOfJobAndKeepsItWithinDeadline) {
+  AdmissionController controller({});
   Micros now = 100 * kSecond;
-  Turns(&door, &now, 200, 10'000, 50);
+  RunIterations(&controller, &now, 200, 10'000, 50);
   Micros last = 0;
   for (int i = 0; i < 1'000; ++i) {
-    const Verdict no = door.Ask(Fresh(now, 5'000, 0));
-    ASSERT_FALSE(no.admit);
-    EXPECT_GT(no.wait, last);
+    const AdmissionDecision rejected = controller.Decide(ArrivingAt(now, 5'000, 0));
+    ASSERT_FALSE(rejected.admitted());
+    EXPECT_GT(rejected.retry_after, last);
     if (i > 0) {
-      EXPECT_NEAR(static_cast<double>(no.wait - last), 200.0, 3.0);
+      EXPECT_NEAR(static_cast<double>(rejected.retry_after - last), 200.0, 3.0);
     }
-    last = no.wait;
+    last = rejected.retry_after;
   }
   for (int i = 0; i < 100'000; ++i) {
-    const Verdict no = door.Ask(Fresh(now, 5'000, 0));
-    ASSERT_LT(no.wait, kOwner);
+    const AdmissionDecision rejected = controller.Decide(ArrivingAt(now, 5'000, 0));
+    ASSERT_LT(rejected.retry_after, kClientTime);
   }
-  // What was told before is past once its time has come.
+  // Times that clients were told expire when they have passed.
   now += 40 * kSecond;
-  Turns(&door, &now, 200, 10'000, 50);
-  EXPECT_LT(door.Ask(Fresh(now, 5'000, 0)).wait, 2 * kSecond);
+  RunIterations(&controller, &now, 200, 10'000, 50);
+  EXPECT_LT(controller.Decide(ArrivingAt(now, 5'000, 0)).retry_after, 2 * kSecond);
 }
 
-TEST(Door, TheLineIsBoundedInNumber) {
-  DoorOptions options;
-  options.most_line = 10;
-  Door door(options);
-  EXPECT_TRUE(door.Ask(Fresh(100 * kSecond, 9)).admit);
-  EXPECT_FALSE(door.Ask(Fresh(100 * kSecond, 10)).admit);
+TEST(AdmissionController, BoundsNumberOfQueuedSubmissions) {
+  AdmissionOptions options;
+  options.max_queue_length = 10;
+  AdmissionController controller(options);
+  EXPECT_TRUE(controller.Decide(ArrivingAt(100 * kSecond, 9)).admitted());
+  EXPECT_FALSE(controller.Decide(ArrivingAt(100 * kSecond, 10)).admitted());
 }
 
-TEST(Door, ADiskThatOwesForLongClosesItAndOneThatConfirmsOpensItAgain) {
-  Door door({});
+TEST(AdmissionController, RejectsWhileStorageBacklogIsOldAndAdmitsOnceItIsConfirmed) {
+  AdmissionController controller({});
   const Micros now = 100 * kSecond;
-  door.DiskOwes(400'000);
-  EXPECT_TRUE(door.Ask(Fresh(now)).admit);
-  door.DiskOwes(800'000);
-  EXPECT_EQ(door.Ask(Fresh(now)).reason, "the disk does not keep up");
-  door.DiskOwes(0);
-  EXPECT_TRUE(door.Ask(Fresh(now)).admit);
+  controller.SetStorageBacklogAge(400'000);
+  EXPECT_TRUE(controller.Decide(ArrivingAt(now)).admitted());
+  controller.SetStorageBacklogAge(800'000);
+  EXPECT_EQ(Describe(controller.Decide(ArrivingAt(now)).result), "the disk does not keep up");
+  controller.SetStorageBacklogAge(0);
+  EXPECT_TRUE(controller.Decide(ArrivingAt(now)).admitted());
 }
 
-TEST(Door, AStallIsNotTakenForTheCostOfAJob) {
-  Door door({});
+TEST(AdmissionController, DoesNotTakeStallForCostOfJob) {
+  AdmissionController controller({});
   Micros now = 100 * kSecond;
-  Turns(&door, &now, 200, 5'000, 50);
-  const double before = door.cost();
-  door.Turn(now, now + 3 * kSecond);
-  EXPECT_LE(door.cost(), before * 1.31);
+  RunIterations(&controller, &now, 200, 5'000, 50);
+  const double before = controller.cost_per_job();
+  controller.RecordLoopIteration(now, now + 3 * kSecond);
+  EXPECT_LE(controller.cost_per_job(), before * 1.31);
 }
 
-TEST(Door, ItOpensWithinATenthOfASecondAfterTheLoadFalls) {
-  Door door({});
+TEST(AdmissionController, AdmitsAgainWithinFifthOfSecondAfterLoadFalls) {
+  AdmissionController controller({});
   Micros now = 100 * kSecond;
-  Turns(&door, &now, 500, 10'000, 50);
-  ASSERT_FALSE(door.Ask(Fresh(now, 5'000, 0)).admit);
-  Turns(&door, &now, 20, 3'000, 15);
-  EXPECT_TRUE(door.Ask(Fresh(now, 5'000, 0)).admit);
+  RunIterations(&controller, &now, 500, 10'000, 50);
+  ASSERT_FALSE(controller.Decide(ArrivingAt(now, 5'000, 0)).admitted());
+  RunIterations(&controller, &now, 20, 3'000, 15);
+  EXPECT_TRUE(controller.Decide(ArrivingAt(now, 5'000, 0)).admitted());
 }
 
-TEST(Door, EqualEventsGiveEqualVerdicts) {
-  Door a({}), b({});
-  Micros now = 100 * kSecond, other = now;
+TEST(AdmissionController, GivesEqualDecisionsForEqualEvents) {
+  AdmissionController first({});
+  AdmissionController second({});
+  Micros first_now = 100 * kSecond;
+  Micros second_now = first_now;
   for (int i = 0; i < 300; ++i) {
-    Turns(&a, &now, 3, 10'000, 40 + i % 20);
-    Turns(&b, &other, 3, 10'000, 40 + i % 20);
-    const Asked asked = Fresh(now, static_cast<std::size_t>(i) * 20, 100);
-    const Verdict x = a.Ask(asked), y = b.Ask(asked);
-    ASSERT_EQ(x.admit, y.admit);
-    ASSERT_EQ(x.wait, y.wait);
-    ASSERT_EQ(x.reason, y.reason);
+    RunIterations(&first, &first_now, 3, 10'000, 40 + i % 20);
+    RunIterations(&second, &second_now, 3, 10'000, 40 + i % 20);
+    const SubmissionState submission = ArrivingAt(first_now, static_cast<std::size_t>(i) * 20, 100);
+    const AdmissionDecision first_decision = first.Decide(submission);
+    const AdmissionDecision second_decision = second.Decide(submission);
+    ASSERT_EQ(first_decision.admitted(), second_decision.admitted());
+    ASSERT_EQ(first_decision.retry_after, second_decision.retry_after);
+    ASSERT_EQ(first_decision.result, second_decision.result);
   }
 }
 
+TEST(AdmissionResult, DescribesEachRejectionToClient) {
+  EXPECT_EQ(Describe(AdmissionResult::kAdmitted), "");
+  EXPECT_EQ(Describe(AdmissionResult::kDeadlinePassed),
+            "the owner's time was over before the request was read");
+  EXPECT_EQ(Describe(AdmissionResult::kDeadlineUnreachable), "no answer could come within the owner's time");
+  EXPECT_EQ(Describe(AdmissionResult::kQueueFull), "as many submissions wait as may");
+  EXPECT_EQ(Describe(AdmissionResult::kStorageBacklog), "the disk does not keep up");
+  EXPECT_EQ(Describe(AdmissionResult::kOverloaded), "more work than this daemon gets done");
+}
+
 }  // namespace
 }  // namespace mountflow::admission
--- a/tests/pbs_server/pbs_server_test.cpp
+++ b/tests/pbs_server/pbs_server_test.cpp
@@ -347,7 +347,7 @@
 
 class DoorTest : public FrontTest {
  protected:
-  admission::Door door{admission::DoorOptions{}};
+  admission::AdmissionController door{admission::AdmissionOptions{}};
   void SetUp() override {
     FrontTest::SetUp();
     front->SetDoor(&door);
@@ -356,8 +356,8 @@
   void Saturate() {
     Micros at = rig.now;
     for (int i = 0; i < 400; ++i) {
-      for (int a = 0; a < 2; ++a) door.Answered();
-      door.Turn(at, at + 10'000);
+      for (int a = 0; a < 2; ++a) door.RecordAnswer();
+      door.RecordLoopIteration(at, at + 10'000);
       at += 10'000;
     }
     rig.now = at;
