--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -271,13 +271,13 @@
   }
   if (root.contains("repeats")) {
     const json& r = root["repeats"];
-    c.core.repeats.most = r.value("most", c.core.repeats.most);
-    c.core.repeats.first_wait = Time(r, "first_wait_s", c.core.repeats.first_wait);
-    c.core.repeats.most_wait = Time(r, "most_wait_s", c.core.repeats.most_wait);
-    c.core.repeats.lost_wait = Time(r, "lost_wait_s", c.core.repeats.lost_wait);
-    c.core.repeats.spread = r.value("spread", c.core.repeats.spread);
+    c.core.repeats.max_retries = r.value("most", c.core.repeats.max_retries);
+    c.core.repeats.initial_backoff = Time(r, "first_wait_s", c.core.repeats.initial_backoff);
+    c.core.repeats.max_backoff = Time(r, "most_wait_s", c.core.repeats.max_backoff);
+    c.core.repeats.lost_task_backoff = Time(r, "lost_wait_s", c.core.repeats.lost_task_backoff);
+    c.core.repeats.jitter = r.value("spread", c.core.repeats.jitter);
   }
-  if (c.core.settings.client_wait != 0) c.core.repeats.settle_wait = c.core.settings.client_wait;
+  if (c.core.settings.client_wait != 0) c.core.repeats.reconciliation_wait = c.core.settings.client_wait;
   if (root.contains("managers")) {
     const auto managers = Strings(root, "managers");
     c.front.managers = {managers.begin(), managers.end()};
--- a/src/job_manager/job.hpp
+++ b/src/job_manager/job.hpp
@@ -87,7 +87,7 @@
   bool adopted = false;   // found running, after a restart
   bool restored = false;  // of an earlier life of this daemon, not asked for in this one
   bool rerun = false;     // qrerun, or moved: asks anew once the running attempt has ended
-  retry::Repeats repeats;
+  retry::RetryState repeats;
   RequestId request = 0;  // the ask that the module holds; 0: none
   std::uint32_t attempts_made = 0;
   std::uint32_t generation = 0;   // of its timer
--- a/src/job_manager/job_manager.cpp
+++ b/src/job_manager/job_manager.cpp
@@ -267,7 +267,7 @@
   Job* job = of == of_request_.end() ? nullptr : Get(of->second);
   if (job == nullptr) return;
   CloseRequest(*job);
-  AskEnded(*job, retry::AskEnd::kRefused, refusal.retry_after,
+  AskEnded(*job, retry::RequestResult::kRejected, refusal.retry_after,
            job->comment.empty() ? "refused by the scheduler: no node qualifies now" : job->comment);
 }
 
@@ -276,7 +276,7 @@
   Job* job = of == of_request_.end() ? nullptr : Get(of->second);
   if (job == nullptr) return;
   CloseRequest(*job);
-  AskEnded(*job, retry::AskEnd::kFailed, 0, "no certain answer from a node in time; it may have run");
+  AskEnded(*job, retry::RequestResult::kFailed, 0, "no certain answer from a node in time; it may have run");
 }
 
 void JobManager::Do(const MigrateTask& move) {
@@ -551,32 +551,32 @@
                      [](const Attempt& a) { return a.phase != Phase::kOver; });
 }
 
-void JobManager::AskEnded(Job& job, retry::AskEnd end, Micros advised, const std::string& reason) {
+void JobManager::AskEnded(Job& job, retry::RequestResult end, Micros advised, const std::string& reason) {
   job.comment = reason;
   if (job.closing) return Closed(job);
-  retry::AskEnded ended;
-  ended.end = end;
+  retry::RequestEnded ended;
+  ended.result = end;
   ended.idempotency = options_.settings.classes[job.spec->task_class].idempotency;
   ended.rerunnable = job.spec->rerunnable;
-  ended.unsettled = Unsettled(job);
-  ended.advised = advised;
+  ended.unresolved_attempt = Unsettled(job);
+  ended.retry_after = advised;
   ended.now = now_;
-  if (end == retry::AskEnd::kLost) {  // a new placing: the owner's time begins anew
+  if (end == retry::RequestResult::kLost) {  // a new placing: the owner's time begins anew
     const Micros hard = options_.hard_limits[job.spec->task_class];
-    job.give_up =
-        now_ + (job.spec->owner_time != 0 ? job.spec->owner_time : hard) + options_.repeats.settle_wait;
-  }
-  ended.give_up = job.give_up;
-  ended.draw = Draw();
-  const retry::RepeatDecision d = job.repeats.Decide(options_.repeats, ended);
-  if (d.verdict == retry::RepeatVerdict::kFinal) {
-    const Answer answer = end == retry::AskEnd::kRefused ? Answer::kRefused : Answer::kFailed;
+    job.give_up = now_ + (job.spec->owner_time != 0 ? job.spec->owner_time : hard) +
+                  options_.repeats.reconciliation_wait;
+  }
+  ended.deadline = job.give_up;
+  ended.random_draw = Draw();
+  const retry::RetryDecision d = job.repeats.Decide(options_.repeats, ended);
+  if (d.action == retry::RetryAction::kGiveUp) {
+    const Answer answer = end == retry::RequestResult::kRejected ? Answer::kRefused : Answer::kFailed;
     std::string told = reason;
-    if (job.spec->rerunnable) told += std::string(" (") + d.why + ")";
+    if (job.spec->rerunnable) told += " (" + std::string(retry::Describe(d.reason)) + ")";
     Give(job, answer, told);
     return Close(job);
   }
-  job.settling = d.verdict == retry::RepeatVerdict::kSettle;
+  job.settling = d.action == retry::RetryAction::kRetryAfterReconciliation;
   SetState(job, JobState::kWaiting);
   ++job.generation;
   At(d.at, TimerKind::kJob, job.number, job.generation);
@@ -644,7 +644,7 @@
   FindState& state = finding_[job.number];
   state = FindState{};
   const Micros earlier = job.spec->earlier_until != 0 ? job.spec->earlier_until : now_ + hard;
-  state.horizon = std::min(earlier, now_ + hard + options_.repeats.most_wait) + kHorizonMargin;
+  state.horizon = std::min(earlier, now_ + hard + options_.repeats.max_backoff) + kHorizonMargin;
   if (job.give_up == 0) {
     job.give_up = now_ + (job.spec->owner_time != 0 ? job.spec->owner_time : hard);
     if (job.spec->owner_deadline != 0) job.give_up = std::min(job.give_up, job.spec->owner_deadline);
@@ -806,7 +806,7 @@
   const ListedNode* node = NodeOf(a->node);
   job->node = node != nullptr ? node->name : "";
   job->placed = now_;
-  job->repeats.Placed();
+  job->repeats.TaskStarted();
   job->settling = false;
   SetState(*job, JobState::kRunning);
   if (a->restored) {
@@ -884,7 +884,7 @@
   Over(job, number);
   if (!ours || job.closing) return Closed(job);
   Log(Level::kWarn, "lost", &job, number, job.node, reason);
-  AskEnded(job, retry::AskEnd::kLost, 0, reason);
+  AskEnded(job, retry::RequestResult::kLost, 0, reason);
 }
 
 void JobManager::On(const AttemptFinished& m) {
@@ -1038,7 +1038,7 @@
     node.gone_at = now_;
     ++node.generation;
     Log(Level::kWarn, "node gone", nullptr, 0, node.listed.name, "");
-    At(now_ + options_.repeats.settle_wait, TimerKind::kGone, id, node.generation);
+    At(now_ + options_.repeats.reconciliation_wait, TimerKind::kGone, id, node.generation);
   }
   const auto held = node.held;
   for (const auto& [number, attempt] : held) {
@@ -1071,7 +1071,7 @@
     if (job->request == a->of_request) CloseRequest(*job);
     if (job->deleted) continue;
     Log(Level::kWarn, "lost", job, attempt, node.listed.name, why);
-    AskEnded(*job, retry::AskEnd::kLost, 0, why);
+    AskEnded(*job, retry::RequestResult::kLost, 0, why);
   }
 }
 
--- a/src/job_manager/job_manager.hpp
+++ b/src/job_manager/job_manager.hpp
@@ -62,7 +62,7 @@
   std::vector<std::string> kinds;
   std::vector<std::string> rooms;
   std::vector<Micros> hard_limits;  // per class: how long an owner waits for a placement
-  retry::RepeatPolicy repeats;
+  retry::RetryPolicy repeats;
   Limits limits;
   Micros stop_again =
       500'000;  // pause before a node is asked again to stop an attempt, doubled up to 16 times this
@@ -215,7 +215,7 @@
   Verdict Manage(std::uint64_t number, const std::string& user, Job** job);
   void Settle(Job& job);  // from hold, time or wait to the module, as far as it may go
   void Ask(Job& job);     // hands the job to the module as a new request
-  void AskEnded(Job& job, retry::AskEnd end, Micros advised, const std::string& reason);
+  void AskEnded(Job& job, retry::RequestResult end, Micros advised, const std::string& reason);
   void Give(Job& job, Answer answer, const std::string& reason);
   void Complete(Job& job, const std::string& reason);
   void Close(Job& job);   // no further ask; completes when no attempt is left
--- a/src/retry/retry.hpp
+++ b/src/retry/retry.hpp
@@ -1,66 +1,78 @@
-// When an owner asks again: the decision on repeats of a job whose ask ended
-// without a placement, or whose placed task was lost.
+// Retry decisions: whether, and when, a job that got no running task from a launch request, or lost the one
+// it had, requests a launch again.
 //
-// Free of I/O, clock and threads; the draw comes from the caller. The scheduler
-// proper is not asked here: a repeat is a new ask to it, and each ask has its
-// own one answer.
+// Pure decisions, free of I/O, clocks and threads; the caller supplies the random draw. The scheduler is not
+// involved: a retry is a new launch request to it, and each launch request has its own final answer.
 #ifndef MOUNTFLOW_RETRY_RETRY_HPP_
 #define MOUNTFLOW_RETRY_RETRY_HPP_
 
 #include <cstdint>
+#include <string_view>
 
 #include "mountflow/scheduler.hpp"
 
 namespace mountflow::retry {
 
-struct RepeatPolicy {
-  unsigned most = 8;               // repeats without a placement between; 0: never
-  Micros first_wait = 1'000'000;   // after a refusal or failure, doubled each time in a row
-  Micros most_wait = 30'000'000;   // up to this
-  Micros lost_wait = 200'000;      // after a placed task was lost: the node, not the fleet, was the trouble
-  double spread = 0.25;            // each wait is stretched by up to this share, drawn
-  Micros settle_wait = 3'000'000;  // where an attempt may have run and a second start could do harm
+struct RetryPolicy {
+  unsigned max_retries = 8;            // in a row, without a task started in between; 0: never
+  Micros initial_backoff = 1'000'000;  // after a rejection or failure, doubled with each retry in a row
+  Micros max_backoff = 30'000'000;     // upper bound of the doubling
+  Micros lost_task_backoff =
+      200'000;           // after a running task was lost: one node had the fault, not the cluster
+  double jitter = 0.25;  // each wait is stretched by up to this share of itself, at random
+  Micros reconciliation_wait =
+      3'000'000;  // the least wait where an attempt may have run and a second run could do harm
 };
 
-enum class AskEnd {
-  kRefused,  // asking again is harmless
-  kFailed,   // an attempt may have run
-  kLost      // it was placed and then evicted, sent away, moved, or lost with its node
+enum class RequestResult {
+  kRejected,  // nothing ran; a retry is harmless
+  kFailed,    // an attempt may have run
+  kLost       // the task ran and was then evicted, terminated, migrated, or lost with its node
 };
 
-struct AskEnded {
-  AskEnd end = AskEnd::kRefused;
+// A launch request that ended without a task that runs on.
+struct RequestEnded {
+  RequestResult result = RequestResult::kRejected;
   Idempotency idempotency = Idempotency::kNotIdempotent;
-  bool rerunnable = false;
-  bool unsettled = false;  // an attempt may still run or be accepted
-  Micros advised = 0;      // wait that the refusal advised
+  bool rerunnable = false;          // the client allows retries
+  bool unresolved_attempt = false;  // an attempt may still run or be accepted
+  Micros retry_after = 0;           // the wait that the rejection asked for
   Micros now = 0;
-  Micros give_up = 0;  // the owner's time ends
-  double draw = 0.0;   // in [0, 1)
+  Micros deadline = 0;       // the client waits no longer
+  double random_draw = 0.0;  // in [0, 1)
 };
 
-enum class RepeatVerdict {
-  kAgain,   // ask again at `at`
-  kSettle,  // ask again at `at` at the earliest, and only once every earlier attempt is known not to run
-  kFinal    // the last answer stands
+enum class RetryAction {
+  kRetry,                     // at `at`
+  kRetryAfterReconciliation,  // at `at` at the earliest, and only once every earlier attempt is known not to
+                              // run
+  kGiveUp                     // the last result is final
 };
 
-struct RepeatDecision {
-  RepeatVerdict verdict = RepeatVerdict::kFinal;
+enum class GiveUpReason { kNone, kNotRerunnable, kMayHaveRun, kRetriesExhausted, kDeadline };
+
+// The text that clients are told, also kept in stored job comments; empty for kNone.
+[[nodiscard]] std::string_view Describe(GiveUpReason reason);
+
+struct RetryDecision {
+  RetryAction action = RetryAction::kGiveUp;
   Micros at = 0;
-  const char* why = "";  // for kFinal: told to the owner
+  GiveUpReason reason = GiveUpReason::kNone;  // of kGiveUp
 };
 
-// The state of one job's repeats; one decision a call.
-class Repeats {
+// Counts one job's retries. Not thread-safe.
+class RetryState {
  public:
-  RepeatDecision Decide(const RepeatPolicy& policy, const AskEnded& ended);
-  // A placement ends the row: waits and counts begin anew.
-  void Placed() { in_row_ = 0; }
-  unsigned in_row() const { return in_row_; }
+  // Decides once for each launch request that ended; a retry that is granted counts.
+  [[nodiscard]] RetryDecision Decide(const RetryPolicy& policy, const RequestEnded& ended);
+  // The job's task started: the count and the backoff begin anew.
+  void TaskStarted() { retries_in_row_ = 0; }
+  [[nodiscard]] unsigned retries_in_row() const { return retries_in_row_; }
 
  private:
-  std::uint16_t in_row_ = 0;
+  [[nodiscard]] Micros Backoff(const RetryPolicy& policy, RequestResult result) const;
+
+  std::uint16_t retries_in_row_ = 0;
 };
 
 }  // namespace mountflow::retry
--- a/tests/retry/retry_test.cpp
+++ b/tests/retry/retry_test.cpp
@@ -1,88 +1,113 @@
-// Owners' repeats: who may ask again, when, how often.
+// Retries of launch requests: which are granted, when, and how often.
 #include "retry/retry.hpp"
 
 #include <gtest/gtest.h>
 
+#include <vector>
+
 namespace mountflow::retry {
 namespace {
 
-AskEnded Refused() {
-  AskEnded e;
-  e.rerunnable = true;
-  e.idempotency = Idempotency::kIdempotent;
-  e.now = 1'000'000;
-  e.give_up = 1'000'000'000;
-  return e;
+RequestEnded Rejected() {
+  RequestEnded ended;
+  ended.rerunnable = true;
+  ended.idempotency = Idempotency::kIdempotent;
+  ended.now = 1'000'000;
+  ended.deadline = 1'000'000'000;
+  return ended;
 }
 
-TEST(Repeats, WaitsGrowToTheMostAndEndWithTheCount) {
-  RepeatPolicy policy;
-  policy.most = 7;
-  policy.most_wait = 10'000'000;
-  Repeats repeats;
-  AskEnded e = Refused();
+TEST(RetryState, DoublesBackoffUpToMaximumAndEndsWithMaxRetries) {
+  RetryPolicy policy;
+  policy.max_retries = 7;
+  policy.max_backoff = 10'000'000;
+  RetryState state;
+  const RequestEnded ended = Rejected();
   std::vector<Micros> waits;
   for (int i = 0; i < 7; ++i) {
-    const RepeatDecision d = repeats.Decide(policy, e);
-    ASSERT_EQ(d.verdict, RepeatVerdict::kAgain);
-    waits.push_back(d.at - e.now);
+    const RetryDecision decision = state.Decide(policy, ended);
+    ASSERT_EQ(decision.action, RetryAction::kRetry);
+    waits.push_back(decision.at - ended.now);
   }
   EXPECT_EQ(waits, (std::vector<Micros>{1'000'000, 2'000'000, 4'000'000, 8'000'000, 10'000'000, 10'000'000,
                                         10'000'000}));
-  EXPECT_EQ(repeats.Decide(policy, e).verdict, RepeatVerdict::kFinal);
-  repeats.Placed();  // a placement between: the row begins anew
-  EXPECT_EQ(repeats.Decide(policy, e).at - e.now, 1'000'000u);
+  EXPECT_EQ(state.Decide(policy, ended).action, RetryAction::kGiveUp);
+  state.TaskStarted();  // the count and the backoff begin anew
+  EXPECT_EQ(state.Decide(policy, ended).at - ended.now, 1'000'000u);
 }
 
-TEST(Repeats, NobodyIsAskedAgainAgainstHisWishOrBeyondHisTime) {
-  Repeats repeats;
-  AskEnded e = Refused();
-  e.rerunnable = false;
-  EXPECT_EQ(repeats.Decide({}, e).verdict, RepeatVerdict::kFinal);
-  e = Refused();
-  e.give_up = e.now + 1'000'000;
-  EXPECT_EQ(repeats.Decide({}, e).verdict, RepeatVerdict::kFinal);
-  EXPECT_EQ(repeats.in_row(), 0u);
+TEST(RetryState, GivesUpWithoutClientsConsentOrBeyondItsDeadline) {
+  RetryState state;
+  RequestEnded ended = Rejected();
+  ended.rerunnable = false;
+  EXPECT_EQ(state.Decide({}, ended).action, RetryAction::kGiveUp);
+  ended = Rejected();
+  ended.deadline = ended.now + 1'000'000;
+  EXPECT_EQ(state.Decide({}, ended).action, RetryAction::kGiveUp);
+  EXPECT_EQ(state.retries_in_row(), 0u);
 }
 
-TEST(Repeats, AnUnsafeTaskThatMayHaveRunNeverComesAgain) {
-  AskEnded e = Refused();
-  e.idempotency = Idempotency::kNotIdempotent;
-  Repeats repeats;
-  for (const AskEnd end : {AskEnd::kFailed, AskEnd::kLost}) {
-    e.end = end;
-    EXPECT_EQ(repeats.Decide({}, e).verdict, RepeatVerdict::kFinal);
+TEST(RetryState, NeverRetriesTaskThatIsNotIdempotentAndMayHaveRun) {
+  RequestEnded ended = Rejected();
+  ended.idempotency = Idempotency::kNotIdempotent;
+  RetryState state;
+  for (const RequestResult result : {RequestResult::kFailed, RequestResult::kLost}) {
+    ended.result = result;
+    EXPECT_EQ(state.Decide({}, ended).action, RetryAction::kGiveUp);
   }
-  e.end = AskEnd::kRefused;  // a refusal is the certain word that nothing ran
-  EXPECT_EQ(repeats.Decide({}, e).verdict, RepeatVerdict::kAgain);
+  ended.result = RequestResult::kRejected;  // a rejection is the certainty that nothing ran
+  EXPECT_EQ(state.Decide({}, ended).action, RetryAction::kRetry);
+}
+
+TEST(RetryState, ReconcilesKeyedTaskInDoubtFirstAndIdempotentTaskNot) {
+  RequestEnded ended = Rejected();
+  ended.result = RequestResult::kFailed;
+  ended.idempotency = Idempotency::kWithKey;
+  RetryState keyed;
+  const RetryDecision decision = keyed.Decide({}, ended);
+  EXPECT_EQ(decision.action, RetryAction::kRetryAfterReconciliation);
+  EXPECT_GE(decision.at - ended.now, RetryPolicy{}.reconciliation_wait);
+  ended.idempotency = Idempotency::kIdempotent;
+  RetryState idempotent;
+  EXPECT_EQ(idempotent.Decide({}, ended).action, RetryAction::kRetry);
+}
+
+TEST(RetryState, WaitsForRetryAfterAndAddsJitter) {
+  RequestEnded ended = Rejected();
+  ended.retry_after = 5'000'000;
+  RetryState without_jitter;
+  EXPECT_EQ(without_jitter.Decide({}, ended).at - ended.now, 5'000'000u);
+  ended.random_draw = 0.999;
+  RetryState with_jitter;
+  const Micros wait = with_jitter.Decide({}, ended).at - ended.now;
+  EXPECT_GT(wait, 6'000'000u);
+  EXPECT_LE(wait, 6'250'000u);
 }
 
-TEST(Repeats, AKeyedTaskInDoubtSettlesFirstAndASafeOneNeedNot) {
-  AskEnded e = Refused();
-  e.end = AskEnd::kFailed;
-  e.idempotency = Idempotency::kWithKey;
-  Repeats keyed, safe;
-  const RepeatDecision d = keyed.Decide({}, e);
-  EXPECT_EQ(d.verdict, RepeatVerdict::kSettle);
-  EXPECT_GE(d.at - e.now, RepeatPolicy{}.settle_wait);
-  e.idempotency = Idempotency::kIdempotent;
-  EXPECT_EQ(safe.Decide({}, e).verdict, RepeatVerdict::kAgain);
+TEST(RetryState, RetriesLostTaskSoonOnceAndWithBackoffWhenLostAgain) {
+  RetryState state;
+  RequestEnded ended = Rejected();
+  ended.result = RequestResult::kLost;
+  EXPECT_EQ(state.Decide({}, ended).at - ended.now, RetryPolicy{}.lost_task_backoff);
+  EXPECT_EQ(state.Decide({}, ended).at - ended.now, 2 * RetryPolicy{}.initial_backoff);
 }
 
-TEST(Repeats, AdviceLengthensAndTheDrawSpreads) {
-  AskEnded e = Refused();
-  e.advised = 5'000'000;
-  Repeats a, b;
-  EXPECT_EQ(a.Decide({}, e).at - e.now, 5'000'000u);
-  e.draw = 0.999;
-  const Micros spread = b.Decide({}, e).at - e.now;
-  EXPECT_GT(spread, 6'000'000u);
-  EXPECT_LE(spread, 6'250'000u);
-  Repeats lost;
-  e = Refused();
-  e.end = AskEnd::kLost;
-  EXPECT_EQ(lost.Decide({}, e).at - e.now, RepeatPolicy{}.lost_wait);
-  EXPECT_EQ(lost.Decide({}, e).at - e.now, 2 * RepeatPolicy{}.first_wait);  // lost again without a placement
+TEST(GiveUpReason, IsGivenWithEachRefusedRetryAndDescribedToClient) {
+  EXPECT_EQ(Describe(GiveUpReason::kNone), "");
+  RequestEnded ended = Rejected();
+  ended.rerunnable = false;
+  EXPECT_EQ(Describe(RetryState().Decide({}, ended).reason), "not rerunnable");
+  ended = Rejected();
+  ended.idempotency = Idempotency::kNotIdempotent;
+  ended.result = RequestResult::kLost;
+  EXPECT_EQ(Describe(RetryState().Decide({}, ended).reason),
+            "it may have run, and its class must not run twice");
+  RetryPolicy never;
+  never.max_retries = 0;
+  EXPECT_EQ(Describe(RetryState().Decide(never, Rejected()).reason), "no repeats left");
+  ended = Rejected();
+  ended.deadline = ended.now;
+  EXPECT_EQ(Describe(RetryState().Decide({}, ended).reason), "the owner's time is over");
 }
 
 }  // namespace
