--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -48,7 +48,7 @@
   discovery::ClientOptions o = config.list;
   o.prefix = config.group_prefix;
   o.service.clear();  // daemons are keys, wherever nodes are
-  o.wait = std::min(o.wait, membership::VouchEvery(config.group_most_age));  // a read that ends vouches
+  o.wait = std::min(o.wait, membership::ConfirmationInterval(config.group_most_age));  // a read that ends vouches
   return o;
 }
 
@@ -684,14 +684,14 @@
   others_side_->Poll();
   const Micros now = loop_->Now();
   const discovery::ViewStatus view = others_.Status(now);
-  membership::GroupInput input;
+  membership::GroupView input;
   for (const auto& [key, kv] : others_.state().all())
     input.names.push_back(key.substr(config_.group_prefix.size()));
   input.known = view.known;
   const bool there = others_.state().all().count(config_.group_prefix + config_.core.server) > 0;
   if (view.known && !there) own_entry_.Missed(now - view.age);
   input.view_age = view.age;
-  input.held_until = own_entry_.HeldUntil();
+  input.lease_expires_at = own_entry_.HeldUntil();
   input.history = others_.state().lives() + own_entry_.lives();  // both only grow
   input.now = now;
   if (const auto change = group_.Update(std::move(input))) {
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -96,7 +96,7 @@
   discovery::RegistryClient list_;
   discovery::RegistryClient others_;  // the daemons' entries; used where the group comes from the registry
   discovery::Registrar own_entry_;
-  membership::Group group_;
+  membership::GroupMembership group_;
   std::unique_ptr<BatchSide> batch_side_;
   std::unique_ptr<HttpSide> http_side_;
   std::unique_ptr<LinkSide> link_side_;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -4,33 +4,40 @@
 
 namespace mountflow::membership {
 
-std::optional<MembershipChange> Group::Update(GroupInput input) {
-  std::vector<std::string>& names = input.names;
+bool GroupMembership::IsCertain(const GroupView& view) const {
+  return view.known && std::binary_search(view.names.begin(), view.names.end(), options_.own_name) &&
+         view.view_age <= options_.max_view_age && view.lease_expires_at > view.now &&
+         view.names.size() <= options_.max_members;
+}
+
+std::optional<MembershipChange> GroupMembership::Update(GroupView view) {
+  std::vector<std::string>& names = view.names;
   std::sort(names.begin(), names.end());
   names.erase(std::unique(names.begin(), names.end()), names.end());
-  MembershipChange now;
-  // Not sure, the last size stands: it is used for more than the cold share.
-  now.size = told_.size;
-  const auto self = std::lower_bound(names.begin(), names.end(), options_.self);
-  const bool there = self != names.end() && *self == options_.self;
-  const bool sure = input.known && there && input.view_age <= options_.most_age &&
-                    input.held_until > input.now && names.size() <= options_.most;
-  if (sure) {
-    now.size = static_cast<int>(names.size());
-    now.index = static_cast<int>(self - names.begin());
-    now.valid_until = std::min(input.held_until, input.now + (options_.most_age - input.view_age) + 1);
-    now.undisturbed = was_sure_ && input.history == sure_history_;
-    was_sure_ = true;
-    sure_history_ = input.history;
+
+  MembershipChange change;
+  // While uncertain the last size is kept: the scheduler uses it for more than the slow-start budget.
+  change.size = reported_.size;
+  next_timer_ = ~Micros{0};
+  if (IsCertain(view)) {
+    const auto own = std::lower_bound(names.begin(), names.end(), options_.own_name);
+    const Micros view_expires_at = view.now + (options_.max_view_age - view.view_age) + 1;
+    change.size = static_cast<int>(names.size());
+    change.index = static_cast<int>(own - names.begin());
+    change.valid_until = std::min(view.lease_expires_at, view_expires_at);
+    change.undisturbed = certain_history_ == view.history;
+    certain_history_ = view.history;
+    next_timer_ = change.valid_until;
   } else {
-    now.valid_until = 0;
+    change.valid_until = 0;
   }
-  next_ = sure ? now.valid_until : ~Micros{0};
-  if (ever_ && now.size == told_.size && now.index == told_.index && now.valid_until == told_.valid_until)
+  if (has_reported_ && change.size == reported_.size && change.index == reported_.index &&
+      change.valid_until == reported_.valid_until) {
     return std::nullopt;
-  ever_ = true;
-  told_ = now;
-  return now;
+  }
+  has_reported_ = true;
+  reported_ = change;
+  return change;
 }
 
 }  // namespace mountflow::membership
