--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -175,12 +175,12 @@
     root["settings"] = defaults["settings"];
   }
   const json& settings = root["settings"];
-  try {
-    c.core.settings = settings::ParseSettings(Flatten(settings)).settings;
-  } catch (const settings::SettingsError& e) {
-    loaded.errors.push_back(name + ": at /settings: " + e.what());
+  const auto parsed = settings::ParseSettings(Flatten(settings));
+  if (!parsed) {
+    loaded.errors.push_back(name + ": at /settings: " + settings::Describe(parsed.error()));
     return loaded;
   }
+  c.core.settings = parsed->settings;
   if (settings.contains("profiles")) {
     for (std::size_t i = 0; i < settings["profiles"].size(); ++i) {
       const json& profile = settings["profiles"][i];
--- a/src/platform/platform_config.cpp
+++ b/src/platform/platform_config.cpp
@@ -122,12 +122,12 @@
     bad("settings: expected an object");
     return config;
   }
-  try {
-    config.wire = settings::ParseSettings(LayOutSettings(*settings));
-  } catch (const settings::SettingsError& error) {
-    bad(std::string("settings: ") + error.what());
+  auto parsed = settings::ParseSettings(LayOutSettings(*settings));
+  if (!parsed) {
+    bad("settings: " + settings::Describe(parsed.error()));
     return config;
   }
+  config.wire = std::move(*parsed);
   if (config.wire.settings.classes.empty()) bad("settings.profiles: expected at least one class");
   for (const std::string& one : config.wire.class_names) {
     if (one.empty()) bad("settings.profiles[].name: expected a name");
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -1,241 +1,325 @@
 #include "settings/settings.hpp"
 
 #include <algorithm>
-#include <cmath>
 #include <cstddef>
-#include <cstdint>
-#include <cstdlib>
 #include <functional>
 #include <map>
+#include <span>
 #include <utility>
 
 namespace mountflow::settings {
 namespace {
 
-constexpr std::size_t kMostItems = 4096;  // classes or kinds in one settings text
+using KeyValues = std::map<std::string, std::string, std::less<>>;
 
-[[noreturn]] void Bad(const std::string& key, const std::string& value, const char* expected) {
-  throw SettingsError("setting " + key + ": expected " + expected + ", got '" + value + "'");
+// How the value of a key is read into a target.
+template <typename Target>
+using ReadFunction = Status (*)(const Setting& setting, Target* target);
+
+template <typename Target>
+struct Row {
+  std::string_view key;
+  ReadFunction<Target> read;
+};
+
+// ---- How values are read ----
+
+Result<double> Parse(const Setting& setting, const double&) { return ParseNumber(setting); }
+Result<Micros> Parse(const Setting& setting, const Micros&) { return ParseTime(setting); }
+Result<int> Parse(const Setting& setting, const int&) { return ParseInteger(setting); }
+Result<unsigned> Parse(const Setting& setting, const unsigned&) { return ParseCount(setting); }
+Result<bool> Parse(const Setting& setting, const bool&) { return ParseFlag(setting); }
+Result<std::vector<std::string>> Parse(const Setting& setting, const std::vector<std::string>&) {
+  return ParseList(setting);
 }
 
-double Number(const std::string& key, const std::string& value) {
-  char* end = nullptr;
-  const double number = std::strtod(value.c_str(), &end);
-  if (value.empty() || *end != '\0' || !std::isfinite(number)) Bad(key, value, "a number");
-  return number;
+template <typename T>
+Status Assign(Result<T> value, T* to) {
+  if (!value) return tl::make_unexpected(std::move(value.error()));
+  *to = std::move(*value);
+  return {};
 }
 
-Micros Time(const std::string& key, const std::string& value) {
-  const double number = Number(key, value);
-  if (number < 0 || number > 9e15) Bad(key, value, "a time of 0 or more");
-  return static_cast<Micros>(number);
+// Into `member` of the target, as its type demands.
+template <auto member, typename Target>
+Status Into(const Setting& setting, Target* target) {
+  return Assign(Parse(setting, target->*member), &(target->*member));
 }
 
-int Whole(const std::string& key, const std::string& value) {
-  const double number = Number(key, value);
-  if (number != std::floor(number) || std::fabs(number) > 2e9) Bad(key, value, "a whole number");
-  return static_cast<int>(number);
+// Into `member` of the scheduler's settings.
+template <auto member>
+Status IntoSettings(const Setting& setting, WireSettings* result) {
+  return Into<member>(setting, &result->settings);
 }
 
-bool Flag(const std::string& key, const std::string& value) {
-  if (value != "true" && value != "false") Bad(key, value, "true or false");
-  return value == "true";
+// Into `member` of the scheduler's settings, as the meaning of one of the words of `choices`.
+template <auto member, const auto& choices>
+Status ChoiceIntoSettings(const Setting& setting, WireSettings* result) {
+  return Assign(ParseChoice(setting, choices), &(result->settings.*member));
 }
 
-std::vector<std::string> Items(std::string_view value) {
-  std::vector<std::string> items;
-  if (value.empty()) return items;
-  for (std::size_t from = 0;;) {
-    const std::size_t comma = value.find(',', from);
-    items.emplace_back(value.substr(from, comma - from));
-    if (items.size() > kMostItems) throw SettingsError("a settings list is too long");
-    if (comma == std::string_view::npos) return items;
-    from = comma + 1;
+// Into `member` of a class, as the meaning of one of the words of `choices`.
+template <auto member, const auto& choices>
+Status ChoiceIntoClass(const Setting& setting, TaskClass* task_class) {
+  return Assign(ParseChoice(setting, choices), &(task_class->*member));
+}
+
+Status ReadClassCount(const Setting& setting, WireSettings* result) {
+  const Result<std::size_t> count = ParseListSize(setting);
+  if (!count) return tl::make_unexpected(count.error());
+  result->settings.classes.resize(*count);
+  return {};
+}
+
+Status ReadTenantCount(const Setting& setting, WireSettings* result) {
+  const Result<std::size_t> count = ParseListSize(setting);
+  if (!count) return tl::make_unexpected(count.error());
+  result->tenant_names.resize(*count);
+  return {};
+}
+
+Status ReadCoresOfKinds(const Setting& setting, WireSettings* result) {
+  const Result<std::vector<std::string>> items = ParseList(setting);
+  if (!items) return tl::make_unexpected(items.error());
+  for (const std::string& item : *items) {
+    const Result<double> cores = ParseNumber({setting.key, item});
+    if (!cores) return tl::make_unexpected(cores.error());
+    result->settings.node_kinds.push_back({*cores, 1.0});
   }
+  return {};
 }
 
-template <typename T>
-T OneOf(const std::string& key, const std::string& value,
-        const std::vector<std::pair<const char*, T>>& choices) {
-  std::string expected = "one of";
-  for (const auto& [name, result] : choices) {
-    if (value == name) return result;
-    expected += std::string(" ") + name;
+// Kinds beyond those of domain.kind_cores have the default number of cores.
+Status ReadMemoryOfKinds(const Setting& setting, WireSettings* result) {
+  const Result<std::vector<std::string>> items = ParseList(setting);
+  if (!items) return tl::make_unexpected(items.error());
+  std::vector<NodeKind>& kinds = result->settings.node_kinds;
+  if (kinds.size() < items->size()) kinds.resize(items->size());
+  for (std::size_t i = 0; i < items->size(); ++i) {
+    Status status = Assign(ParseNumber({setting.key, (*items)[i]}), &kinds[i].memory);
+    if (!status) return status;
   }
-  Bad(key, value, expected.c_str());
+  return {};
 }
 
-using Map = std::map<std::string, std::string, std::less<>>;
-using Reader = std::function<void(const std::string&, const std::string&)>;
+// ---- The tables of keys ----
+
+constexpr Choice<Idempotency> kIdempotencyWords[] = {{"safe", Idempotency::kIdempotent},
+                                                     {"keyed", Idempotency::kWithKey},
+                                                     {"unsafe", Idempotency::kNotIdempotent}};
+constexpr Choice<DeduplicationScope> kDeduplicationScopeWords[] = {{"all", DeduplicationScope::kAll},
+                                                                   {"zone", DeduplicationScope::kZone},
+                                                                   {"cell", DeduplicationScope::kRack}};
+constexpr Choice<TopologySpread> kTopologySpreadWords[] = {{"silent", TopologySpread::kNone},
+                                                           {"none", TopologySpread::kNone},
+                                                           {"machine", TopologySpread::kNode},
+                                                           {"cell", TopologySpread::kRack},
+                                                           {"zone", TopologySpread::kZone}};
+constexpr Choice<bool> kDiscoveryWords[] = {{"push", false}, {"ask", true}};
+constexpr Choice<bool> kStartedWords[] = {{"running", true}, {"accepted", false}};
+constexpr Choice<bool> kReportedCapacityWords[] = {{"asked", true}, {"used", false}};
+
+constexpr Row<WireSettings> kClassCountRow[] = {{"profiles.count", ReadClassCount}};
 
-// Applies `read` to the value of `key`, if it is there.
-void Take(const Map& pairs, const std::string& key, const Reader& read) {
-  if (const auto it = pairs.find(key); it != pairs.end()) read(key, it->second);
+// Of one class; the keys begin with "profiles.N.".
+constexpr Row<TaskClass> kClassRows[] = {
+    {"effect", ChoiceIntoClass<&TaskClass::idempotency, kIdempotencyWords>},
+    {"key_scope", ChoiceIntoClass<&TaskClass::deduplication_scope, kDeduplicationScopeWords>},
+    {"window_us", Into<&TaskClass::deduplication_window>},
+    {"aim_us", Into<&TaskClass::start_target>},
+    {"worth", Into<&TaskClass::value_per_second>},
+    {"late_value", Into<&TaskClass::late_value>},
+};
+
+// Lists with one value for each class.
+constexpr Row<TaskClass> kPerClassListRows[] = {
+    {"domain.spread_by", ChoiceIntoClass<&TaskClass::topology_spread, kTopologySpreadWords>},
+    {"domain.together_max", Into<&TaskClass::max_per_domain>},
+    {"domain.kind_by_class", Into<&TaskClass::node_kind>},
+    {"domain.priority_by_class", Into<&TaskClass::priority>},
+    {"domain.start_seconds", Into<&TaskClass::start_value_seconds>},
+    {"domain.calm_level", Into<&TaskClass::full_service_utilisation>},
+};
+
+constexpr Row<WireSettings> kSchedulerRows[] = {
+    {"domain.kind_cores", ReadCoresOfKinds},
+    {"domain.mem_of_kind", ReadMemoryOfKinds},
+    {"group_size", IntoSettings<&Settings::group_size>},
+    {"self_index", IntoSettings<&Settings::self_index>},
+    {"zone", IntoSettings<&Settings::own_zone>},
+    {"discovery", ChoiceIntoSettings<&Settings::list_on_request, kDiscoveryWords>},
+    {"domain.lists_free", IntoSettings<&Settings::list_has_free_capacity>},
+    {"domain.ack", ChoiceIntoSettings<&Settings::started_means_running, kStartedWords>},
+    {"domain.counts", ChoiceIntoSettings<&Settings::reports_requested_capacity, kReportedCapacityWords>},
+    {"bounds.probes", IntoSettings<&Settings::may_check_health>},
+    {"bounds.cancel", IntoSettings<&Settings::may_cancel>},
+    {"bounds.second_copies", IntoSettings<&Settings::may_duplicate_attempts>},
+    {"domain.displaces", IntoSettings<&Settings::nodes_preempt>},
+    {"bounds.max_attempts", IntoSettings<&Settings::max_attempts>},
+    {"domain.mean_cores", IntoSettings<&Settings::mean_cores>},
+    {"domain.usual_memory", IntoSettings<&Settings::mean_memory>},
+    {"domain.admit_cores", IntoSettings<&Settings::overcommit_cores>},
+    {"domain.admit_memory", IntoSettings<&Settings::overcommit_memory>},
+    {"domain.owner_wait_us", IntoSettings<&Settings::client_wait>},
+    {"safety.answer_slack_us", IntoSettings<&Settings::answer_slack>},
+    {"safety.ask_within_us", IntoSettings<&Settings::ask_within>},
+    {"safety.drain_grace_us", IntoSettings<&Settings::drain_grace_period>},
+    {"safety.cold_from", IntoSettings<&Settings::slow_start_initial_pace>},
+    {"safety.cold_us", IntoSettings<&Settings::slow_start_duration>},
+    {"safety.fall_multiple", IntoSettings<&Settings::overload_multiple>},
+    {"safety.tip_after_us", IntoSettings<&Settings::slow_start_window>},
+    {"domain.cold_bears", IntoSettings<&Settings::slow_start_budget>},
+    {"domain.refusal_fee", IntoSettings<&Settings::rejection_price>},
+    {"prices.cross_zone", IntoSettings<&Settings::cross_zone_price>},
+    {"prices.moves", IntoSettings<&Settings::migration_price>},
+    {"domain.evict_weight", IntoSettings<&Settings::eviction_weight>},
+    {"prices.probe", IntoSettings<&Settings::health_check_price>},
+    {"stats.names", Into<&WireSettings::report_names>},
+};
+
+// Names and limits of the protocols follow: no decision depends on them, and the scheduler never sees them.
+struct ProtocolClass {
+  std::string name;
+  Micros deadline = 0;
+};
+
+Status ReadClassName(const Setting& setting, ProtocolClass* target) {
+  target->name = setting.value;
+  return {};
 }
 
-void ReadClass(const Map& pairs, const std::string& at, TaskClass* one) {
-  Take(pairs, at + "effect", [&](auto& k, auto& v) {
-    one->idempotency = OneOf<Idempotency>(k, v,
-                                          {{"safe", Idempotency::kIdempotent},
-                                           {"keyed", Idempotency::kWithKey},
-                                           {"unsafe", Idempotency::kNotIdempotent}});
-  });
-  Take(pairs, at + "key_scope", [&](auto& k, auto& v) {
-    one->deduplication_scope = OneOf<DeduplicationScope>(k, v,
-                                                         {{"all", DeduplicationScope::kAll},
-                                                          {"zone", DeduplicationScope::kZone},
-                                                          {"cell", DeduplicationScope::kRack}});
-  });
-  Take(pairs, at + "window_us", [&](auto& k, auto& v) { one->deduplication_window = Time(k, v); });
-  Take(pairs, at + "aim_us", [&](auto& k, auto& v) { one->start_target = Time(k, v); });
-  Take(pairs, at + "worth", [&](auto& k, auto& v) { one->value_per_second = Number(k, v); });
-  Take(pairs, at + "late_value", [&](auto& k, auto& v) { one->late_value = Number(k, v); });
+// Of one class; the keys begin with "profiles.N.".
+constexpr Row<ProtocolClass> kProtocolClassRows[] = {
+    {"name", ReadClassName},
+    {"hard_limit_us", Into<&ProtocolClass::deadline>},
+};
+
+constexpr Row<WireSettings> kTenantCountRow[] = {{"orgs.count", ReadTenantCount}};
+
+Status ReadTenantName(const Setting& setting, std::string* name) {
+  *name = setting.value;
+  return {};
 }
 
-// Reads a list that has one value for each class.
-void PerClass(const Map& pairs, const std::string& key, std::vector<TaskClass>* classes,
-              const std::function<void(TaskClass&, const std::string&)>& read) {
-  Take(pairs, key, [&](auto&, auto& v) {
-    const auto items = Items(v);
-    for (std::size_t i = 0; i < items.size() && i < classes->size(); ++i) read((*classes)[i], items[i]);
-  });
+// Of one tenant; the keys begin with "orgs.N.".
+constexpr Row<std::string> kTenantRows[] = {{"name", ReadTenantName}};
+
+constexpr Row<WireSettings> kProtocolRows[] = {
+    {"kinds", Into<&WireSettings::kind_names>},
+    {"failure_domains", Into<&WireSettings::zone_names>},
+    {"bounds.connect_timeout_us", Into<&WireSettings::connect_timeout>},
+    {"bounds.conn_idle_us", Into<&WireSettings::conn_idle>},
+};
+
+// ---- Walks over the tables ----
+
+// Reads the keys of `rows`, each behind `prefix`, that occur in `pairs`.
+template <typename Target>
+Status ReadRows(const KeyValues& pairs, const std::string& prefix, std::span<const Row<Target>> rows,
+                Target* target) {
+  for (const Row<Target>& row : rows) {
+    const auto pair = pairs.find(prefix + std::string(row.key));
+    if (pair == pairs.end()) continue;
+    if (Status status = row.read({pair->first, pair->second}, target); !status) return status;
+  }
+  return {};
 }
 
-}  // namespace
+std::string ClassPrefix(std::size_t index) { return "profiles." + std::to_string(index) + "."; }
+
+Status ReadClasses(const KeyValues& pairs, WireSettings* result) {
+  if (Status status = ReadRows<WireSettings>(pairs, "", kClassCountRow, result); !status) return status;
+  std::vector<TaskClass>& classes = result->settings.classes;
+  for (std::size_t i = 0; i < classes.size(); ++i) {
+    Status status = ReadRows<TaskClass>(pairs, ClassPrefix(i), kClassRows, &classes[i]);
+    if (!status) return status;
+  }
+  return {};
+}
+
+// Items beyond the number of classes are skipped.
+Status ReadPerClassList(const Setting& setting, ReadFunction<TaskClass> read,
+                        std::vector<TaskClass>* classes) {
+  const Result<std::vector<std::string>> items = ParseList(setting);
+  if (!items) return tl::make_unexpected(items.error());
+  for (std::size_t i = 0; i < items->size() && i < classes->size(); ++i) {
+    if (Status status = read({setting.key, (*items)[i]}, &(*classes)[i]); !status) return status;
+  }
+  return {};
+}
+
+Status ReadPerClassLists(const KeyValues& pairs, WireSettings* result) {
+  for (const Row<TaskClass>& row : kPerClassListRows) {
+    const auto pair = pairs.find(row.key);
+    if (pair == pairs.end()) continue;
+    Status status = ReadPerClassList({pair->first, pair->second}, row.read, &result->settings.classes);
+    if (!status) return status;
+  }
+  return {};
+}
+
+Status ReadSchedulerSettings(const KeyValues& pairs, WireSettings* result) {
+  return ReadRows<WireSettings>(pairs, "", kSchedulerRows, result);
+}
+
+Status ReadProtocolClasses(const KeyValues& pairs, WireSettings* result) {
+  for (std::size_t i = 0; i < result->settings.classes.size(); ++i) {
+    ProtocolClass protocol_class;
+    Status status = ReadRows<ProtocolClass>(pairs, ClassPrefix(i), kProtocolClassRows, &protocol_class);
+    if (!status) return status;
+    result->class_names.push_back(std::move(protocol_class.name));
+    result->longest_deadline = std::max(result->longest_deadline, protocol_class.deadline);
+  }
+  return {};
+}
 
-WireSettings ParseSettings(std::string_view text) {
-  Map pairs;
+Status ReadTenants(const KeyValues& pairs, WireSettings* result) {
+  if (Status status = ReadRows<WireSettings>(pairs, "", kTenantCountRow, result); !status) return status;
+  std::vector<std::string>& names = result->tenant_names;
+  for (std::size_t i = 0; i < names.size(); ++i) {
+    Status status = ReadRows<std::string>(pairs, "orgs." + std::to_string(i) + ".", kTenantRows, &names[i]);
+    if (!status) return status;
+  }
+  return {};
+}
+
+Status ReadProtocolSettings(const KeyValues& pairs, WireSettings* result) {
+  return ReadRows<WireSettings>(pairs, "", kProtocolRows, result);
+}
+
+// ---- The text ----
+
+constexpr std::size_t kMaxQuoted = 80;  // bytes of a malformed line that its error quotes
+
+Result<KeyValues> SplitLines(std::string_view text) {
+  KeyValues pairs;
   for (std::size_t from = 0, line = 1; from < text.size(); ++line) {
-    std::size_t end = text.find('\n', from);
-    if (end == std::string_view::npos) end = text.size();
+    const std::size_t end = std::min(text.find('\n', from), text.size());
     const std::string_view row = text.substr(from, end - from);
     from = end + 1;
     if (row.empty()) continue;
     const std::size_t equals = row.find('=');
     if (equals == std::string_view::npos || equals == 0) {
-      throw SettingsError("settings line " + std::to_string(line) + ": expected path=value, got '" +
-                          std::string(row.substr(0, 80)) + "'");
+      return tl::make_unexpected(SettingsError{SettingsErrorCode::kMalformedLine, "", line, "path=value",
+                                               std::string(row.substr(0, kMaxQuoted))});
     }
     pairs[std::string(row.substr(0, equals))] = std::string(row.substr(equals + 1));
   }
+  return pairs;
+}
+
+}  // namespace
 
+tl::expected<WireSettings, SettingsError> ParseSettings(std::string_view text) {
+  const Result<KeyValues> pairs = SplitLines(text);
+  if (!pairs) return tl::make_unexpected(pairs.error());
   WireSettings result;
-  Settings& s = result.settings;
-  const auto flag = [&](const char* key, bool* to) {
-    Take(pairs, key, [&](auto& k, auto& v) { *to = Flag(k, v); });
-  };
-  const auto number = [&](const char* key, double* to) {
-    Take(pairs, key, [&](auto& k, auto& v) { *to = Number(k, v); });
-  };
-  const auto time = [&](const char* key, Micros* to) {
-    Take(pairs, key, [&](auto& k, auto& v) { *to = Time(k, v); });
-  };
-  const auto whole = [&](const char* key, int* to) {
-    Take(pairs, key, [&](auto& k, auto& v) { *to = Whole(k, v); });
-  };
-
-  Take(pairs, "profiles.count", [&](auto& k, auto& v) {
-    const int count = Whole(k, v);
-    if (count < 0 || count > static_cast<int>(kMostItems)) Bad(k, v, "a count");
-    s.classes.resize(static_cast<std::size_t>(count));
-  });
-  for (std::size_t i = 0; i < s.classes.size(); ++i) {
-    ReadClass(pairs, "profiles." + std::to_string(i) + ".", &s.classes[i]);
-  }
-  const std::string domain = "domain.";
-  PerClass(pairs, domain + "spread_by", &s.classes, [&](TaskClass& c, const std::string& v) {
-    c.topology_spread = OneOf<TopologySpread>("domain.spread_by", v,
-                                              {{"silent", TopologySpread::kNone},
-                                               {"none", TopologySpread::kNone},
-                                               {"machine", TopologySpread::kNode},
-                                               {"cell", TopologySpread::kRack},
-                                               {"zone", TopologySpread::kZone}});
-  });
-  PerClass(pairs, domain + "together_max", &s.classes,
-           [](TaskClass& c, const std::string& v) { c.max_per_domain = Whole("domain.together_max", v); });
-  PerClass(pairs, domain + "kind_by_class", &s.classes,
-           [](TaskClass& c, const std::string& v) { c.node_kind = Whole("domain.kind_by_class", v); });
-  PerClass(pairs, domain + "priority_by_class", &s.classes,
-           [](TaskClass& c, const std::string& v) { c.priority = Whole("domain.priority_by_class", v); });
-  PerClass(pairs, domain + "start_seconds", &s.classes, [](TaskClass& c, const std::string& v) {
-    c.start_value_seconds = Number("domain.start_seconds", v);
-  });
-  PerClass(pairs, domain + "calm_level", &s.classes, [](TaskClass& c, const std::string& v) {
-    c.full_service_utilisation = Number("domain.calm_level", v);
-  });
-
-  Take(pairs, domain + "kind_cores", [&](auto& k, auto& v) {
-    for (const auto& item : Items(v)) s.node_kinds.push_back({Number(k, item), 1.0});
-  });
-  Take(pairs, domain + "mem_of_kind", [&](auto& k, auto& v) {
-    const auto items = Items(v);
-    if (s.node_kinds.size() < items.size()) s.node_kinds.resize(items.size());
-    for (std::size_t i = 0; i < items.size(); ++i) s.node_kinds[i].memory = Number(k, items[i]);
-  });
-
-  whole("group_size", &s.group_size);
-  whole("self_index", &s.self_index);
-  whole("zone", &s.own_zone);
-  Take(pairs, "discovery", [&](auto& k, auto& v) {
-    s.list_on_request = OneOf<bool>(k, v, {{"push", false}, {"ask", true}});
-  });
-  flag("domain.lists_free", &s.list_has_free_capacity);
-  Take(pairs, "domain.ack", [&](auto& k, auto& v) {
-    s.started_means_running = OneOf<bool>(k, v, {{"running", true}, {"accepted", false}});
-  });
-  Take(pairs, "domain.counts", [&](auto& k, auto& v) {
-    s.reports_requested_capacity = OneOf<bool>(k, v, {{"asked", true}, {"used", false}});
-  });
-  flag("bounds.probes", &s.may_check_health);
-  flag("bounds.cancel", &s.may_cancel);
-  flag("bounds.second_copies", &s.may_duplicate_attempts);
-  flag("domain.displaces", &s.nodes_preempt);
-  Take(pairs, "bounds.max_attempts", [&](auto& k, auto& v) {
-    const int most = Whole(k, v);
-    if (most < 0) Bad(k, v, "a count");
-    s.max_attempts = static_cast<unsigned>(most);
-  });
-  number("domain.mean_cores", &s.mean_cores);
-  number("domain.usual_memory", &s.mean_memory);
-  number("domain.admit_cores", &s.overcommit_cores);
-  number("domain.admit_memory", &s.overcommit_memory);
-  time("domain.owner_wait_us", &s.client_wait);
-  time("safety.answer_slack_us", &s.answer_slack);
-  time("safety.ask_within_us", &s.ask_within);
-  time("safety.drain_grace_us", &s.drain_grace_period);
-  number("safety.cold_from", &s.slow_start_initial_pace);
-  time("safety.cold_us", &s.slow_start_duration);
-  number("safety.fall_multiple", &s.overload_multiple);
-  time("safety.tip_after_us", &s.slow_start_window);
-  number("domain.cold_bears", &s.slow_start_budget);
-  number("domain.refusal_fee", &s.rejection_price);
-  number("prices.cross_zone", &s.cross_zone_price);
-  number("prices.moves", &s.migration_price);
-  number("domain.evict_weight", &s.eviction_weight);
-  number("prices.probe", &s.health_check_price);
-  Take(pairs, "stats.names", [&](auto&, auto& v) { result.report_names = Items(v); });
-
-  // Names and limits of the wires: they decide nothing, and the module never sees them.
-  for (std::size_t i = 0; i < s.classes.size(); ++i) {
-    const std::string at = "profiles." + std::to_string(i) + ".";
-    result.class_names.emplace_back();
-    Take(pairs, at + "name", [&](auto&, auto& v) { result.class_names.back() = v; });
-    Micros deadline = 0;
-    time((at + "hard_limit_us").c_str(), &deadline);
-    result.longest_deadline = std::max(result.longest_deadline, deadline);
-  }
-  Take(pairs, "orgs.count", [&](auto& k, auto& v) {
-    const int count = Whole(k, v);
-    if (count < 0 || count > static_cast<int>(kMostItems)) Bad(k, v, "a count");
-    result.tenant_names.resize(static_cast<std::size_t>(count));
-  });
-  for (std::size_t i = 0; i < result.tenant_names.size(); ++i) {
-    Take(pairs, "orgs." + std::to_string(i) + ".name", [&](auto&, auto& v) { result.tenant_names[i] = v; });
+  // The order decides which of several errors is reported.
+  for (const auto read : {ReadClasses, ReadPerClassLists, ReadSchedulerSettings, ReadProtocolClasses,
+                          ReadTenants, ReadProtocolSettings}) {
+    Status status = read(*pairs, &result);
+    if (!status) return tl::make_unexpected(std::move(status.error()));
   }
-  Take(pairs, "kinds", [&](auto&, auto& v) { result.kind_names = Items(v); });
-  Take(pairs, "failure_domains", [&](auto&, auto& v) { result.zone_names = Items(v); });
-  time("bounds.connect_timeout_us", &result.connect_timeout);
-  time("bounds.conn_idle_us", &result.conn_idle);
   return result;
 }
 
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -1,35 +1,36 @@
-// Reads the settings text of the wire (path=value lines) into Settings.
+// Reads the settings text of the simulator's protocol (path=value lines) into Settings. The platform and the
+// daemon's configuration lay their settings out as the same text, so that one table of keys serves all.
+//
+// Free of I/O and state; all functions may be called from any thread.
 #ifndef MOUNTFLOW_SETTINGS_SETTINGS_HPP_
 #define MOUNTFLOW_SETTINGS_SETTINGS_HPP_
 
-#include <stdexcept>
 #include <string>
 #include <string_view>
+#include <tl/expected.hpp>
 #include <vector>
 
 #include "mountflow/scheduler.hpp"
+#include "settings/value.hpp"
 
 namespace mountflow::settings {
 
-struct SettingsError : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
 struct WireSettings {
   Settings settings;
-  std::vector<std::string> report_names;  // order of values in a load report
-  // What the wire of the simulator says by position and the sockets say by name, in the order of positions.
+  std::vector<std::string> report_names;  // order of the values in a load report
+  // Names of what the simulator's protocol numbers and the other protocols name, in the order of the numbers.
   std::vector<std::string> class_names, tenant_names, kind_names, zone_names;
-  Micros connect_timeout = 0;   // 0: not told
-  Micros conn_idle = 0;         // idle connections are closed after this; 0: not told
+  Micros connect_timeout = 0;   // 0: not stated
+  Micros conn_idle = 0;         // idle connections are closed after this; 0: not stated
   Micros longest_deadline = 0;  // of all classes
 };
 
-// Throws SettingsError, naming the key or line, when a known key cannot be
-// read. Unknown keys are skipped; an absent key keeps the default of Settings.
-WireSettings ParseSettings(std::string_view text);
+// Unknown keys are skipped; an absent key keeps the default of Settings; of a key that occurs twice the last
+// value counts. The error is that of the first malformed line, else of the first unreadable value in the
+// order of the table.
+[[nodiscard]] tl::expected<WireSettings, SettingsError> ParseSettings(std::string_view text);
 
-// Puts one value of a load report where its name says; names that are not known are skipped.
+// Puts one value of a load report into the field that its name stands for; unknown names are skipped.
 void PutReportValue(std::string_view name, double value, LoadReport* report);
 
 }  // namespace mountflow::settings
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,3 +1,4 @@
+// Runs schedulers for the simulator, on standard input and output.
 #include <iostream>
 
 #include "simulator_adapter/server.hpp"
--- a/tests/platform/platform_codec_test.cpp
+++ b/tests/platform/platform_codec_test.cpp
@@ -181,11 +181,13 @@
     EXPECT_NE(lines.find(line), std::string::npos) << line;
   }
   const settings::WireSettings s = ReadPlatformConfig(kPlatformConfig, nullptr, nullptr).wire;
-  const settings::WireSettings text = settings::ParseSettings(
-      "profiles.count=2\nprofiles.0.name=service\nprofiles.0.effect=keyed\nprofiles.0.key_scope=cell\n"
-      "profiles.0.window_us=5000000\nprofiles.0.hard_limit_us=3000000\nprofiles.1.effect=safe\n"
-      "domain.spread_by=silent,cell\ndomain.together_max=0,3\nstats.names=x0,x1,pending,cpu_share\n"
-      "domain.kind_cores=32\ndomain.mem_of_kind=64.0\nbounds.max_attempts=4\n");
+  const settings::WireSettings text =
+      settings::ParseSettings(
+          "profiles.count=2\nprofiles.0.name=service\nprofiles.0.effect=keyed\nprofiles.0.key_scope=cell\n"
+          "profiles.0.window_us=5000000\nprofiles.0.hard_limit_us=3000000\nprofiles.1.effect=safe\n"
+          "domain.spread_by=silent,cell\ndomain.together_max=0,3\nstats.names=x0,x1,pending,cpu_share\n"
+          "domain.kind_cores=32\ndomain.mem_of_kind=64.0\nbounds.max_attempts=4\n")
+          .value();
   ASSERT_EQ(s.settings.classes.size(), text.settings.classes.size());
   for (std::size_t i = 0; i < 2; ++i) {
     EXPECT_EQ(s.settings.classes[i].idempotency, text.settings.classes[i].idempotency);
--- a/tests/settings/accepted_keys_test.cpp
+++ b/tests/settings/accepted_keys_test.cpp
@@ -15,12 +15,8 @@
 const std::string kFrame = "profiles.count=1\norgs.count=1\n";
 
 std::string ErrorOf(const std::string& text) {
-  try {
-    settings::ParseSettings(text);
-  } catch (const settings::SettingsError& error) {
-    return error.what();
-  }
-  return "";
+  const auto parsed = settings::ParseSettings(text);
+  return parsed ? "" : settings::Describe(parsed.error());
 }
 
 // Keys whose values are checked, with a value that each accepts. Each refuses another by its name.
@@ -89,7 +85,8 @@
 TEST(AcceptedKeys, NamesAreTakenAsTheyAre) {
   const auto read = settings::ParseSettings(kFrame +
                                             "profiles.0.name=service\norgs.0.name=acme\nkinds=big,small\n"
-                                            "failure_domains=left,right\nstats.names=x0,x1\n");
+                                            "failure_domains=left,right\nstats.names=x0,x1\n")
+                        .value();
   EXPECT_EQ(read.class_names, std::vector<std::string>{"service"});
   EXPECT_EQ(read.tenant_names, std::vector<std::string>{"acme"});
   EXPECT_EQ(read.kind_names, (std::vector<std::string>{"big", "small"}));
