--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -195,7 +195,7 @@
   if (const auto* entry = std::get_if<job_manager::LogEntry>(&output)) {
     log_.Write(job_manager_, *entry);
   } else if (const auto* answered = std::get_if<job_manager::JobAnswered>(&output)) {
-    admission_.Answered();
+    admission_.RecordAnswer();
     pbs_server_.On(now, *answered);
   } else if (const auto* usage = std::get_if<job_manager::ResourceUsage>(&output)) {
     durable_state_.ledger().Post(now, *usage);
@@ -218,7 +218,7 @@
   if (shutdown_deadline_) next = std::min(next, *shutdown_deadline_);
   if (pbs_server_.at_door() > 0) next = loop_->Now();
   loop_->SetMainTimer(next, nullptr);
-  admission_.Turn(loop_->TurnStart(), loop_->Now());
+  admission_.RecordLoopIteration(loop_->TurnStart(), loop_->Now());
 }
 
 void Daemon::RunTimers() {
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -88,7 +88,7 @@
   EventLog log_;
   CpuProfile cpu_profile_;
   job_manager::JobManager job_manager_;
-  admission::Door admission_;
+  admission::AdmissionController admission_;
 
   // Registry.
   tls::Keys tls_keys_;  // for connections to the registry
--- a/src/daemon/http_front.cpp
+++ b/src/daemon/http_front.cpp
@@ -253,18 +253,18 @@
   if (admission_ == nullptr) return std::nullopt;
   const Micros wait =
       spec.client_wait != 0 ? spec.client_wait : job_manager_->options().hard_limits[spec.task_class];
-  admission::Asked submission;
+  admission::SubmissionState submission;
   submission.now = request.now;
-  submission.arrived = request.arrived;
-  submission.give_up = request.arrived + wait;
-  if (spec.client_deadline != 0) submission.give_up = std::min(submission.give_up, spec.client_deadline);
-  submission.unanswered = job_manager_->Count().queued;
-  const admission::Verdict decision = admission_->Ask(submission);
-  if (decision.admit) return std::nullopt;
+  submission.arrived_at = request.arrived;
+  submission.deadline = request.arrived + wait;
+  if (spec.client_deadline != 0) submission.deadline = std::min(submission.deadline, spec.client_deadline);
+  submission.unanswered_jobs = job_manager_->Count().queued;
+  const admission::AdmissionDecision decision = admission_->Decide(submission);
+  if (decision.admitted()) return std::nullopt;
   HttpProblem problem;
   problem.status = HttpStatus::kServiceUnavailable;
-  problem.detail = decision.reason;
-  problem.retry_after = decision.wait;
+  problem.detail = std::string(admission::Describe(decision.result));
+  problem.retry_after = decision.retry_after;
   problem.stored_nothing = true;
   return problem;
 }
--- a/src/daemon/http_front.hpp
+++ b/src/daemon/http_front.hpp
@@ -45,7 +45,7 @@
             const discovery::RegistryClient* node_list)
       : job_manager_(job_manager), options_(options), node_list_(node_list) {}
   // Without a controller every submission is admitted.
-  void SetAdmission(admission::Door* admission) { admission_ = admission; }
+  void SetAdmission(admission::AdmissionController* admission) { admission_ = admission; }
   // Without a book there is no /v1/use.
   void SetBook(const ledger::Book* book) { book_ = book; }
 
@@ -97,7 +97,7 @@
   const pbs_server::FrontOptions* options_;
   const discovery::RegistryClient* node_list_;
   const ledger::Book* book_ = nullptr;
-  admission::Door* admission_ = nullptr;
+  admission::AdmissionController* admission_ = nullptr;
 };
 
 }  // namespace mountflow::daemon
--- a/src/daemon/registry_group.cpp
+++ b/src/daemon/registry_group.cpp
@@ -14,7 +14,7 @@
   options.prefix = config.group_prefix;
   options.service.clear();  // daemons are keys, also where nodes are instances of a service
   // A read that ends confirms the view.
-  options.wait = std::min(options.wait, membership::VouchEvery(config.group_most_age));
+  options.wait = std::min(options.wait, membership::ConfirmationInterval(config.group_most_age));
   return options;
 }
 
@@ -60,17 +60,17 @@
   return group_.Update(CurrentView(loop_->Now()));
 }
 
-membership::GroupInput RegistryGroup::CurrentView(Micros now) {
+membership::GroupView RegistryGroup::CurrentView(Micros now) {
   const discovery::ViewStatus status = members_.Status(now);
   const auto& entries = members_.state().all();
   const bool has_own_entry = entries.count(prefix_ + own_name_) > 0;
   if (status.known && !has_own_entry) own_entry_.Missed(now - status.age);
 
-  membership::GroupInput view;
+  membership::GroupView view;
   for (const auto& [key, entry] : entries) view.names.push_back(key.substr(prefix_.size()));
   view.known = status.known;
   view.view_age = status.age;
-  view.held_until = own_entry_.HeldUntil();
+  view.lease_expires_at = own_entry_.HeldUntil();
   view.history = members_.state().lives() + own_entry_.lives();  // both only grow
   view.now = now;
   return view;
--- a/src/daemon/registry_group.hpp
+++ b/src/daemon/registry_group.hpp
@@ -44,7 +44,7 @@
   [[nodiscard]] Micros NextTimer() const;
 
  private:
-  [[nodiscard]] membership::GroupInput CurrentView(Micros now);
+  [[nodiscard]] membership::GroupView CurrentView(Micros now);
 
   event_loop::EventLoop* loop_;
   const std::string own_name_;
@@ -53,7 +53,7 @@
   RegistryConnection members_connection_;
   discovery::Registrar own_entry_;
   discovery::RegistrarLink own_entry_connection_;
-  membership::Group group_;
+  membership::GroupMembership group_;
 };
 
 }  // namespace mountflow::daemon
--- a/src/daemon/turn_committer.cpp
+++ b/src/daemon/turn_committer.cpp
@@ -19,7 +19,7 @@
 
 bool TurnCommitter::SendDurableTurns() {
   parts_.durable_state->UpdateStatus();
-  parts_.admission->DiskOwes(parts_.held_replies->OldestAge(parts_.loop->Now()));
+  parts_.admission->SetStorageBacklogAge(parts_.held_replies->OldestAge(parts_.loop->Now()));
   bool flushed = false;
   while (const std::optional<std::uint64_t> number = parts_.durable_state->NextDurableTurn()) {
     const HeldTurn turn = parts_.held_replies->ReleaseTurn(*number);
--- a/src/daemon/turn_committer.hpp
+++ b/src/daemon/turn_committer.hpp
@@ -27,7 +27,7 @@
     NodeConnections* node_connections;
     BatchConnections* batch_connections;
     HttpConnections* http_connections;
-    admission::Door* admission;
+    admission::AdmissionController* admission;
   };
   explicit TurnCommitter(const Parts& parts) : parts_(parts) {}
 
--- a/tests/daemon/http_front_test.cpp
+++ b/tests/daemon/http_front_test.cpp
@@ -153,12 +153,12 @@
 }
 
 TEST_F(HttpFrontTest, AdmissionTurnsAwayWithRetryAfterInWholeSeconds) {
-  admission::DoorOptions options;
-  options.most_wait = 1;
-  options.first_cost = 10'000'000;
-  admission::Door admission(options);
+  admission::AdmissionOptions options;
+  options.max_wait = 1;
+  options.initial_cost_per_job = 10'000'000;
+  admission::AdmissionController admission(options);
   front_.SetAdmission(&admission);
-  admission.DiskOwes(1'000'000);
+  admission.SetStorageBacklogAge(1'000'000);
   const Reply reply = Ask("POST", "/v1/jobs", R"({"script": "true", "queue": "safe"})");
   EXPECT_EQ(reply.status, 503);
   EXPECT_FALSE(reply.reports_stored_state);
