--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -508,7 +508,10 @@
 }
 
 bool Daemon::Start(std::string* error) {
-  if (!keys_.Start(loop_->Now(), error)) return false;
+  if (const auto keys_loaded = keys_.Start(loop_->Now()); !keys_loaded) {
+    *error = Describe(keys_loaded.error());
+    return false;
+  }
   batch_listener_ = loop_->Listen(config_.batch_address, batch_side_.get(), error);
   if (batch_listener_ == 0) return false;
   if (!config_.http_address.empty()) {
@@ -595,7 +598,7 @@
 // Moves what the parts say to each other until they are quiet, then to the sockets.
 void Daemon::Pump() {
   keys_.Poll(loop_->Now());
-  for (const std::string& text : keys_.TakeComplaints()) {
+  for (const std::string& text : keys_.TakeWarnings()) {
     WriteLine(*log_, job_manager::Level::kWarn, {{"event", "tls"}, {"text", text}});
   }
   list_side_->Poll();
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -47,7 +47,7 @@
   int batch_port() const;
   int http_port() const;
   job_manager::JobManager& core() { return core_; }
-  void Reload() { keys_.LookNow(); }  // the key files
+  void Reload() { keys_.CheckNow(); }  // the key files
   void MeasureParts();
   Spent spent() const;
 
--- a/src/node_agent/host.cpp
+++ b/src/node_agent/host.cpp
@@ -373,7 +373,10 @@
 Host::~Host() = default;
 
 bool Host::Start(std::string* error) {
-  if (!keys_.Start(loop_->Now(), error)) return false;
+  if (const auto keys_loaded = keys_.Start(loop_->Now()); !keys_loaded) {
+    *error = Describe(keys_loaded.error());
+    return false;
+  }
   for (const HostedNode& hosted : configs_) {
     auto& keys = racks_[hosted.config.rack];
     if (!keys) keys = std::make_shared<KeyMemory>();
@@ -407,7 +410,7 @@
 
 void Host::Pump() {
   keys_.Poll(loop_->Now());
-  for (const std::string& text : keys_.TakeComplaints()) {
+  for (const std::string& text : keys_.TakeWarnings()) {
     std::fprintf(stderr, "mountflow-node: tls: %s\n", text.c_str());
   }
   Micros next = keys_.NextTimer();
--- a/src/tls/context.hpp
+++ b/src/tls/context.hpp
@@ -1,9 +1,6 @@
-// TLS by OpenSSL (1.2 and later), sans-I/O: sessions turn bytes into bytes
-// through memory. A client always checks the other side: its chain to the CA, its
-// time, and its name. A server that is given a CA asks for certificates by it.
-//
-// Load takes all files or none: what was loaded before stands when it fails, and
-// sessions that are under way keep the keys they began with.
+// TLS by OpenSSL (1.2 and later), without I/O of its own: sessions turn bytes into bytes through memory. A
+// client always checks the other side: its chain to the CA, its validity and its name. A server that is given
+// a CA demands a certificate signed by it.
 #ifndef MOUNTFLOW_TLS_CONTEXT_HPP_
 #define MOUNTFLOW_TLS_CONTEXT_HPP_
 
@@ -13,6 +10,7 @@
 #include <vector>
 
 #include "event_loop/connection_filter.hpp"
+#include "tls/tls_error.hpp"
 
 namespace mountflow::tls {
 
@@ -27,10 +25,11 @@
 enum class Side { kClient, kServer };
 
 struct Expiry {
-  std::string what;
+  std::string what;            // for operators
   std::int64_t not_after = 0;  // seconds since 1970
 };
 
+// Not thread-safe. Sessions do not refer to the context and may outlive it.
 class Context {
  public:
   Context(Side side, Options options);
@@ -38,20 +37,21 @@
   Context(const Context&) = delete;
   Context& operator=(const Context&) = delete;
 
-  // False with "FILE: expected ...".
-  bool Load(std::string* error);
+  // Loads all files or none: after an error what was loaded before stays in use. Sessions that are under way
+  // keep the keys that they began with.
+  [[nodiscard]] TlsStatus Load();
   // `host`: the address that is connected to, without its port. Null before the first successful Load.
-  std::unique_ptr<event_loop::Filter> NewSession(const std::string& host);
-  // Own certificate, and the soonest of the other side's chain as last seen.
-  std::vector<Expiry> Expiries() const;
+  [[nodiscard]] std::unique_ptr<event_loop::Filter> NewSession(const std::string& host);
+  // Of the own certificate, and the earliest of the other side's chain as last seen.
+  [[nodiscard]] std::vector<Expiry> Expiries() const;
   const Options& options() const { return options_; }
 
-  struct Impl;
-
  private:
+  struct Loaded;  // keeps OpenSSL out of this header
+
   Side side_;
   Options options_;
-  std::unique_ptr<Impl> impl_;
+  std::unique_ptr<Loaded> loaded_;
 };
 
 }  // namespace mountflow::tls
--- a/src/tls/keys.cpp
+++ b/src/tls/keys.cpp
@@ -4,38 +4,33 @@
 
 namespace mountflow::tls {
 
-// Time, size and inode: a file that was replaced or written differs in one of them.
-std::string Keys::Stamp() const {
+std::string Keys::FileStamp() const {
   std::string stamp;
-  const Options& o = context_.options();
-  for (const std::string* file : {&o.ca, &o.certificate, &o.key}) {
-    struct stat s {};
-    if (!file->empty() && stat(file->c_str(), &s) == 0) {
-      stamp += std::to_string(s.st_mtim.tv_sec) + "." + std::to_string(s.st_mtim.tv_nsec) + "/" +
-               std::to_string(s.st_size) + "/" + std::to_string(s.st_ino);
+  const Options& options = context_.options();
+  for (const std::string* file : {&options.ca, &options.certificate, &options.key}) {
+    struct stat status {};
+    if (!file->empty() && stat(file->c_str(), &status) == 0) {
+      stamp += std::to_string(status.st_mtim.tv_sec) + "." + std::to_string(status.st_mtim.tv_nsec) + "/" +
+               std::to_string(status.st_size) + "/" + std::to_string(status.st_ino);
     }
     stamp += ";";
   }
   return stamp;
 }
 
-bool Keys::Start(Micros now, std::string* error) {
-  if (!on_) return true;
-  renewal_.Look(now, Stamp());
-  const bool good = context_.Load(error);
-  renewal_.Loaded(good, *error);
-  renewal_.Consider(now, context_.Expiries());
-  return good;
+TlsStatus Keys::Start(Micros now) {
+  if (!on_) return {};
+  renewal_.CheckFiles(now, FileStamp());
+  TlsStatus status = context_.Load();
+  renewal_.OnLoaded(status);
+  renewal_.CheckExpiries(now, context_.Expiries());
+  return status;
 }
 
 void Keys::Poll(Micros now) {
   if (!on_ || !renewal_.Due(now)) return;
-  if (renewal_.Look(now, Stamp())) {
-    std::string error;
-    const bool good = context_.Load(&error);
-    renewal_.Loaded(good, error);
-  }
-  renewal_.Consider(now, context_.Expiries());
+  if (renewal_.CheckFiles(now, FileStamp())) renewal_.OnLoaded(context_.Load());
+  renewal_.CheckExpiries(now, context_.Expiries());
 }
 
 std::unique_ptr<event_loop::Filter> Keys::Session(const std::string& address) {
--- a/src/tls/renewal.cpp
+++ b/src/tls/renewal.cpp
@@ -6,57 +6,64 @@
 namespace mountflow::tls {
 namespace {
 
-constexpr std::int64_t kDay = 86'400;
-constexpr std::size_t kMostComplaints = 64;  // kept until taken
-constexpr std::size_t kMostTold = 64;        // ends remembered; beyond: all are forgotten, and told again
+constexpr std::int64_t kSecondsPerDay = 86'400;
+constexpr std::int64_t kSecondsPerHour = 3'600;
+constexpr Micros kMicrosPerSecond = 1'000'000;
+constexpr std::size_t kMaxWarnings = 64;
+constexpr std::size_t kMaxRememberedExpiries = 64;  // beyond, all are forgotten and warned of again
 
 }  // namespace
 
-void Renewal::Complain(std::string text) {
-  if (complaints_.size() < kMostComplaints) complaints_.push_back(std::move(text));
+void Renewal::AddWarning(std::string text) {
+  if (warnings_.size() < kMaxWarnings) warnings_.push_back(std::move(text));
 }
 
-bool Renewal::Look(Micros now, const std::string& files) {
-  next_ = now + options_.look_every;
-  seen_ = files;
-  return files != loaded_;
+bool Renewal::CheckFiles(Micros now, const std::string& stamp) {
+  next_check_ = now + options_.check_interval;
+  checked_stamp_ = stamp;
+  return stamp != loaded_stamp_;
 }
 
-void Renewal::Loaded(bool good, const std::string& error) {
-  if (good) {
-    if (!loaded_.empty()) Complain("keys loaded anew");
-    loaded_ = seen_;
-    complained_.clear();
-  } else if (complained_ != seen_) {
-    complained_ = seen_;
-    Complain("keys not loaded, those from before stay: " + error);
+void Renewal::OnLoaded(const TlsStatus& status) {
+  if (status) {
+    if (!loaded_stamp_.empty()) AddWarning("keys loaded anew");
+    loaded_stamp_ = checked_stamp_;
+    failed_stamp_.clear();
+  } else if (failed_stamp_ != checked_stamp_) {
+    failed_stamp_ = checked_stamp_;
+    AddWarning("keys not loaded, those from before stay: " + Describe(status.error()));
   }
 }
 
-void Renewal::Consider(Micros now, const std::vector<Expiry>& ends) {
-  const auto seconds = static_cast<std::int64_t>(now / 1'000'000);
-  if (told_.size() > kMostTold) told_.clear();
-  for (const Expiry& end : ends) {
-    Told& told = told_[end.what];
-    if (told.not_after != end.not_after)
-      told = {end.not_after, options_.days.empty() ? 1 : options_.days[0] + 1};
-    const std::int64_t left = end.not_after - seconds;
-    // Days left at the thresholds, then 0, -1, ... for each day past the end: ever smaller.
-    long step = told.step;
-    if (left <= 0) {
-      step = static_cast<long>(left / kDay);
+std::int64_t Renewal::ReachedThreshold(std::int64_t seconds_left, std::int64_t none) const {
+  // Past the expiry 0, -1, ... for each day, so that the result only falls as time passes.
+  if (seconds_left <= 0) return seconds_left / kSecondsPerDay;
+  std::int64_t reached = none;
+  for (const int days : options_.warning_days) {
+    if (seconds_left <= days * kSecondsPerDay) reached = std::min<std::int64_t>(reached, days);
+  }
+  return reached;
+}
+
+void Renewal::CheckExpiries(Micros now, const std::vector<Expiry>& expiries) {
+  const auto now_seconds = static_cast<std::int64_t>(now / kMicrosPerSecond);
+  const std::int64_t no_threshold = options_.warning_days.empty() ? 1 : options_.warning_days[0] + 1;
+  if (last_warnings_.size() > kMaxRememberedExpiries) last_warnings_.clear();
+  for (const Expiry& expiry : expiries) {
+    LastWarning& last = last_warnings_[expiry.what];
+    if (last.not_after != expiry.not_after) last = {expiry.not_after, no_threshold};
+    const std::int64_t seconds_left = expiry.not_after - now_seconds;
+    const std::int64_t reached = ReachedThreshold(seconds_left, last.days_left);
+    if (reached >= last.days_left) continue;
+    last.days_left = reached;
+    if (seconds_left <= 0) {
+      AddWarning(expiry.what + " has ended");
     } else {
-      for (const int days : options_.days) {
-        if (left <= days * kDay) step = std::min<long>(step, days);
-      }
+      AddWarning(expiry.what + " ends in " + std::to_string(seconds_left / kSecondsPerHour) + " hours");
     }
-    if (step >= told.step) continue;
-    told.step = step;
-    Complain(left <= 0 ? end.what + " has ended"
-                       : end.what + " ends in " + std::to_string(left / 3600) + " hours");
   }
 }
 
-std::vector<std::string> Renewal::TakeComplaints() { return std::exchange(complaints_, {}); }
+std::vector<std::string> Renewal::TakeWarnings() { return std::exchange(warnings_, {}); }
 
 }  // namespace mountflow::tls
--- /dev/null
+++ b/src/tls/session.hpp
@@ -0,0 +1,49 @@
+// One TLS connection through memory.
+#ifndef MOUNTFLOW_TLS_SESSION_HPP_
+#define MOUNTFLOW_TLS_SESSION_HPP_
+
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <string_view>
+
+#include "event_loop/connection_filter.hpp"
+#include "tls/context.hpp"
+#include "tls/openssl_pointers.hpp"
+
+namespace mountflow::tls {
+
+// The end of a certificate's validity in seconds since 1970; 0 when it is null or has none.
+[[nodiscard]] std::int64_t ExpiryOf(const X509* certificate);
+
+// Not thread-safe. After an error nothing more is received or sent.
+class Session : public event_loop::Filter {
+ public:
+  // `peer_expiry` is set after the handshake to the earliest expiry in the other side's chain.
+  Session(SslPointer ssl, Side side, std::shared_ptr<std::int64_t> peer_expiry);
+
+  void Start(std::string* out) override;
+  bool Receive(std::string_view bytes, std::string* plain, std::string* out) override;
+  bool Send(std::string_view plain, std::string* out) override;
+  void Finish(std::string* out) override;
+  bool ready() const override { return ready_; }
+  const std::string& error() const override { return error_; }
+
+ private:
+  void Handshake();
+  void RecordPeerExpiry();
+  void ReadPlain(std::string* plain);
+  void TakeOutput(std::string* out);
+
+  SslPointer ssl_;
+  const Side side_;
+  const std::shared_ptr<std::int64_t> peer_expiry_;
+  BIO* received_ = nullptr;  // owned by ssl_, as is to_send_
+  BIO* to_send_ = nullptr;
+  bool ready_ = false;  // the handshake is done
+  std::string error_;
+};
+
+}  // namespace mountflow::tls
+
+#endif  // MOUNTFLOW_TLS_SESSION_HPP_
--- a/tests/support/tls_fixture.hpp
+++ b/tests/support/tls_fixture.hpp
@@ -5,80 +5,91 @@
 #include <openssl/evp.h>
 #include <openssl/pem.h>
 #include <openssl/x509v3.h>
-#include <stdio.h>
-#include <stdlib.h>
-#include <time.h>
 
+#include <cstdio>
+#include <cstdlib>
+#include <ctime>
 #include <filesystem>
 #include <string>
 
 namespace mountflow::testing {
 
+constexpr long kCertificateDay = 86'400;
+
+// A CA with a directory of its own for files, removed at the end.
 class Authority {
  public:
   explicit Authority(const std::string& name = "test CA") {
-    char made[] = "/tmp/mountflow-tls-XXXXXX";
-    folder_ = mkdtemp(made);
+    char directory[] = "/tmp/mountflow-tls-XXXXXX";
+    directory_ = mkdtemp(directory);
     key_ = EVP_EC_gen("P-256");
-    certificate_ = Make(key_, name, "", time(nullptr) - 86'400, time(nullptr) + 3650 * 86'400L, true);
-    Write("ca", certificate_, nullptr);
+    const time_t now = time(nullptr);
+    certificate_ = MakeCertificate(key_, name, "", now - kCertificateDay, now + 3650 * kCertificateDay, true);
+    WriteFiles("ca", certificate_, nullptr);
   }
   ~Authority() {
     X509_free(certificate_);
     EVP_PKEY_free(key_);
-    std::filesystem::remove_all(folder_);
+    std::filesystem::remove_all(directory_);
   }
   Authority(const Authority&) = delete;
   Authority& operator=(const Authority&) = delete;
 
-  std::string File(const std::string& name) const { return folder_ + "/" + name; }
+  std::string File(const std::string& name) const { return directory_ + "/" + name; }
   std::string ca() const { return File("ca.pem"); }
-  // Writes NAME.pem and NAME.key. `alt`: "IP:127.0.0.1" or "DNS:registry". Times in seconds from now.
-  void Issue(const std::string& name, const std::string& alt, long from = -3600, long to = 365 * 86'400L) {
+  // Writes NAME.pem and NAME.key. `alternative_name`: "IP:127.0.0.1" or "DNS:registry"; empty: none. Times in
+  // seconds from now.
+  void Issue(const std::string& name, const std::string& alternative_name, long not_before = -3600,
+             long not_after = 365 * kCertificateDay) {
     EVP_PKEY* key = EVP_EC_gen("P-256");
-    X509* leaf = Make(key, name, alt, time(nullptr) + from, time(nullptr) + to, false);
-    Write(name, leaf, key);
+    const time_t now = time(nullptr);
+    X509* leaf = MakeCertificate(key, name, alternative_name, now + not_before, now + not_after, false);
+    WriteFiles(name, leaf, key);
     X509_free(leaf);
     EVP_PKEY_free(key);
   }
 
  private:
-  X509* Make(EVP_PKEY* key, const std::string& name, const std::string& alt, time_t from, time_t to,
-             bool ca) {
-    X509* x = X509_new();
-    X509_set_version(x, 2);
-    ASN1_INTEGER_set(X509_get_serialNumber(x), ++serial_);
-    ASN1_TIME_set(X509_getm_notBefore(x), from);
-    ASN1_TIME_set(X509_getm_notAfter(x), to);
-    X509_set_pubkey(x, key);
-    X509_NAME_add_entry_by_txt(X509_get_subject_name(x), "CN", MBSTRING_ASC,
+  X509* MakeCertificate(EVP_PKEY* key, const std::string& name, const std::string& alternative_name,
+                        time_t not_before, time_t not_after, bool is_ca) {
+    constexpr long kVersion3 = 2;
+    X509* certificate = X509_new();
+    X509* issuer = is_ca ? certificate : certificate_;
+    X509_set_version(certificate, kVersion3);
+    ASN1_INTEGER_set(X509_get_serialNumber(certificate), ++last_serial_);
+    ASN1_TIME_set(X509_getm_notBefore(certificate), not_before);
+    ASN1_TIME_set(X509_getm_notAfter(certificate), not_after);
+    X509_set_pubkey(certificate, key);
+    X509_NAME_add_entry_by_txt(X509_get_subject_name(certificate), "CN", MBSTRING_ASC,
                                reinterpret_cast<const unsigned char*>(name.c_str()), -1, -1, 0);
-    X509_set_issuer_name(x, X509_get_subject_name(ca ? x : certificate_));
-    Extend(x, ca ? x : certificate_, NID_basic_constraints, ca ? "critical,CA:TRUE" : "CA:FALSE");
-    if (!alt.empty()) Extend(x, certificate_, NID_subject_alt_name, alt.c_str());
-    X509_sign(x, key_, EVP_sha256());
-    return x;
+    X509_set_issuer_name(certificate, X509_get_subject_name(issuer));
+    AddExtension(certificate, issuer, NID_basic_constraints, is_ca ? "critical,CA:TRUE" : "CA:FALSE");
+    if (!alternative_name.empty())
+      AddExtension(certificate, certificate_, NID_subject_alt_name, alternative_name.c_str());
+    X509_sign(certificate, key_, EVP_sha256());
+    return certificate;
   }
-  static void Extend(X509* x, X509* issuer, int kind, const char* value) {
-    X509V3_CTX ctx;
-    X509V3_set_ctx(&ctx, issuer, x, nullptr, nullptr, 0);
-    X509_EXTENSION* extension = X509V3_EXT_conf_nid(nullptr, &ctx, kind, value);
-    X509_add_ext(x, extension, -1);
+  static void AddExtension(X509* certificate, X509* issuer, int kind, const char* value) {
+    X509V3_CTX context;
+    X509V3_set_ctx(&context, issuer, certificate, nullptr, nullptr, 0);
+    X509_EXTENSION* extension = X509V3_EXT_conf_nid(nullptr, &context, kind, value);
+    X509_add_ext(certificate, extension, -1);
     X509_EXTENSION_free(extension);
   }
-  void Write(const std::string& name, X509* certificate, EVP_PKEY* key) {
-    FILE* f = fopen(File(name + ".pem").c_str(), "w");
-    PEM_write_X509(f, certificate);
-    fclose(f);
+  void WriteFiles(const std::string& name, X509* certificate, EVP_PKEY* key) {
+    FILE* file = std::fopen(File(name + ".pem").c_str(), "w");
+    PEM_write_X509(file, certificate);
+    std::fclose(file);
     if (key == nullptr) return;
-    f = fopen(File(name + ".key").c_str(), "w");
-    PEM_write_PrivateKey(f, key, nullptr, nullptr, 0, nullptr, nullptr);
-    fclose(f);
+    file = std::fopen(File(name + ".key").c_str(), "w");
+    PEM_write_PrivateKey(file, key, nullptr, nullptr, 0, nullptr, nullptr);
+    std::fclose(file);
   }
-  std::string folder_;
+
+  std::string directory_;
   EVP_PKEY* key_ = nullptr;
   X509* certificate_ = nullptr;
-  long serial_ = 0;
+  long last_serial_ = 0;
 };
 
 }  // namespace mountflow::testing
--- a/tools/registry_standin/list_server.cpp
+++ b/tools/registry_standin/list_server.cpp
@@ -9,7 +9,10 @@
                        std::string* error) {
   store_.SetDelay(delay);
   keys_ = std::make_unique<tls::Keys>(tls, tls::Side::kServer);
-  if (!keys_->Start(loop_->Now(), error)) return false;
+  if (const auto keys_loaded = keys_->Start(loop_->Now()); !keys_loaded) {
+    *error = Describe(keys_loaded.error());
+    return false;
+  }
   event_loop::Loop::Filters filters;
   if (keys_->on()) {
     filters = [this] {
