--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -66,9 +66,9 @@
 // ---- Start ----
 
 DaemonStatus Daemon::Start() {
-  std::string error;
-  if (!tls_keys_.Start(loop_->Now(), &error)) {
-    return tl::unexpected(DaemonError{DaemonErrorCode::kTlsKeys, "", error});
+  const tls::TlsStatus keys_loaded = tls_keys_.Start(loop_->Now());
+  if (!keys_loaded) {
+    return tl::unexpected(DaemonError{DaemonErrorCode::kTlsKeys, "", Describe(keys_loaded.error())});
   }
   DaemonStatus listening = Listen();
   if (!listening) return listening;
@@ -130,7 +130,7 @@
 
 void Daemon::PollTlsKeys() {
   tls_keys_.Poll(loop_->Now());
-  log_.WarnEach("tls", tls_keys_.TakeComplaints());
+  log_.WarnEach("tls", tls_keys_.TakeWarnings());
 }
 
 void Daemon::PollGroup() {
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -49,7 +49,7 @@
   // config.stop_grace at most, then stops the loop.
   void Stop();
   // Loads the TLS key files again.
-  void ReloadKeys() { tls_keys_.LookNow(); }
+  void ReloadKeys() { tls_keys_.CheckNow(); }
 
   // Ports that Start listens on; 0 when it does not.
   [[nodiscard]] int batch_port() const { return loop_->PortOf(batch_listener_); }
--- a/src/daemon/http_front.cpp
+++ b/src/daemon/http_front.cpp
@@ -58,16 +58,16 @@
           {"free_memory", node.free_memory}};
 }
 
-json StatementLineToJson(const ledger::Line& line) {
+json StatementLineToJson(const ledger::StatementLine& line) {
   return {{"tenant", line.tenant},
           {"class", line.task_class},
           {"kind", line.kind},
-          {"core_hour", line.core_hour},
-          {"gib_hour", line.gib_hour},
-          {"postings", line.sums.postings},
+          {"core_hour", line.core_hour_price},
+          {"gib_hour", line.gib_hour_price},
+          {"postings", line.totals.postings},
           // As texts: they may be larger than the numbers of JSON.
-          {"millicore_us", ledger::ToText(line.sums.core)},
-          {"mebibyte_us", ledger::ToText(line.sums.memory)},
+          {"millicore_us", ledger::ToText(line.totals.millicore_us)},
+          {"mebibyte_us", ledger::ToText(line.totals.mebibyte_us)},
           {"money", ledger::ToText(line.money)}};
 }
 
@@ -157,15 +157,17 @@
   for (const std::string& name : book_->Periods()) {
     periods.push_back({{"period", name}, {"closed", book_->IsClosed(name)}});
   }
-  return JsonReply{HttpStatus::kOk, {{"postings", book_->last()}, {"periods", std::move(periods)}}};
+  return JsonReply{HttpStatus::kOk, {{"postings", book_->last_sequence()}, {"periods", std::move(periods)}}};
 }
 
 JsonResult HttpFront::ShowStatement(const Request& request) const {
   if (book_ == nullptr) return FailUnknownPath();
   const std::string period = request.parameter.substr(1);  // the route before leaves no empty parameter
   const bool restated = request.message.Query("restated") == "true";
+  const ledger::StatementKind kind =
+      restated ? ledger::StatementKind::kRestated : ledger::StatementKind::kAsPosted;
   json lines = json::array();
-  for (const ledger::Line& line : book_->Statement(period, restated)) {
+  for (const ledger::StatementLine& line : book_->Statement(period, kind)) {
     lines.push_back(StatementLineToJson(line));
   }
   return JsonReply{HttpStatus::kOk, std::move(lines)};
--- a/src/daemon/usage_ledger.cpp
+++ b/src/daemon/usage_ledger.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-UsageLedger::UsageLedger(ledger::Rules rules, double memory_unit_bytes,
+UsageLedger::UsageLedger(ledger::BillingRules rules, double memory_unit_bytes,
                          const job_manager::JobManager* job_manager, EventLog* log)
     : memory_unit_bytes_(memory_unit_bytes), job_manager_(job_manager), log_(log), book_(std::move(rules)) {}
 
@@ -54,67 +54,66 @@
 
 void UsageLedger::Close() { committer_.reset(); }
 
-bool UsageLedger::IsLedgerRecord(std::string_view record) { return ledger::Outbox::Is(record); }
+bool UsageLedger::IsLedgerRecord(std::string_view record) { return ledger::Outbox::IsEntry(record); }
 
 DaemonStatus UsageLedger::Replay(std::string_view record) {
   if (!is_open()) return {};  // billing was switched off since
-  std::string ledger_record;
-  std::string expected;
-  bool is_missing = false;
-  if (!outbox_.Take(record, &ledger_record, &is_missing, &expected)) return StorageFailure("", expected);
-  if (!is_missing) return {};
-  posted_records_.push_back(ledger_record);
-  return Apply(ledger_record);
+  const ledger::LedgerResult<ledger::Outbox::Entry> entry = outbox_.Decode(record);
+  if (!entry) {
+    return StorageFailure("", "an outbox entry that follows (" + Describe(entry.error()) + ")");
+  }
+  if (!entry->missing) return {};
+  posted_records_.push_back(entry->record);
+  return Apply(entry->record);
 }
 
 DaemonStatus UsageLedger::Apply(std::string_view record) {
-  ledger::Record decoded;
-  std::string expected;
-  if (!ledger::Read(record, &decoded, &expected)) return StorageFailure("", expected);
-  if (!book_.Apply(std::move(decoded), &expected)) return StorageFailure("", expected);
-  return {};
+  const ledger::LedgerStatus applied = ledger::DecodeRecord(record).and_then(
+      [this](ledger::Record decoded) { return book_.Apply(std::move(decoded)); });
+  if (applied) return {};
+  return StorageFailure("", "a ledger record that follows (" + Describe(applied.error()) + ")");
 }
 
-ledger::Use UsageLedger::ToLedgerUse(const job_manager::ResourceUsage& usage) const {
+ledger::AttemptUsage UsageLedger::ToAttemptUsage(const job_manager::ResourceUsage& usage) const {
   const job_manager::JobManagerOptions& options = job_manager_->options();
   const job_manager::ListedNode* node = job_manager_->FindNode(usage.node);
-  ledger::Use use;
-  use.attempt = job_manager_->AttemptName(usage.attempt);
-  use.tenant = NameAt(options.tenants, usage.tenant);
-  use.task_class = NameAt(options.classes, usage.task_class);
-  use.kind = node != nullptr ? node->kind : "";
-  use.start = usage.started;
-  use.end = usage.ended;
-  use.millicores = std::llround(usage.cores * kMillicoresPerCore);
-  use.mebibytes = std::llround(usage.memory * memory_unit_bytes_ / kBytesPerMebibyte);
-  return use;
+  ledger::AttemptUsage attempt;
+  attempt.attempt = job_manager_->AttemptName(usage.attempt);
+  attempt.tenant = NameAt(options.tenants, usage.tenant);
+  attempt.task_class = NameAt(options.classes, usage.task_class);
+  attempt.kind = node != nullptr ? node->kind : "";
+  attempt.start = usage.started;
+  attempt.end = usage.ended;
+  attempt.millicores = std::llround(usage.cores * kMillicoresPerCore);
+  attempt.mebibytes = std::llround(usage.memory * memory_unit_bytes_ / kBytesPerMebibyte);
+  return attempt;
 }
 
 void UsageLedger::Post(Micros now, const job_manager::ResourceUsage& usage) {
   if (!is_open()) return;
-  const ledger::Decision decision = book_.Post(now, ToLedgerUse(usage));
-  if (decision.verdict == ledger::Verdict::kTwice) return;
-  if (decision.verdict != ledger::Verdict::kPosted) {
-    log_->Warn("ledger", "not counted: " + decision.reason);
+  const ledger::LedgerResult<ledger::Book::Records> records = book_.Post(now, ToAttemptUsage(usage));
+  if (!records) {
+    const bool is_duplicate = records.error().code == ledger::LedgerErrorCode::kDuplicate;
+    if (!is_duplicate) log_->Warn("ledger", "not counted: " + Describe(records.error()));
     return;
   }
-  for (const ledger::Record& record : decision.records) {
-    std::string expected;  // a record that the book itself made is valid
-    book_.Apply(record, &expected);
-    posted_records_.push_back(ledger::Write(record));
+  for (const ledger::Record& record : *records) {
+    const ledger::LedgerStatus applied = book_.Apply(record);
+    if (!applied) log_->Warn("ledger", "not applied: " + Describe(applied.error()));
+    posted_records_.push_back(ledger::EncodeRecord(record));
   }
 }
 
 std::vector<std::string> UsageLedger::RecordsForJobsLog() {
   std::vector<std::string> records;
-  for (const std::string& record : posted_records_) records.push_back(outbox_.Put(record));
+  for (const std::string& record : posted_records_) records.push_back(outbox_.Encode(record));
   return records;
 }
 
 void UsageLedger::CommitPosted() { last_commit_ = committer_->Add(std::exchange(posted_records_, {})); }
 
 std::string UsageLedger::Rejection(Micros now, const job_manager::JobSpec& spec) const {
-  return book_.Refusal(NameAt(job_manager_->options().tenants, spec.tenant), now);
+  return book_.RejectionReason(NameAt(job_manager_->options().tenants, spec.tenant), now);
 }
 
 }  // namespace mountflow::daemon
--- a/src/daemon/usage_ledger.hpp
+++ b/src/daemon/usage_ledger.hpp
@@ -16,7 +16,10 @@
 #include "daemon/daemon_error.hpp"
 #include "daemon/event_log.hpp"
 #include "job_manager/job_manager.hpp"
+#include "ledger/attempt_usage.hpp"
+#include "ledger/billing_rules.hpp"
 #include "ledger/book.hpp"
+#include "ledger/outbox.hpp"
 #include "storage/committer.hpp"
 #include "storage/files.hpp"
 
@@ -27,8 +30,8 @@
 class UsageLedger {
  public:
   // `memory_unit_bytes`: of the job manager's unit of memory.
-  UsageLedger(ledger::Rules rules, double memory_unit_bytes, const job_manager::JobManager* job_manager,
-              EventLog* log);
+  UsageLedger(ledger::BillingRules rules, double memory_unit_bytes,
+              const job_manager::JobManager* job_manager, EventLog* log);
 
   // Replays the ledger's log; call before the jobs' log is replayed. `notify` is called from the committer's
   // thread. kStorage when the log is damaged or a record is not valid.
@@ -62,7 +65,7 @@
 
  private:
   [[nodiscard]] DaemonStatus Apply(std::string_view record);
-  [[nodiscard]] ledger::Use ToLedgerUse(const job_manager::ResourceUsage& usage) const;
+  [[nodiscard]] ledger::AttemptUsage ToAttemptUsage(const job_manager::ResourceUsage& usage) const;
 
   const double memory_unit_bytes_;
   const job_manager::JobManager* job_manager_;
--- a/tests/daemon/http_front_test.cpp
+++ b/tests/daemon/http_front_test.cpp
@@ -215,7 +215,7 @@
 TEST_F(HttpFrontTest, LedgerIsThereWithABookOnly) {
   EXPECT_EQ(Ask("GET", "/v1/use").status, 404);
   EXPECT_EQ(Ask("GET", "/v1/use/2026-01").status, 404);
-  const ledger::Book book{ledger::Rules{}};
+  const ledger::Book book{ledger::BillingRules{}};
   front_.SetBook(&book);
   EXPECT_EQ(Ask("GET", "/v1/use").body, nlohmann::json::parse(R"({"postings": 0, "periods": []})"));
   EXPECT_EQ(Ask("GET", "/v1/use/2026-01").body, nlohmann::json::array());
--- a/tests/daemon/usage_ledger_test.cpp
+++ b/tests/daemon/usage_ledger_test.cpp
@@ -24,10 +24,10 @@
       : log_(std::make_shared<spdlog::logger>("test",
                                               std::make_shared<spdlog::sinks::ostream_sink_st>(lines_))) {}
 
-  std::unique_ptr<daemon::UsageLedger> NewLedger(ledger::Rules rules = {}) {
+  std::unique_ptr<daemon::UsageLedger> NewLedger(ledger::BillingRules rules = {}) {
     return std::make_unique<daemon::UsageLedger>(std::move(rules), kMemoryUnitBytes, &rig_.core, &log_);
   }
-  std::unique_ptr<daemon::UsageLedger> OpenLedger(storage::Files* files, ledger::Rules rules = {}) {
+  std::unique_ptr<daemon::UsageLedger> OpenLedger(storage::Files* files, ledger::BillingRules rules = {}) {
     auto usage_ledger = NewLedger(std::move(rules));
     const daemon::DaemonStatus opened = usage_ledger->Open(files, "folder", [] {});
     EXPECT_TRUE(opened.has_value()) << Describe(opened.error());
@@ -54,7 +54,7 @@
   usage_ledger->Post(rig_.now, Usage(1));
   EXPECT_FALSE(usage_ledger->has_posted());
   EXPECT_TRUE(usage_ledger->RecordsForJobsLog().empty());
-  EXPECT_EQ(usage_ledger->book().last(), 0u);
+  EXPECT_EQ(usage_ledger->book().last_sequence(), 0u);
 }
 
 TEST_F(UsageLedgerTest, UsageIsPostedInMillicoresAndMebibytes) {
@@ -65,20 +65,20 @@
   ASSERT_NE(posting, nullptr);
   EXPECT_EQ(posting->attempt, "1.d0/1");
   EXPECT_EQ(posting->task_class, "keyed");
-  EXPECT_EQ(ledger::ToText(posting->core), std::to_string(2000 * kSecond));
-  EXPECT_EQ(ledger::ToText(posting->memory), std::to_string(4096 * kSecond));
+  EXPECT_EQ(ledger::ToText(posting->millicore_us), std::to_string(2000 * kSecond));
+  EXPECT_EQ(ledger::ToText(posting->mebibyte_us), std::to_string(4096 * kSecond));
 }
 
 TEST_F(UsageLedgerTest, SameAttemptIsPostedOnceAndAConflictIsLogged) {
   const auto usage_ledger = OpenLedger(&files_);
   usage_ledger->Post(rig_.now, Usage(1));
   usage_ledger->Post(rig_.now, Usage(1));
-  EXPECT_EQ(usage_ledger->book().last(), 1u);
+  EXPECT_EQ(usage_ledger->book().last_sequence(), 1u);
   EXPECT_EQ(lines_.str(), "");
   job_manager::ResourceUsage other = Usage(1);
   other.cores = 3.0;
   usage_ledger->Post(rig_.now, other);
-  EXPECT_EQ(usage_ledger->book().last(), 1u);
+  EXPECT_EQ(usage_ledger->book().last_sequence(), 1u);
   EXPECT_NE(lines_.str().find("not counted: "), std::string::npos) << lines_.str();
 }
 
@@ -90,7 +90,7 @@
     EXPECT_FALSE(usage_ledger->has_posted());
     usage_ledger->Close();
   }
-  EXPECT_EQ(OpenLedger(&files_)->book().last(), 1u);
+  EXPECT_EQ(OpenLedger(&files_)->book().last_sequence(), 1u);
 }
 
 TEST_F(UsageLedgerTest, StartTakesFromTheJobsLogWhatTheLedgersLogLacks) {
@@ -110,7 +110,7 @@
     EXPECT_TRUE(daemon::UsageLedger::IsLedgerRecord(record));
     EXPECT_TRUE(usage_ledger->Replay(record).has_value());
   }
-  EXPECT_EQ(usage_ledger->book().last(), 2u);
+  EXPECT_EQ(usage_ledger->book().last_sequence(), 2u);
   ASSERT_NE(usage_ledger->book().Find(2), nullptr);
   EXPECT_EQ(usage_ledger->book().Find(2)->attempt, "2.d0/1");
   EXPECT_TRUE(usage_ledger->has_posted());  // for the ledger's log
@@ -119,7 +119,7 @@
 TEST_F(UsageLedgerTest, RecordsOfTheJobsLogArePassedOverWithoutBilling) {
   const auto usage_ledger = NewLedger();
   EXPECT_TRUE(usage_ledger->Replay("L is the mark").has_value());
-  EXPECT_EQ(usage_ledger->book().last(), 0u);
+  EXPECT_EQ(usage_ledger->book().last_sequence(), 0u);
 }
 
 TEST_F(UsageLedgerTest, DamagedRecordOfTheJobsLogIsAnError) {
