--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -205,7 +205,7 @@
     node_list_.ReadAnew();
   } else {
     const ScopedCpuTimer timer(&cpu_profile_, &CpuTimes::node_sessions);
-    node_sessions_.Take(now, output);
+    node_sessions_.Deliver(now, output);
   }
 }
 
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -98,7 +98,7 @@
   // Protocols.
   pbs_server::Front pbs_server_;
   HttpFront http_front_;
-  node_sessions::NodeLinks node_sessions_;
+  node_sessions::NodeSessions node_sessions_;
 
   // State on disk, and what waits for it.
   DurableState durable_state_;
--- a/src/daemon/held_replies.cpp
+++ b/src/daemon/held_replies.cpp
@@ -4,7 +4,7 @@
 
 namespace mountflow::daemon {
 
-void HeldReplies::SetNodeActions(std::vector<node_sessions::LinkAction> actions) {
+void HeldReplies::SetNodeActions(std::vector<node_sessions::SessionAction> actions) {
   current_.node_actions = std::move(actions);
 }
 
--- a/src/daemon/held_replies.hpp
+++ b/src/daemon/held_replies.hpp
@@ -30,7 +30,7 @@
 
 // Everything that one turn sends.
 struct HeldTurn {
-  std::vector<node_sessions::LinkAction> node_actions;
+  std::vector<node_sessions::SessionAction> node_actions;
   std::vector<event_loop::ConnId> batch_connections;  // with output to flush; repeats are possible
   std::vector<HttpReply> http_replies;
   Micros held_since = 0;
@@ -44,7 +44,7 @@
 class HeldReplies {
  public:
   // ---- The current turn ----
-  void SetNodeActions(std::vector<node_sessions::LinkAction> actions);
+  void SetNodeActions(std::vector<node_sessions::SessionAction> actions);
   void AddBatchConnection(event_loop::ConnId connection);
   void AddHttpReply(HttpReply reply);
   [[nodiscard]] bool IsCurrentTurnEmpty() const { return current_.empty(); }
--- a/src/daemon/node_connections.cpp
+++ b/src/daemon/node_connections.cpp
@@ -11,8 +11,8 @@
 
 }  // namespace
 
-void NodeConnections::CarryOut(const std::vector<node_sessions::LinkAction>& actions) {
-  for (const node_sessions::LinkAction& action : actions) {
+void NodeConnections::CarryOut(const std::vector<node_sessions::SessionAction>& actions) {
+  for (const node_sessions::SessionAction& action : actions) {
     if (const auto* open = std::get_if<node_sessions::OpenConn>(&action)) {
       loop_->Connect(open->address, this, kFirstConnection + open->conn);
     } else if (const auto* send = std::get_if<node_sessions::SendBytes>(&action)) {
--- a/src/daemon/node_connections.hpp
+++ b/src/daemon/node_connections.hpp
@@ -15,11 +15,11 @@
 // Not thread-safe: used by the event loop's thread alone. The pointers must outlive it.
 class NodeConnections : public event_loop::ConnectionHandler {
  public:
-  NodeConnections(event_loop::EventLoop* loop, node_sessions::NodeLinks* sessions, CpuProfile* profile)
+  NodeConnections(event_loop::EventLoop* loop, node_sessions::NodeSessions* sessions, CpuProfile* profile)
       : loop_(loop), sessions_(sessions), profile_(profile) {}
 
   // Opens, writes and closes connections, in this order.
-  void CarryOut(const std::vector<node_sessions::LinkAction>& actions);
+  void CarryOut(const std::vector<node_sessions::SessionAction>& actions);
 
   void OnConnected(event_loop::ConnId connection) override;
   void OnReceived(event_loop::ConnId connection, std::string_view bytes) override;
@@ -27,7 +27,7 @@
 
  private:
   event_loop::EventLoop* loop_;
-  node_sessions::NodeLinks* sessions_;
+  node_sessions::NodeSessions* sessions_;
   CpuProfile* profile_;
 };
 
--- a/src/daemon/turn_committer.hpp
+++ b/src/daemon/turn_committer.hpp
@@ -23,7 +23,7 @@
     event_loop::EventLoop* loop;
     DurableState* durable_state;
     HeldReplies* held_replies;
-    node_sessions::NodeLinks* node_sessions;
+    node_sessions::NodeSessions* node_sessions;
     NodeConnections* node_connections;
     BatchConnections* batch_connections;
     HttpConnections* http_connections;
--- a/tools/registry_standin/list_server.cpp
+++ b/tools/registry_standin/list_server.cpp
@@ -13,7 +13,7 @@
     *error = Describe(keys_loaded.error());
     return false;
   }
-  event_loop::EventLoop::Filters filters;
+  event_loop::FilterFactory filters;
   if (keys_->on()) {
     filters = [this] {
       keys_->Poll(loop_->Now());
