--- a/src/cli/directives.cpp
+++ b/src/cli/directives.cpp
@@ -3,77 +3,109 @@
 namespace mountflow::cli {
 namespace {
 
-bool IsBlank(char c) { return c == ' ' || c == '\t' || c == '\r'; }
+bool IsBlank(char character) { return character == ' ' || character == '\t' || character == '\r'; }
 
-// Splits one line; false when a quote is not closed.
-bool Split(std::string_view line, std::vector<std::string>* to) {
-  std::string word;
-  bool in_word = false;
-  char quote = 0;
-  for (std::size_t i = 0; i < line.size(); ++i) {
-    const char c = line[i];
-    if (quote != 0) {
-      if (c == quote) {
-        quote = 0;
-      } else if (c == '\\' && quote == '"' && i + 1 < line.size()) {
-        word.push_back(line[++i]);
+std::string_view Trim(std::string_view line) {
+  while (!line.empty() && IsBlank(line.front())) line.remove_prefix(1);
+  while (!line.empty() && IsBlank(line.back())) line.remove_suffix(1);
+  return line;
+}
+
+// Splits one line into words as the shell does.
+class WordSplitter {
+ public:
+  explicit WordSplitter(std::vector<std::string>* words) : words_(words) {}
+
+  // Appends the words of `line`. False when a quote is not closed.
+  bool Split(std::string_view line) {
+    for (std::size_t i = 0; i < line.size(); ++i) {
+      const char character = line[i];
+      const bool escapes = character == '\\' && quote_ != '\'' && i + 1 < line.size();
+      if (escapes) {
+        Append(line[++i]);
+      } else if (quote_ != 0) {
+        AppendQuoted(character);
+      } else if (character == '\'' || character == '"') {
+        quote_ = character;
+        in_word_ = true;
+      } else if (IsBlank(character)) {
+        EndWord();
+      } else if (character == '#' && !in_word_) {
+        break;  // the rest is a comment
       } else {
-        word.push_back(c);
+        Append(character);
       }
-    } else if (c == '\'' || c == '"') {
-      quote = c;
-      in_word = true;
-    } else if (c == '\\' && i + 1 < line.size()) {
-      word.push_back(line[++i]);
-      in_word = true;
-    } else if (IsBlank(c)) {
-      if (in_word) to->push_back(word);
-      word.clear();
-      in_word = false;
-    } else if (c == '#' && !in_word) {
-      break;  // the rest is a comment
+    }
+    EndWord();
+    return quote_ == 0;
+  }
+
+ private:
+  void Append(char character) {
+    word_.push_back(character);
+    in_word_ = true;
+  }
+
+  void AppendQuoted(char character) {
+    if (character == quote_) {
+      quote_ = 0;
     } else {
-      word.push_back(c);
-      in_word = true;
+      word_.push_back(character);
     }
   }
-  if (in_word) to->push_back(word);
-  return quote == 0;
-}
+
+  void EndWord() {
+    if (in_word_) words_->push_back(word_);
+    word_.clear();
+    in_word_ = false;
+  }
+
+  std::vector<std::string>* words_;
+  std::string word_;
+  bool in_word_ = false;  // also of an empty word in quotes
+  char quote_ = 0;        // the one that is open
+};
 
 }  // namespace
 
-Directives ReadDirectives(std::string_view script, std::string_view prefix) {
-  Directives result;
-  if (prefix.empty()) return result;
-  std::size_t number = 0, count = 0;
-  while (!script.empty()) {
-    ++number;
+std::string Describe(const DirectiveError& error) {
+  std::string where = "script line " + std::to_string(error.line) + ": expected ";
+  switch (error.code) {
+    case DirectiveErrorCode::kLineTooLong:
+      return where + "a directive of at most " + std::to_string(kMaxDirectiveLineBytes) + " bytes";
+    case DirectiveErrorCode::kTooManyDirectives:
+      return where + "at most " + std::to_string(kMaxDirectives) + " directives";
+    case DirectiveErrorCode::kOpenQuote:
+      return where + "a closing quote";
+  }
+  return where;
+}
+
+tl::expected<std::vector<std::string>, DirectiveError> ReadDirectives(std::string_view script,
+                                                                      std::string_view prefix) {
+  std::vector<std::string> arguments;
+  if (prefix.empty()) return arguments;
+  std::size_t directives = 0;
+  for (std::size_t number = 1; !script.empty(); ++number) {
     const std::size_t end = script.find('\n');
-    std::string_view line = script.substr(0, end);
+    const std::string_view line = Trim(script.substr(0, end));
     script = end == std::string_view::npos ? std::string_view{} : script.substr(end + 1);
-    while (!line.empty() && IsBlank(line.front())) line.remove_prefix(1);
-    while (!line.empty() && IsBlank(line.back())) line.remove_suffix(1);
     if (line.empty()) continue;
-    const std::string at = "script line " + std::to_string(number) + ": expected ";
-    if (line.substr(0, prefix.size()) == prefix) {
-      if (line.size() > kMostDirectiveLine) {
-        result.error = at + "a directive of at most " + std::to_string(kMostDirectiveLine) + " bytes";
-        return result;
-      }
-      if (++count > kMostDirectives) {
-        result.error = at + "at most " + std::to_string(kMostDirectives) + " directives";
-        return result;
-      }
-      if (!Split(line.substr(prefix.size()), &result.arguments)) {
-        result.error = at + "a closing quote";
-        return result;
-      }
+    if (line.substr(0, prefix.size()) != prefix) {
+      if (line.front() != '#') break;
       continue;
     }
-    if (line.front() != '#') break;
+    if (line.size() > kMaxDirectiveLineBytes) {
+      return tl::make_unexpected(DirectiveError{DirectiveErrorCode::kLineTooLong, number});
+    }
+    if (++directives > kMaxDirectives) {
+      return tl::make_unexpected(DirectiveError{DirectiveErrorCode::kTooManyDirectives, number});
+    }
+    if (!WordSplitter(&arguments).Split(line.substr(prefix.size()))) {
+      return tl::make_unexpected(DirectiveError{DirectiveErrorCode::kOpenQuote, number});
+    }
   }
-  return result;
+  return arguments;
 }
 
 }  // namespace mountflow::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,22 +1,45 @@
-// One program for all batch commands: the name under which it is called says which.
+// One program for all batch commands: the name under which it is called, or its first argument, selects the
+// command.
 #include <cstdio>
-#include <string>
-
-#include "cli/common.hpp"
-
-int main(int argc, char** argv) {
-  using namespace mountflow::cli;
-  static const std::pair<const char*, int (*)(int, char**)> kCommands[] = {
-      {"qsub", Qsub},     {"qstat", Qstat},     {"qdel", Qdel}, {"qhold", Qhold},   {"qrls", Qrls},
-      {"qalter", Qalter}, {"qselect", Qselect}, {"qsig", Qsig}, {"qrerun", Qrerun}, {"qmove", Qmove}};
-  const auto base = [](const std::string& path) { return path.substr(path.rfind('/') + 1); };
-  for (const auto& [name, run] : kCommands) {
-    if (base(argv[0]) == name) return run(argc, argv);
+#include <string_view>
+
+#include "cli/commands.hpp"
+
+namespace mountflow::cli {
+namespace {
+
+using CommandFunction = int (*)(int argc, char** argv);
+
+constexpr int kUsageError = 2;
+
+struct Command {
+  std::string_view name;
+  CommandFunction run;
+};
+constexpr Command kCommands[] = {
+    {"qsub", Qsub},     {"qstat", Qstat},     {"qdel", Qdel}, {"qhold", Qhold},   {"qrls", Qrls},
+    {"qalter", Qalter}, {"qselect", Qselect}, {"qsig", Qsig}, {"qrerun", Qrerun}, {"qmove", Qmove}};
+
+CommandFunction FindCommand(std::string_view name) {
+  for (const Command& command : kCommands) {
+    if (command.name == name) return command.run;
   }
+  return nullptr;
+}
+
+std::string_view FileName(std::string_view path) { return path.substr(path.rfind('/') + 1); }
+
+int Run(int argc, char** argv) {
+  if (const CommandFunction run = FindCommand(FileName(argv[0]))) return run(argc, argv);
   // Called as "mountflow-batch qsub ...".
-  for (const auto& [name, run] : kCommands) {
-    if (argc > 1 && std::string(argv[1]) == name) return run(argc - 1, argv + 1);
+  if (argc > 1) {
+    if (const CommandFunction run = FindCommand(argv[1])) return run(argc - 1, argv + 1);
   }
   std::fprintf(stderr, "usage: qsub|qstat|qdel|qhold|qrls|qalter|qselect|qsig|qrerun|qmove ...\n");
-  return 2;
+  return kUsageError;
 }
+
+}  // namespace
+}  // namespace mountflow::cli
+
+int main(int argc, char** argv) { return mountflow::cli::Run(argc, argv); }
--- a/src/cli/qstat.cpp
+++ b/src/cli/qstat.cpp
@@ -1,64 +1,86 @@
+// qstat: shows the status of jobs, queues and servers.
 #include <CLI/CLI.hpp>
-#include <algorithm>
-#include <cstdio>
+#include <string>
+#include <vector>
 
-#include "cli/common.hpp"
+#include "cli/commands.hpp"
+#include "cli/requests.hpp"
+#include "cli/status_output.hpp"
 
 namespace mountflow::cli {
 namespace {
 
-using pbs_protocol::StatusObject;
-using pbs_protocol::ValueOf;
+constexpr char kCommand[] = "qstat";
 
-std::string Cut(std::string_view text, std::size_t most) { return std::string(text.substr(0, most)); }
+struct QstatOptions {
+  bool full = false;
+  bool queues = false;
+  bool servers = false;
+  bool history = false;
+  std::vector<std::string> operands;
+};
 
-void Full(const StatusObject& o) {
-  const char* head = o.type == pbs_protocol::ObjectType::kJob     ? "Job Id"
-                     : o.type == pbs_protocol::ObjectType::kQueue ? "Queue"
-                                                                  : "Server";
-  std::printf("%s: %s\n", head, o.name.c_str());
-  for (const pbs_protocol::Attribute& a : o.attributes) {
-    const std::string name = a.resource.empty() ? a.name : a.name + "." + a.resource;
-    std::printf("    %s = %s\n", name.c_str(), a.value.c_str());
-  }
-  std::printf("\n");
+// What one operand asks, and of whom.
+struct Query {
+  pbs_protocol::Request request;
+  std::string address;
+};
+
+bool IsJobIdentifier(const std::string& operand) {
+  return !operand.empty() && operand[0] >= '0' && operand[0] <= '9';
 }
 
-void Jobs(const std::vector<StatusObject>& objects, bool* headed) {
-  for (const StatusObject& o : objects) {
-    if (!*headed) {
-      std::printf("%-30s %-16s %-16s %-8s %s %s\n", "Job id", "Name", "User", "Time Use", "S", "Queue");
-      std::printf("%-30s %-16s %-16s %-8s %s %s\n", "------------------------------", "----------------",
-                  "----------------", "--------", "-", "-----");
-      *headed = true;
-    }
-    std::printf(
-        "%-30s %-16s %-16s %8s %s %s\n", o.name.c_str(), Cut(ValueOf(o.attributes, "Job_Name"), 16).c_str(),
-        Cut(ValueOf(o.attributes, "Job_Owner"), 16).c_str(), "0",
-        Cut(ValueOf(o.attributes, "job_state"), 1).c_str(), Cut(ValueOf(o.attributes, "queue"), 32).c_str());
+tl::expected<Query, BadJobIdentifier> MakeQuery(const std::string& operand, const QstatOptions& options) {
+  Query query{MakeRequest(pbs_protocol::RequestType::kStatusJob), DefaultServers().front()};
+  if (options.servers) {
+    query.request.type = pbs_protocol::RequestType::kStatusServer;
+    if (!operand.empty()) query.address = ServerAddress(operand);
+    return query;
   }
+  if (!options.queues && IsJobIdentifier(operand)) {
+    const auto reference = ParseJobReference(operand);
+    if (!reference) return tl::make_unexpected(reference.error());
+    query.request.id = reference->id;
+    query.address = reference->address;
+    return query;
+  }
+  const Destination destination = ParseDestination(operand);
+  query.request.id = destination.queue;
+  if (!destination.address.empty()) query.address = destination.address;
+  if (options.queues) {
+    query.request.type = pbs_protocol::RequestType::kStatusQueue;
+  } else if (options.history) {
+    query.request.extension = "x";
+  }
+  return query;
 }
 
-void Queues(const std::vector<StatusObject>& objects) {
-  std::printf("%-20s %6s %3s %3s %-40s %s\n", "Queue", "Tot", "Ena", "Str", "States", "Effect");
-  for (const StatusObject& o : objects) {
-    std::printf("%-20s %6s %3s %3s %-40s %s\n", o.name.c_str(),
-                Cut(ValueOf(o.attributes, "total_jobs"), 6).c_str(),
-                ValueOf(o.attributes, "enabled") == "True" ? "yes" : "no",
-                ValueOf(o.attributes, "started") == "True" ? "yes" : "no",
-                Cut(ValueOf(o.attributes, "state_count"), 40).c_str(),
-                Cut(ValueOf(o.attributes, "effect"), 10).c_str());
+void PrintObjects(const std::vector<pbs_protocol::StatusObject>& objects, const QstatOptions& options,
+                  bool* has_heading) {
+  if (options.full) {
+    for (const pbs_protocol::StatusObject& object : objects) PrintInFull(object);
+  } else if (options.queues) {
+    PrintQueues(objects);
+  } else if (options.servers) {
+    PrintServers(objects);
+  } else if (!objects.empty()) {
+    if (!*has_heading) PrintJobHeading();
+    *has_heading = true;
+    PrintJobs(objects);
   }
 }
 
-void Servers(const std::vector<StatusObject>& objects) {
-  std::printf("%-20s %6s %6s %-40s %s\n", "Server", "Tot", "Nodes", "States", "Status");
-  for (const StatusObject& o : objects) {
-    std::printf(
-        "%-20s %6s %6s %-40s %s\n", o.name.c_str(), Cut(ValueOf(o.attributes, "total_jobs"), 6).c_str(),
-        Cut(ValueOf(o.attributes, "nodes"), 6).c_str(), Cut(ValueOf(o.attributes, "state_count"), 40).c_str(),
-        Cut(ValueOf(o.attributes, "server_state"), 10).c_str());
+// Returns the exit status.
+int ShowStatus(const std::string& operand, const QstatOptions& options, bool* has_heading) {
+  const auto query = MakeQuery(operand, options);
+  if (!query) return PrintError(kCommand, Describe(query.error()));
+  const auto reply = CallServer(query->address, query->request);
+  if (!reply) return PrintConnectionError(kCommand, reply.error());
+  if (reply->code != pbs_protocol::Code::kNone) {
+    return PrintError(kCommand, DescribeRejection(*reply) + " " + operand);
   }
+  PrintObjects(reply->objects, options, has_heading);
+  return 0;
 }
 
 }  // namespace
@@ -66,64 +88,22 @@
 int Qstat(int argc, char** argv) {
   CLI::App app{"qstat: shows the status of batch jobs, queues and servers"};
   app.set_help_flag("--help", "this text");
-  bool full = false, queues = false, servers = false, history = false;
-  std::vector<std::string> operands;
-  app.add_flag("-f", full, "in full");
-  app.add_flag("-Q", queues, "queues");
-  app.add_flag("-B", servers, "servers");
-  app.add_flag("-x", history, "complete jobs too");
-  app.add_option("operand", operands, "job identifiers, destinations or servers");
+  QstatOptions options;
+  app.add_flag("-f", options.full, "in full");
+  app.add_flag("-Q", options.queues, "queues");
+  app.add_flag("-B", options.servers, "servers");
+  app.add_flag("-x", options.history, "complete jobs too");
+  app.add_option("operand", options.operands, "job identifiers, destinations or servers");
   CLI11_PARSE(app, argc, argv);
-  if (queues && servers) {
-    std::fprintf(stderr, "qstat: -Q and -B exclude each other\n");
-    return 2;
+  if (options.queues && options.servers) {
+    PrintError(kCommand, "-Q and -B exclude each other");
+    return kUsageError;
   }
-  if (operands.empty()) operands.push_back("");
+  if (options.operands.empty()) options.operands.emplace_back();
   int status = 0;
-  bool headed = false;
-  for (const std::string& operand : operands) {
-    pbs_protocol::Request r = Make(pbs_protocol::RequestType::kStatusJob);
-    std::string address = Daemons().front(), error;
-    const bool job = !operand.empty() && operand[0] >= '0' && operand[0] <= '9' && !queues && !servers;
-    if (servers) {
-      r.type = pbs_protocol::RequestType::kStatusServer;
-      if (!operand.empty()) address = AddressOfServer(operand);
-    } else if (job) {
-      JobRef ref;
-      if (!ReadJobRef(operand, &ref, &error)) {
-        std::fprintf(stderr, "qstat: %s\n", error.c_str());
-        status = 1;
-        continue;
-      }
-      r.id = ref.id;
-      address = ref.address;
-    } else {  // QUEUE, @SERVER or QUEUE@SERVER
-      const std::size_t at = operand.find('@');
-      r.id = operand.substr(0, at);
-      if (at != std::string::npos) address = AddressOfServer(operand.substr(at + 1));
-      if (queues) r.type = pbs_protocol::RequestType::kStatusQueue;
-    }
-    if (history && r.type == pbs_protocol::RequestType::kStatusJob && !job) r.extension = "x";
-    pbs_protocol::Reply reply;
-    if (!Call(address, r, &reply, &error)) {
-      std::fprintf(stderr, "qstat: cannot connect to server: %s\n", error.c_str());
-      status = 1;
-      continue;
-    }
-    if (reply.code != pbs_protocol::Code::kNone) {
-      std::fprintf(stderr, "qstat: %s %s\n", Complaint(reply).c_str(), operand.c_str());
-      status = 1;
-      continue;
-    }
-    if (full) {
-      for (const StatusObject& o : reply.objects) Full(o);
-    } else if (queues) {
-      Queues(reply.objects);
-    } else if (servers) {
-      Servers(reply.objects);
-    } else {
-      Jobs(reply.objects, &headed);
-    }
+  bool has_heading = false;  // of the table of jobs
+  for (const std::string& operand : options.operands) {
+    if (ShowStatus(operand, options, &has_heading) != 0) status = kFailure;
   }
   return status;
 }
--- a/src/cli/qsub.cpp
+++ b/src/cli/qsub.cpp
@@ -1,298 +1,367 @@
+// qsub: submits a script as a job.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
+#include <algorithm>
 #include <cctype>
 #include <cstdio>
 #include <cstdlib>
 #include <fstream>
 #include <iostream>
 #include <iterator>
-#include <map>
 #include <optional>
 #include <sstream>
+#include <string>
+#include <utility>
+#include <vector>
 
-#include "cli/common.hpp"
+#include "cli/commands.hpp"
 #include "cli/directives.hpp"
+#include "cli/option_values.hpp"
+#include "cli/qsub_options.hpp"
+#include "cli/requests.hpp"
+#include "pbs_client/host.hpp"
+#include "pbs_client/submission.hpp"
 
 extern char** environ;
 
 namespace mountflow::cli {
 namespace {
 
-struct Options {
-  std::optional<std::string> account, prefix, error_path, join, keep, mail, mail_users, name, output_path,
-      destination, rerun, shell, variables, date, checkpoint, users;
-  std::optional<int> priority;
-  std::vector<std::string> resources, additional;
-  bool hold = false, all_variables = false, quiet = false, interactive = false;
-  std::vector<std::string> operands;
+constexpr char kCommand[] = "qsub";
+constexpr char kDefaultJobName[] = "STDIN";
+constexpr char kDefaultDirectivePrefix[] = "#PBS";
+constexpr std::size_t kMaxNameBytes = 236;
+constexpr std::size_t kMaxPathBytes = 4096;
+constexpr int kMaxRetries = 100;
+constexpr double kMinAnswerSeconds = 0.001;
+constexpr Micros kRetriedClientTime = 8'000'000;  // of a job that may be retried
+constexpr Micros kConnectTimeout = 10'000'000;
+constexpr Micros kStatusTimeout = 330'000'000;  // of one wait for a job's status
+constexpr char kStatusWait[] = ",seconds=300";  // after which the server replies anyway
+
+int Fail(const std::string& text) { return PrintError(kCommand, text); }
+
+// ---- What is submitted ----
+
+struct Script {
+  std::string text;
+  std::string name;  // the default name of the job
 };
 
-// One table of options for the command line and for the script's directives.
-void Bind(CLI::App* app, Options* o) {
-  const auto last = CLI::MultiOptionPolicy::TakeLast;
-  app->add_option("-a", o->date, "not to be run before [[CC]YY]MMDDhhmm[.SS]")->multi_option_policy(last);
-  app->add_option("-A", o->account, "account (tenant)")->multi_option_policy(last);
-  app->add_option("-c", o->checkpoint, "checkpoint interval (taken, without effect)")
-      ->multi_option_policy(last);
-  app->add_option("-C", o->prefix, "directive prefix")->multi_option_policy(last)->expected(1);
-  app->add_option("-e", o->error_path, "path of the standard error")->multi_option_policy(last);
-  app->add_flag("-h", o->hold, "user hold");
-  app->add_option("-j", o->join, "oe or eo: join the outputs; n: not")->multi_option_policy(last);
-  app->add_option("-k", o->keep, "files to keep (taken, without effect)")->multi_option_policy(last);
-  app->add_option("-l", o->resources, "ncpus=N,mem=SIZE,walltime=HH:MM:SS")->allow_extra_args(false);
-  app->add_option("-m", o->mail, "mail points (taken, without effect)")->multi_option_policy(last);
-  app->add_option("-M", o->mail_users, "mail users (taken, without effect)")->multi_option_policy(last);
-  app->add_option("-N", o->name, "name of the job")->multi_option_policy(last);
-  app->add_option("-o", o->output_path, "path of the standard output")->multi_option_policy(last);
-  app->add_option("-p", o->priority, "priority, -1024 to 1023")->multi_option_policy(last);
-  app->add_option("-q", o->destination, "queue[@server]")->multi_option_policy(last);
-  app->add_option("-r", o->rerun, "y or n: rerunnable")->multi_option_policy(last);
-  app->add_option("-S", o->shell, "shell path list (taken, without effect)")->multi_option_policy(last);
-  app->add_option("-u", o->users, "user list (taken, without effect)")->multi_option_policy(last);
-  app->add_option("-v", o->variables, "variables to hand over")->multi_option_policy(last);
-  app->add_flag("-V", o->all_variables, "hand over all variables");
-  app->add_option("-W", o->additional, "service=NAME,key=KEY,owner_time=TIME,block=true|answer,retries=N")
-      ->allow_extra_args(false);
-  app->add_flag("-z", o->quiet, "do not write the job identifier");
-  app->add_flag("-I", o->interactive, "interactive jobs: not served");
-  app->add_option("script", o->operands, "script file; - or nothing: standard input")->expected(0, 1);
+// The script of the operands; nothing if its file cannot be opened.
+std::optional<Script> ReadScript(const std::vector<std::string>& operands) {
+  Script script;
+  if (operands.empty() || operands[0] == "-") {
+    script.text.assign(std::istreambuf_iterator<char>(std::cin), {});
+    script.name = kDefaultJobName;
+    return script;
+  }
+  const std::string& path = operands[0];
+  std::ifstream in(path, std::ios::binary);
+  if (!in) return std::nullopt;
+  script.text.assign(std::istreambuf_iterator<char>(in), {});
+  script.name = path.substr(path.rfind('/') + 1);
+  return script;
 }
 
-std::string Escaped(const std::string& value) {
-  std::string out;
-  for (char c : value) {
-    if (c == ',' || c == '\\') out.push_back('\\');
-    out.push_back(c);
-  }
-  return out;
+std::string DirectivePrefix(const QsubOptions& options) {
+  if (options.directive_prefix) return *options.directive_prefix;
+  const char* stated = std::getenv("PBS_DPREFIX");
+  return stated != nullptr ? stated : kDefaultDirectivePrefix;
 }
 
-std::string VariableList(const Options& o, const std::string& destination) {
-  std::string list;
-  const auto add = [&list](const std::string& name, const std::string& value) {
-    list += (list.empty() ? "" : ",") + name + "=" + Escaped(value);
-  };
-  for (const char* name : {"HOME", "LANG", "LOGNAME", "PATH", "MAIL", "SHELL", "TZ"}) {
-    const char* value = std::getenv(name);
-    if (value != nullptr) add(std::string("PBS_O_") + name, value);
-  }
-  char cwd[4096] = "";
-  if (getcwd(cwd, sizeof cwd) != nullptr) add("PBS_O_WORKDIR", cwd);
-  add("PBS_O_HOST", pbs_client::HostName());
-  add("PBS_O_QUEUE", destination);
-  if (o.all_variables) {
-    for (char** one = environ; *one != nullptr; ++one) {
-      const std::string text = *one;
-      const std::size_t equals = text.find('=');
-      if (equals != std::string::npos && equals > 0) add(text.substr(0, equals), text.substr(equals + 1));
-    }
-  }
-  if (o.variables) {
-    std::istringstream in(*o.variables);
-    for (std::string one; std::getline(in, one, ',');) {
-      const std::size_t equals = one.find('=');
-      if (equals != std::string::npos) {
-        add(one.substr(0, equals), one.substr(equals + 1));
-      } else if (const char* value = std::getenv(one.c_str()); value != nullptr) {
-        add(one, value);
-      }
-    }
-  }
-  return list;
+// Merges the options of the script's directives and then those of the command line, which win. The error is
+// the message.
+tl::expected<void, std::string> MergeOptions(const std::string& script,
+                                             const std::vector<std::string>& command_line,
+                                             QsubOptions* options) {
+  const auto directives = ReadDirectives(script, DirectivePrefix(*options));
+  if (!directives) return tl::make_unexpected(Describe(directives.error()));
+  const auto parsed = ParseOver(*directives, options);
+  if (!parsed) return tl::make_unexpected("directive: " + parsed.error());
+  return ParseOver(command_line, options);
 }
 
-int Fail(const std::string& text) {
-  std::fprintf(stderr, "qsub: %s\n", text.c_str());
-  return 1;
+std::optional<std::string> CurrentDirectory() {
+  char path[kMaxPathBytes] = "";
+  if (getcwd(path, sizeof path) == nullptr) return std::nullopt;
+  return path;
 }
 
-// Waits for the answer, then for the end if that was asked for.
-int Block(const std::string& id, const std::string& server, bool until_end) {
-  for (const char* what : {"wait=answer", "wait=end"}) {
-    pbs_protocol::Reply reply;
-    for (;;) {
-      pbs_client::Client client;
-      std::string error;
-      pbs_protocol::Request r = Make(pbs_protocol::RequestType::kStatusJob, id);
-      r.extension = std::string(what) + ",seconds=300";
-      if (!client.Connect(server, 10'000'000, &error) || !client.Call(r, &reply, 330'000'000, &error)) {
-        return Fail("waiting for " + id + ": " + error);
-      }
-      if (reply.code != pbs_protocol::Code::kNone || reply.objects.empty())
-        return Fail(Complaint(reply) + " " + id);
-      const std::string_view state = pbs_protocol::ValueOf(reply.objects[0].attributes, "job_state");
-      const bool there = what == std::string("wait=end")
-                             ? state == "C"
-                             : !pbs_protocol::ValueOf(reply.objects[0].attributes, "answer").empty();
-      if (there) break;
-    }
-    const pbs_protocol::Attributes& list = reply.objects[0].attributes;
-    const std::string_view answer = pbs_protocol::ValueOf(list, "answer");
-    if (answer != "placed") {
-      return Fail("job " + id + " " + std::string(answer) + ": " +
-                  std::string(pbs_protocol::ValueOf(list, "comment")));
-    }
-    if (!until_end) return 0;
-    if (what == std::string("wait=end")) {
-      const std::string status(pbs_protocol::ValueOf(list, "exit_status"));
-      return status.empty() ? 1 : std::atoi(status.c_str()) & 255;
+// ---- Attributes ----
+
+// The value of Variable_List, with commas and backslashes escaped.
+class VariableList {
+ public:
+  void Add(const std::string& name, const std::string& value) {
+    text_ += (text_.empty() ? "" : ",") + name + "=";
+    for (const char character : value) {
+      if (character == ',' || character == '\\') text_.push_back('\\');
+      text_.push_back(character);
     }
   }
-  return 0;
-}
 
-}  // namespace
+  // "NAME=VALUE"; skipped without a name.
+  void AddAssignment(const std::string& assignment) {
+    const std::size_t equals = assignment.find('=');
+    if (equals != std::string::npos && equals > 0)
+      Add(assignment.substr(0, equals), assignment.substr(equals + 1));
+  }
 
-int Qsub(int argc, char** argv) {
-  Options o;
-  {
-    Options first;  // the prefix and the script come from the command line alone
-    CLI::App app{"qsub: submits a script as a batch job"};
-    app.set_help_flag("--help", "this text");
-    Bind(&app, &first);
-    CLI11_PARSE(app, argc, argv);
-    o.operands = first.operands;
-    o.prefix = first.prefix;
+  // A variable of the environment; skipped if it is not set.
+  void AddFromEnvironment(const std::string& name, const std::string& prefix = "") {
+    if (const char* value = std::getenv(name.c_str()); value != nullptr) Add(prefix + name, value);
   }
-  std::string script, name = "STDIN";
-  if (o.operands.empty() || o.operands[0] == "-") {
-    script.assign(std::istreambuf_iterator<char>(std::cin), {});
+
+  const std::string& text() const { return text_; }
+
+ private:
+  std::string text_;
+};
+
+// "NAME" or "NAME=VALUE" of option -v; an empty NAME before "=" is kept.
+void AddStatedVariable(const std::string& stated, VariableList* list) {
+  const std::size_t equals = stated.find('=');
+  if (equals == std::string::npos) {
+    list->AddFromEnvironment(stated);
   } else {
-    std::ifstream in(o.operands[0], std::ios::binary);
-    if (!in) return Fail("cannot open script file: " + o.operands[0]);
-    script.assign(std::istreambuf_iterator<char>(in), {});
-    name = o.operands[0].substr(o.operands[0].rfind('/') + 1);
+    list->Add(stated.substr(0, equals), stated.substr(equals + 1));
   }
-  std::string prefix = "#PBS";
-  if (const char* stated = std::getenv("PBS_DPREFIX"); stated != nullptr) prefix = stated;
-  if (o.prefix) prefix = *o.prefix;
-  const Directives found = ReadDirectives(script, prefix);
-  if (!found.error.empty()) return Fail(found.error);
-
-  // Directives first, then the command line, which wins.
-  std::vector<std::string> line(argv + 1, argv + argc);
-  for (const std::vector<std::string>* args :
-       {&found.arguments, const_cast<const std::vector<std::string>*>(&line)}) {
-    CLI::App app{"qsub"};
-    app.set_help_flag("--help");
-    Options fresh;
-    Bind(&app, &fresh);
-    try {
-      std::vector<std::string> reversed(args->rbegin(), args->rend());
-      app.parse(reversed);
-    } catch (const CLI::ParseError& e) {
-      return Fail((args == &found.arguments ? "directive: " : "") + std::string(e.what()));
-    }
-    const auto over = [](auto* to, const auto& from) {
-      if (from) *to = from;
-    };
-    over(&o.account, fresh.account), over(&o.error_path, fresh.error_path), over(&o.join, fresh.join);
-    over(&o.keep, fresh.keep), over(&o.mail, fresh.mail), over(&o.mail_users, fresh.mail_users);
-    over(&o.name, fresh.name), over(&o.output_path, fresh.output_path),
-        over(&o.destination, fresh.destination);
-    over(&o.rerun, fresh.rerun), over(&o.shell, fresh.shell), over(&o.variables, fresh.variables);
-    over(&o.date, fresh.date), over(&o.checkpoint, fresh.checkpoint), over(&o.users, fresh.users);
-    over(&o.priority, fresh.priority);
-    o.resources.insert(o.resources.end(), fresh.resources.begin(), fresh.resources.end());
-    o.additional.insert(o.additional.end(), fresh.additional.begin(), fresh.additional.end());
-    o.hold |= fresh.hold, o.all_variables |= fresh.all_variables, o.quiet |= fresh.quiet;
-    o.interactive |= fresh.interactive;
+}
+
+std::string MakeVariableList(const QsubOptions& options, const std::string& queue) {
+  VariableList list;
+  for (const char* name : {"HOME", "LANG", "LOGNAME", "PATH", "MAIL", "SHELL", "TZ"}) {
+    list.AddFromEnvironment(name, "PBS_O_");
   }
-  if (o.interactive) return Fail("-I: interactive jobs are not served; submit a script");
-
-  pbs_client::Submission s;
-  s.user = pbs_client::UserName() + "@" + pbs_client::HostName();
-  pbs_protocol::Attributes& list = s.attributes;
-  std::string error;
-  if (o.name) name = *o.name;
-  if (name.empty() || name.size() > 236 || std::isspace(static_cast<unsigned char>(name[0]))) {
-    return Fail("illegal -N value: expected a name of 1 to 236 bytes");
+  if (const auto directory = CurrentDirectory()) list.Add("PBS_O_WORKDIR", *directory);
+  list.Add("PBS_O_HOST", pbs_client::HostName());
+  list.Add("PBS_O_QUEUE", queue);
+  if (options.all_variables) {
+    for (char** variable = environ; *variable != nullptr; ++variable) list.AddAssignment(*variable);
   }
-  Put(&list, "Job_Name", name);
-  for (const std::string& one : o.resources) {
-    if (!ReadResources(one, &list, &error)) return Fail(error);
+  std::istringstream stated(options.variables.value_or(""));
+  for (std::string item; std::getline(stated, item, ',');) AddStatedVariable(item, &list);
+  return list.text();
+}
+
+// HOST:PATH of an output; a path that ends in a slash gets the usual file name at the node.
+std::string OutputPath(const std::optional<std::string>& stated, const std::string& directory) {
+  if (!stated) return pbs_client::HostName() + ":" + directory + "/";
+  const std::size_t colon = stated->find(':');
+  const std::string host = colon == std::string::npos ? pbs_client::HostName() : stated->substr(0, colon);
+  const std::string file = colon == std::string::npos ? *stated : stated->substr(colon + 1);
+  const bool is_absolute = !file.empty() && file[0] == '/';
+  return host + ":" + (is_absolute ? file : directory + "/" + file);
+}
+
+tl::unexpected<std::string> Illegal(const char* option, const char* expected) {
+  return tl::make_unexpected(Describe(OptionError{option, expected, std::nullopt}));
+}
+
+using Result = tl::expected<void, std::string>;  // the error is the message
+
+Result AddNameAndResources(const QsubOptions& options, const std::string& default_name,
+                           pbs_protocol::Attributes* list) {
+  const std::string name = options.name.value_or(default_name);
+  if (name.empty() || name.size() > kMaxNameBytes || std::isspace(static_cast<unsigned char>(name[0]))) {
+    return Illegal("-N", "a name of 1 to 236 bytes");
   }
-  if (o.account) Put(&list, "Account_Name", *o.account);
-  if (o.priority) Put(&list, "Priority", std::to_string(*o.priority));
-  if (o.rerun) {
-    if (*o.rerun != "y" && *o.rerun != "n") return Fail("illegal -r value: expected y or n");
-    Put(&list, "Rerunable", *o.rerun);
+  SetAttribute(list, "Job_Name", name);
+  for (const std::string& resources : options.resources) {
+    const auto added = AddResources(resources, list);
+    if (!added) return tl::make_unexpected(Describe(added.error()));
   }
-  if (o.hold) Put(&list, "Hold_Types", "u");
-  if (o.date) {
-    std::uint64_t seconds = 0;
-    if (!ReadDateTime(*o.date, &seconds, &error)) return Fail(error);
-    Put(&list, "Execution_Time", std::to_string(seconds));
+  return {};
+}
+
+Result AddHowToRun(const QsubOptions& options, pbs_protocol::Attributes* list) {
+  if (options.account) SetAttribute(list, "Account_Name", *options.account);
+  if (options.priority) SetAttribute(list, "Priority", std::to_string(*options.priority));
+  if (options.rerun) {
+    if (*options.rerun != "y" && *options.rerun != "n") return Illegal("-r", "y or n");
+    SetAttribute(list, "Rerunable", *options.rerun);
   }
-  if (o.join && *o.join != "oe" && *o.join != "eo" && *o.join != "n") {
-    return Fail("illegal -j value: expected oe, eo or n");
+  if (options.hold) SetAttribute(list, "Hold_Types", "u");
+  if (options.date) {
+    const auto seconds = ParseDateTime(*options.date);
+    if (!seconds) return tl::make_unexpected(Describe(seconds.error()));
+    SetAttribute(list, "Execution_Time", std::to_string(*seconds));
   }
-  if (o.join && *o.join != "n") Put(&list, "Join_Path", *o.join);
-  char cwd[4096] = "";
-  if (getcwd(cwd, sizeof cwd) == nullptr) return Fail("the current directory cannot be told");
-  const auto path = [&cwd](const std::optional<std::string>& stated) {
-    // A path that ends in a slash gets the usual file name at the node.
-    if (!stated) return pbs_client::HostName() + ":" + cwd + "/";
-    const std::size_t colon = stated->find(':');
-    const std::string host = colon == std::string::npos ? pbs_client::HostName() : stated->substr(0, colon);
-    const std::string file = colon == std::string::npos ? *stated : stated->substr(colon + 1);
-    return host + ":" + (!file.empty() && file[0] == '/' ? file : std::string(cwd) + "/" + file);
-  };
-  Put(&list, "Output_Path", path(o.output_path));
-  Put(&list, "Error_Path", path(o.error_path));
-  const std::string destination = o.destination.value_or("");
-  const std::size_t at = destination.find('@');
-  s.destination = destination.substr(0, at);
-  Put(&list, "Variable_List", VariableList(o, s.destination));
-  if (o.mail) Put(&list, "Mail_Points", *o.mail);
-  if (o.mail_users) Put(&list, "Mail_Users", *o.mail_users);
-  if (o.keep) Put(&list, "Keep_Files", *o.keep);
-  if (o.checkpoint) Put(&list, "Checkpoint", *o.checkpoint);
-  if (o.shell) Put(&list, "Shell_Path_List", *o.shell);
-  for (const std::string& one : o.additional) {
-    if (!ReadAdditional(one, &list, &error)) return Fail(error);
+  return {};
+}
+
+Result AddOutputs(const QsubOptions& options, pbs_protocol::Attributes* list) {
+  const std::string join = options.join.value_or("n");
+  if (join != "oe" && join != "eo" && join != "n") return Illegal("-j", "oe, eo or n");
+  if (join != "n") SetAttribute(list, "Join_Path", join);
+  const auto directory = CurrentDirectory();
+  if (!directory) return tl::make_unexpected(std::string("the current directory cannot be told"));
+  SetAttribute(list, "Output_Path", OutputPath(options.output_path, *directory));
+  SetAttribute(list, "Error_Path", OutputPath(options.error_path, *directory));
+  return {};
+}
+
+Result AddOthers(const QsubOptions& options, const std::string& queue, pbs_protocol::Attributes* list) {
+  SetAttribute(list, "Variable_List", MakeVariableList(options, queue));
+  const std::pair<const char*, const std::optional<std::string>&> texts[] = {
+      {"Mail_Points", options.mail},
+      {"Mail_Users", options.mail_users},
+      {"Keep_Files", options.keep},
+      {"Checkpoint", options.checkpoint},
+      {"Shell_Path_List", options.shell}};
+  for (const auto& [attribute, value] : texts) {
+    if (value) SetAttribute(list, attribute, *value);
   }
-  // Some of -W is for this command.
-  std::string block;
-  for (auto it = list.begin(); it != list.end();) {
-    if (it->name == "block") {
-      block = it->value;
-      if (block != "true" && block != "false" && block != "answer") {
-        return Fail("illegal -W value: block: expected true, false or answer");
+  for (const std::string& additional : options.additional) {
+    const auto added = AddAttributes(additional, list);
+    if (!added) return tl::make_unexpected(Describe(added.error()));
+  }
+  return {};
+}
+
+Result AddAllAttributes(const QsubOptions& options, const std::string& default_name, const std::string& queue,
+                        pbs_protocol::Attributes* list) {
+  return AddNameAndResources(options, default_name, list)
+      .and_then([&] { return AddHowToRun(options, list); })
+      .and_then([&] { return AddOutputs(options, list); })
+      .and_then([&] { return AddOthers(options, queue, list); });
+}
+
+// ---- Attributes that are for this command ----
+
+// What the command waits for after the submission.
+enum class Wait { kNothing, kAnswer, kEnd };
+
+std::optional<Wait> ParseWait(const std::string& block) {
+  if (block == "false") return Wait::kNothing;
+  if (block == "answer") return Wait::kAnswer;
+  if (block == "true") return Wait::kEnd;
+  return std::nullopt;
+}
+
+// Moves the attributes that are for this command out of the list.
+tl::expected<Wait, std::string> TakeCommandAttributes(pbs_client::Submission* submission) {
+  Wait wait = Wait::kNothing;
+  pbs_protocol::Attributes remaining;
+  for (pbs_protocol::Attribute& attribute : submission->attributes) {
+    if (attribute.name == "block") {
+      const std::optional<Wait> parsed = ParseWait(attribute.value);
+      if (!parsed) {
+        return tl::make_unexpected(std::string("illegal -W value: block: expected true, false or answer"));
       }
-    } else if (it->name == "retries") {
-      s.tries = 1 + static_cast<unsigned>(std::max(0, std::min(100, std::atoi(it->value.c_str()))));
-    } else if (it->name == "answer_within") {
-      s.answer_within = static_cast<Micros>(std::max(0.001, std::atof(it->value.c_str())) * 1e6);
-    } else if (it->name == "key") {
-      s.key = it->value;
+      wait = *parsed;
+    } else if (attribute.name == "retries") {
+      const int retries = std::clamp(std::atoi(attribute.value.c_str()), 0, kMaxRetries);
+      submission->max_attempts = 1 + static_cast<unsigned>(retries);
+    } else if (attribute.name == "answer_within") {
+      const double seconds = std::max(kMinAnswerSeconds, std::atof(attribute.value.c_str()));
+      submission->answer_timeout = static_cast<Micros>(seconds * 1e6);
+    } else if (attribute.name == "key") {
+      submission->key = attribute.value;
     } else {
-      ++it;
-      continue;
+      remaining.push_back(std::move(attribute));
     }
-    it = list.erase(it);
   }
-  if (s.tries > 1 && s.key.empty())
-    return Fail("illegal -W value: retries: expected a key as well (-W key=...)");
-  if (s.tries > 1) s.owner_time = 8'000'000;
-  s.script = script;
-  std::vector<std::string> daemons = Daemons();
-  if (at != std::string::npos) daemons = {AddressOfServer(destination.substr(at + 1))};
-  const pbs_client::SubmitResult result = pbs_client::Submit(daemons, s);
-  if (!result.ok) {
-    std::string text = result.error;
-    if (result.code != pbs_protocol::Code::kNone && text != pbs_protocol::Describe(result.code)) {
-      text = std::string(pbs_protocol::Describe(result.code)) + ": " + text;
+  submission->attributes = std::move(remaining);
+  if (submission->max_attempts > 1 && submission->key.empty()) {
+    return tl::make_unexpected(std::string("illegal -W value: retries: expected a key as well (-W key=...)"));
+  }
+  if (submission->max_attempts > 1) submission->client_time = kRetriedClientTime;
+  return wait;
+}
+
+// ---- Waiting for the job ----
+
+bool HasReached(const pbs_protocol::Attributes& job, Wait wait) {
+  if (wait == Wait::kEnd) return pbs_protocol::ValueOf(job, "job_state") == "C";
+  return !pbs_protocol::ValueOf(job, "answer").empty();
+}
+
+// Waits until the job has its final answer, or its end. Returns its attributes then, or the message of an
+// error.
+tl::expected<pbs_protocol::Attributes, std::string> WaitFor(const pbs_client::SubmittedJob& job, Wait wait) {
+  pbs_protocol::Request request = MakeRequest(pbs_protocol::RequestType::kStatusJob, job.id);
+  request.extension = std::string(wait == Wait::kEnd ? "wait=end" : "wait=answer") + kStatusWait;
+  for (;;) {
+    pbs_client::BatchConnection connection;
+    const auto reply = connection.Connect(job.server, kConnectTimeout).and_then([&] {
+      return connection.Call(request, kStatusTimeout);
+    });
+    if (!reply) {
+      return tl::make_unexpected("waiting for " + job.id + ": " + pbs_client::Describe(reply.error()));
+    }
+    if (reply->code != pbs_protocol::Code::kNone || reply->objects.empty()) {
+      return tl::make_unexpected(DescribeRejection(*reply) + " " + job.id);
     }
-    return Fail(text);
+    if (HasReached(reply->objects[0].attributes, wait)) return reply->objects[0].attributes;
   }
-  if (!o.quiet) {
-    std::printf("%s\n", result.id.c_str());
+}
+
+// Waits for the job's final answer; the error is a message, also that of a negative answer.
+tl::expected<pbs_protocol::Attributes, std::string> WaitForSuccess(const pbs_client::SubmittedJob& job,
+                                                                   Wait wait) {
+  auto attributes = WaitFor(job, wait);
+  if (!attributes) return attributes;
+  const std::string answer(pbs_protocol::ValueOf(*attributes, "answer"));
+  if (answer == "placed") return attributes;
+  return tl::make_unexpected("job " + job.id + " " + answer + ": " +
+                             std::string(pbs_protocol::ValueOf(*attributes, "comment")));
+}
+
+// Returns the exit status: that of the job, where its end is waited for.
+int WaitForJob(const pbs_client::SubmittedJob& job, Wait wait) {
+  const auto answered = WaitForSuccess(job, Wait::kAnswer);
+  if (!answered) return Fail(answered.error());
+  if (wait == Wait::kAnswer) return 0;
+  const auto ended = WaitForSuccess(job, Wait::kEnd);
+  if (!ended) return Fail(ended.error());
+  const std::string status(pbs_protocol::ValueOf(*ended, "exit_status"));
+  return status.empty() ? kFailure : std::atoi(status.c_str()) & 255;
+}
+
+// ---- The command ----
+
+int SubmitScript(const QsubOptions& options, Script script) {
+  const Destination destination = ParseDestination(options.destination.value_or(""));
+  pbs_client::Submission submission;
+  submission.user = RequestUser();
+  submission.destination = destination.queue;
+  const Result added = AddAllAttributes(options, script.name, destination.queue, &submission.attributes);
+  if (!added) return Fail(added.error());
+  const auto wait = TakeCommandAttributes(&submission);
+  if (!wait) return Fail(wait.error());
+  submission.script = std::move(script.text);
+
+  std::vector<std::string> servers = DefaultServers();
+  if (!destination.address.empty()) servers = {destination.address};
+  const auto job = pbs_client::Submit(servers, submission);
+  if (!job) return Fail(pbs_client::Describe(job.error()));
+  if (!options.quiet) {
+    std::printf("%s\n", job->id.c_str());
     std::fflush(stdout);
   }
-  if (block.empty() || block == "false") return 0;
-  return Block(result.id, result.server, block == "true");
+  return *wait == Wait::kNothing ? 0 : WaitForJob(*job, *wait);
+}
+
+}  // namespace
+
+int Qsub(int argc, char** argv) {
+  QsubOptions command_line;
+  CLI::App app{"qsub: submits a script as a batch job"};
+  app.set_help_flag("--help", "this text");
+  BindOptions(&app, &command_line);
+  CLI11_PARSE(app, argc, argv);
+  std::optional<Script> script = ReadScript(command_line.operands);
+  if (!script) return Fail("cannot open script file: " + command_line.operands[0]);
+
+  QsubOptions options;
+  options.directive_prefix = command_line.directive_prefix;
+  const auto merged = MergeOptions(script->text, std::vector<std::string>(argv + 1, argv + argc), &options);
+  if (!merged) return Fail(merged.error());
+  if (options.interactive) return Fail("-I: interactive jobs are not served; submit a script");
+  return SubmitScript(options, std::move(*script));
 }
 
 }  // namespace mountflow::cli
--- /dev/null
+++ b/src/cli/qsub_options.hpp
@@ -0,0 +1,51 @@
+// The options of qsub, from the command line and from a script's directives.
+#ifndef MOUNTFLOW_CLI_QSUB_OPTIONS_HPP_
+#define MOUNTFLOW_CLI_QSUB_OPTIONS_HPP_
+
+#include <CLI/CLI.hpp>
+#include <optional>
+#include <string>
+#include <tl/expected.hpp>
+#include <vector>
+
+namespace mountflow::cli {
+
+// One field an option of the POSIX command, which is why there are so many; empty where it is not given.
+struct QsubOptions {
+  std::optional<std::string> date;
+  std::optional<std::string> account;
+  std::optional<std::string> checkpoint;
+  std::optional<std::string> directive_prefix;
+  std::optional<std::string> error_path;
+  bool hold = false;
+  std::optional<std::string> join;
+  std::optional<std::string> keep;
+  std::vector<std::string> resources;
+  std::optional<std::string> mail;
+  std::optional<std::string> mail_users;
+  std::optional<std::string> name;
+  std::optional<std::string> output_path;
+  std::optional<int> priority;
+  std::optional<std::string> destination;
+  std::optional<std::string> rerun;
+  std::optional<std::string> shell;
+  std::optional<std::string> users;
+  std::optional<std::string> variables;
+  bool all_variables = false;
+  std::vector<std::string> additional;
+  bool quiet = false;
+  bool interactive = false;
+  std::vector<std::string> operands;
+};
+
+// Makes `app` parse into `options`.
+void BindOptions(CLI::App* app, QsubOptions* options);
+
+// Parses arguments over `options`: single values and flags replace what is there, lists are appended to, the
+// operands stay. The error is the parser's sentence.
+[[nodiscard]] tl::expected<void, std::string> ParseOver(const std::vector<std::string>& arguments,
+                                                        QsubOptions* options);
+
+}  // namespace mountflow::cli
+
+#endif  // MOUNTFLOW_CLI_QSUB_OPTIONS_HPP_
--- /dev/null
+++ b/src/pbs_client/submission.cpp
@@ -0,0 +1,180 @@
+#include "pbs_client/submission.hpp"
+
+#include <algorithm>
+#include <chrono>
+#include <optional>
+#include <random>
+#include <thread>
+#include <utility>
+
+#include "pbs_client/connection.hpp"
+#include "pbs_client/host.hpp"
+
+namespace mountflow::pbs_client {
+namespace {
+
+using pbs_protocol::Reply;
+using pbs_protocol::Request;
+using Result = tl::expected<SubmittedJob, SubmitError>;
+
+constexpr std::size_t kScriptChunk = 64 << 10;
+constexpr Micros kMaxRetryAfterMs = 60'000;         // of what a server may demand
+constexpr Micros kDefaultClientTime = 600'000'000;  // how long a job without a deadline may still start
+
+// Rejected by a server that says when to retry. The random part keeps clients that were rejected together
+// from coming back together.
+void SleepForRetryAfter(Micros retry_after_ms) {
+  const Micros wait = std::min(retry_after_ms, kMaxRetryAfterMs) * 1000;
+  std::random_device random;
+  std::this_thread::sleep_for(std::chrono::microseconds(wait + random() % (wait / 4 + 1)));
+}
+
+void PutAttribute(Request* request, const char* name, std::string value) {
+  request->attributes.push_back({name, "", std::move(value), pbs_protocol::Op::kSet});
+}
+
+class Submitter {
+ public:
+  explicit Submitter(const Submission& submission) : submission_(submission) {}
+
+  Result Run(const std::vector<std::string>& servers) {
+    const unsigned max_attempts = std::max(1u, submission_.max_attempts);
+    for (unsigned attempt = 0; attempt < max_attempts; ++attempt) {
+      const std::string& server = servers[attempt % servers.size()];
+      if (std::optional<Result> result = Attempt(server, attempt + 1 == max_attempts)) return *result;
+    }
+    return tl::make_unexpected(error_);
+  }
+
+ private:
+  // One attempt at one server. Empty: the next attempt is due.
+  std::optional<Result> Attempt(const std::string& server, bool is_last) {
+    attempt_ends_at_ = MonotonicTime() + submission_.answer_timeout;
+    BatchConnection connection;
+    if (const auto connected = connection.Connect(server, TimeLeft()); !connected) {
+      error_.reason = Describe(connected.error());
+      return std::nullopt;
+    }
+    job_deadline_ = submission_.client_time != 0 ? WallTime() + submission_.client_time : 0;
+    const std::optional<Reply> queued = Call(&connection, QueueRequest());
+    if (!queued) return std::nullopt;
+    if (queued->code == pbs_protocol::Code::kExists && queued->choice == pbs_protocol::Choice::kText) {
+      return SubmittedJob{queued->text, server, true};
+    }
+    if (queued->code != pbs_protocol::Code::kNone) return Rejected(*queued, is_last);
+
+    Request request;
+    request.user = submission_.user;
+    request.id = queued->text;
+    std::optional<Reply> reply = SendScript(&connection, &request);
+    if (reply && reply->code == pbs_protocol::Code::kNone) {
+      request.type = pbs_protocol::RequestType::kReadyToCommit;
+      reply = Call(&connection, request);
+    }
+    if (!reply) return std::nullopt;  // without a commit there is no job
+    if (reply->code != pbs_protocol::Code::kNone) return Fail(*reply);
+    return Commit(&connection, &request, server);
+  }
+
+  Request QueueRequest() const {
+    Request request;
+    request.type = pbs_protocol::RequestType::kQueueJob;
+    request.user = submission_.user;
+    request.destination = submission_.destination;
+    request.attributes = submission_.attributes;
+    if (!submission_.key.empty()) PutAttribute(&request, "key", submission_.key);
+    if (job_deadline_ != 0) PutAttribute(&request, "owner_deadline", std::to_string(job_deadline_));
+    // The same server is told too: it may have restarted and know nothing of the earlier attempt.
+    if (earlier_attempt_until_ != 0) {
+      PutAttribute(&request, "repeat", "true");
+      PutAttribute(&request, "earlier_until", std::to_string(earlier_attempt_until_));
+    }
+    return request;
+  }
+
+  // Sends the script in chunks, an empty one as one empty chunk. Returns the last reply.
+  std::optional<Reply> SendScript(BatchConnection* connection, Request* request) {
+    request->type = pbs_protocol::RequestType::kJobScript;
+    std::optional<Reply> reply;
+    std::size_t sent = 0;
+    do {
+      request->script = submission_.script.substr(sent, kScriptChunk);
+      sent += request->script.size();
+      reply = Call(connection, *request);
+      ++request->sequence;
+    } while (reply && reply->code == pbs_protocol::Code::kNone && sent < submission_.script.size());
+    request->script.clear();
+    return reply;
+  }
+
+  std::optional<Result> Commit(BatchConnection* connection, Request* request, const std::string& server) {
+    request->type = pbs_protocol::RequestType::kCommit;
+    const std::optional<Reply> reply = Call(connection, *request);
+    if (!reply) {
+      // Danger: the job may exist. Without a key no server could tell a retry from a second job.
+      if (submission_.key.empty()) {
+        error_.reason += "; the job may have been taken as " + request->id;
+        return tl::make_unexpected(error_);
+      }
+      const Micros until = job_deadline_ != 0 ? job_deadline_ : WallTime() + kDefaultClientTime;
+      earlier_attempt_until_ = std::max(earlier_attempt_until_, until);
+      return std::nullopt;
+    }
+    if (reply->code == pbs_protocol::Code::kExists && !reply->text.empty()) {
+      return SubmittedJob{reply->text, server, true};
+    }
+    if (reply->code != pbs_protocol::Code::kNone) return Fail(*reply);
+    return SubmittedJob{request->id, server, false};
+  }
+
+  // A reply with a time to retry leaves the next attempt due, after that time.
+  std::optional<Result> Rejected(const Reply& reply, bool is_last) {
+    Result failure = Fail(reply);
+    if (reply.auxiliary <= 0 || is_last) return failure;
+    SleepForRetryAfter(static_cast<Micros>(reply.auxiliary));
+    return std::nullopt;
+  }
+
+  Result Fail(const Reply& reply) {
+    error_.reply_code = reply.code;
+    const bool has_text = reply.choice == pbs_protocol::Choice::kText && !reply.text.empty();
+    error_.reason = has_text ? reply.text : pbs_protocol::Describe(reply.code);
+    return tl::make_unexpected(error_);
+  }
+
+  std::optional<Reply> Call(BatchConnection* connection, const Request& request) {
+    auto reply = connection->Call(request, TimeLeft());
+    if (reply) return std::move(*reply);
+    error_.reason = Describe(reply.error());
+    return std::nullopt;
+  }
+
+  Micros TimeLeft() const {
+    const Micros now = MonotonicTime();
+    return attempt_ends_at_ > now ? attempt_ends_at_ - now : Micros{1};
+  }
+
+  const Submission& submission_;
+  SubmitError error_;           // of the attempts so far
+  Micros attempt_ends_at_ = 0;  // monotonic time
+  Micros job_deadline_ = 0;     // wall time; 0: none
+  Micros earlier_attempt_until_ =
+      0;  // wall time until which a job of an earlier attempt may start; 0: there is none
+};
+
+}  // namespace
+
+std::string Describe(const SubmitError& error) {
+  const std::string meaning = pbs_protocol::Describe(error.reply_code);
+  if (error.reply_code == pbs_protocol::Code::kNone || error.reason == meaning) return error.reason;
+  return meaning + ": " + error.reason;
+}
+
+Result Submit(const std::vector<std::string>& servers, const Submission& submission) {
+  if (servers.empty()) {
+    return tl::make_unexpected(SubmitError{pbs_protocol::Code::kNone, "no daemon is named"});
+  }
+  return Submitter(submission).Run(servers);
+}
+
+}  // namespace mountflow::pbs_client
--- a/tests/config/configuration_and_entries_test.cpp
+++ b/tests/config/configuration_and_entries_test.cpp
@@ -2,8 +2,9 @@
 // directives, days.
 #include <gtest/gtest.h>
 
-#include "cli/common.hpp"
 #include "cli/directives.hpp"
+#include "cli/option_values.hpp"
+#include "cli/server_address.hpp"
 #include "config/config.hpp"
 #include "discovery/entry.hpp"
 #include "http/message.hpp"
@@ -213,39 +214,41 @@
 // ---- Commands ----
 
 TEST(Directives, EndWithTheFirstLineOfTheScriptProper) {
-  const auto d = cli::ReadDirectives(
+  const auto arguments = cli::ReadDirectives(
       "#!/bin/sh\n# a comment\n\n  #PBS -N recount -l ncpus=2\n#PBS -v \"A=x y\",B='z'\necho\n#PBS -q late\n",
       "#PBS");
-  EXPECT_TRUE(d.error.empty());
-  EXPECT_EQ(d.arguments, (std::vector<std::string>{"-N", "recount", "-l", "ncpus=2", "-v", "A=x y,B=z"}));
-  EXPECT_EQ(cli::ReadDirectives("#JOB -h\n#PBS -N x\n", "#JOB").arguments, std::vector<std::string>{"-h"});
-  EXPECT_TRUE(cli::ReadDirectives("#PBS -h\n", "").arguments.empty());
-  EXPECT_NE(cli::ReadDirectives("\n#PBS -N 'open\n", "#PBS").error.find("script line 2"), std::string::npos);
-  EXPECT_FALSE(cli::ReadDirectives("#PBS " + std::string(10'000, 'x'), "#PBS").error.empty());
+  ASSERT_TRUE(arguments);
+  EXPECT_EQ(*arguments, (std::vector<std::string>{"-N", "recount", "-l", "ncpus=2", "-v", "A=x y,B=z"}));
+  EXPECT_EQ(cli::ReadDirectives("#JOB -h\n#PBS -N x\n", "#JOB").value(), std::vector<std::string>{"-h"});
+  EXPECT_TRUE(cli::ReadDirectives("#PBS -h\n", "").value().empty());
+  const auto open_quote = cli::ReadDirectives("\n#PBS -N 'open\n", "#PBS");
+  ASSERT_FALSE(open_quote);
+  EXPECT_NE(cli::Describe(open_quote.error()).find("script line 2"), std::string::npos);
+  EXPECT_FALSE(cli::ReadDirectives("#PBS " + std::string(10'000, 'x'), "#PBS"));
 }
 
 TEST(Commands, ArgumentsAreReadAsPosixStates) {
-  std::uint64_t seconds = 0;
-  std::string error;
-  EXPECT_TRUE(cli::ReadDateTime("203012312359.30", &seconds, &error));
-  EXPECT_GT(seconds, 1'924'900'000u);
+  const auto seconds = cli::ParseDateTime("203012312359.30");
+  ASSERT_TRUE(seconds);
+  EXPECT_GT(*seconds, 1'924'900'000u);
   for (const char* bad :
        {"", "12", "1234567890123", "13320000", "0101240", "01012500", "0101000.5", "0101x000"}) {
-    EXPECT_FALSE(cli::ReadDateTime(bad, &seconds, &error)) << bad;
-    EXPECT_NE(error.find("[[CC]YY]MMDDhhmm"), std::string::npos);
+    const auto malformed = cli::ParseDateTime(bad);
+    ASSERT_FALSE(malformed) << bad;
+    EXPECT_NE(cli::Describe(malformed.error()).find("[[CC]YY]MMDDhhmm"), std::string::npos);
   }
   pbs_protocol::Attributes list;
-  EXPECT_TRUE(cli::ReadResources("ncpus=2,mem=1gb", &list, &error));
+  EXPECT_TRUE(cli::AddResources("ncpus=2,mem=1gb", &list));
   EXPECT_EQ(pbs_protocol::ValueOf(list, "Resource_List", "mem"), "1gb");
-  EXPECT_FALSE(cli::ReadResources("ncpus", &list, &error));
-  EXPECT_TRUE(cli::ReadAdditional("service=s,key=\"a,b\"", &list, &error));
+  EXPECT_FALSE(cli::AddResources("ncpus", &list));
+  EXPECT_TRUE(cli::AddAttributes("service=s,key=\"a,b\"", &list));
   EXPECT_EQ(pbs_protocol::ValueOf(list, "key"), "a,b");
-  EXPECT_FALSE(cli::ReadAdditional("service", &list, &error));
-  cli::JobRef ref;
-  EXPECT_TRUE(cli::ReadJobRef("12.d0@127.0.0.1:99", &ref, &error));
-  EXPECT_EQ(ref.id, "12.d0");
-  EXPECT_EQ(ref.address, "127.0.0.1:99");
-  EXPECT_FALSE(cli::ReadJobRef("d0.12", &ref, &error));
+  EXPECT_FALSE(cli::AddAttributes("service", &list));
+  const auto reference = cli::ParseJobReference("12.d0@127.0.0.1:99");
+  ASSERT_TRUE(reference);
+  EXPECT_EQ(reference->id, "12.d0");
+  EXPECT_EQ(reference->address, "127.0.0.1:99");
+  EXPECT_FALSE(cli::ParseJobReference("d0.12"));
 }
 
 // ---- Days ----
--- a/tests/daemon/daemon_process_test.cpp
+++ b/tests/daemon/daemon_process_test.cpp
@@ -216,30 +216,30 @@
   s.user = "root";
   s.destination = "service";
   s.key = "k";
-  s.owner_time = 20'000'000;
-  s.tries = 3;
+  s.client_time = 20'000'000;
+  s.max_attempts = 3;
   {
-    pbs_client::Client first;
-    std::string error;
-    pbs_protocol::Reply reply;
-    ASSERT_TRUE(first.Connect(d.address(), kLimit, &error)) << error;
+    pbs_client::BatchConnection first;
+    const auto connected = first.Connect(d.address(), kLimit);
+    ASSERT_TRUE(connected) << pbs_client::Describe(connected.error());
     pbs_protocol::Request r;
     r.type = RequestType::kQueueJob;
     r.user = "root";
     r.destination = "service";
     r.attributes = {{"key", "", "k", pbs_protocol::Op::kSet}};
-    ASSERT_TRUE(first.Call(r, &reply, kLimit, &error)) << error;
+    const auto reply = first.Call(r, kLimit);
+    ASSERT_TRUE(reply) << pbs_client::Describe(reply.error());
     d.process->Signal(SIGSTOP);
     r.type = RequestType::kCommit;
-    r.id = reply.text;
-    EXPECT_FALSE(first.Call(r, &reply, 200'000, &error));
+    r.id = reply->text;
+    EXPECT_FALSE(first.Call(r, 200'000));
   }
   d.process->Signal(SIGCONT);
-  const pbs_client::SubmitResult result = pbs_client::Submit({d.address()}, s);
-  ASSERT_TRUE(result.ok) << result.error;
+  const auto result = pbs_client::Submit({d.address()}, s);
+  ASSERT_TRUE(result) << pbs_client::Describe(result.error());
   node.SayYes();
   BatchClient client(d);
-  EXPECT_EQ(Wait(client, result.id, "answer", "answer"), "placed");
+  EXPECT_EQ(Wait(client, result->id, "answer", "answer"), "placed");
   EXPECT_EQ(client.Call(RequestType::kStatusJob, "", "x").objects.size(), 1u);
   EXPECT_EQ(node.Count(RequestType::kCommit), 1u);
 }
@@ -405,29 +405,29 @@
   {
     BatchClient client(d);
     small = client.Submit("service", {{"Hold_Types", "", "u", pbs_protocol::Op::kSet}});
-    pbs_client::Client large;
-    std::string error;
-    ASSERT_TRUE(large.Connect(d.address(), kLimit, &error));
+    pbs_client::BatchConnection large;
+    ASSERT_TRUE(large.Connect(d.address(), kLimit));
     pbs_protocol::Request r;
-    pbs_protocol::Reply reply;
     r.type = RequestType::kQueueJob;
     r.user = "root";
     r.destination = "service";
     r.attributes = {{"Hold_Types", "", "u", pbs_protocol::Op::kSet}};
-    ASSERT_TRUE(large.Call(r, &reply, kLimit, &error)) << error;
+    const auto queued = large.Call(r, kLimit);
+    ASSERT_TRUE(queued) << pbs_client::Describe(queued.error());
     pbs_protocol::Request script;
     script.type = RequestType::kJobScript;
     script.user = "root";
-    script.id = reply.text;
+    script.id = queued->text;
     script.script = std::string(10'000, '#');
-    ASSERT_TRUE(large.Call(script, &reply, kLimit, &error)) << error;
+    const auto sent = large.Call(script, kLimit);
+    ASSERT_TRUE(sent) << pbs_client::Describe(sent.error());
     pbs_protocol::Request commit;
     commit.type = RequestType::kCommit;
     commit.user = "root";
     commit.id = script.id;
     // The commit cannot be kept, so it is not answered until the daemon is gone; the door closes.
     bool answered = true;
-    std::thread commits([&] { answered = large.Call(commit, &reply, kLimit, &error); });
+    std::thread commits([&] { answered = large.Call(commit, kLimit).has_value(); });
     pbs_protocol::Reply refused;
     const Micros until = Mono() + kLimit;
     do {
--- a/tests/support/process_fixture.hpp
+++ b/tests/support/process_fixture.hpp
@@ -25,7 +25,9 @@
 
 #include "discovery/entry.hpp"
 #include "http/message.hpp"
-#include "pbs_client/pbs_client.hpp"
+#include "pbs_client/connection.hpp"
+#include "pbs_client/host.hpp"
+#include "pbs_client/submission.hpp"
 #include "pbs_protocol/protocol.hpp"
 
 namespace mountflow::testing {
@@ -290,8 +292,7 @@
   // Tells a daemon an end, as a node does.
   static pbs_protocol::Code Report(int batch_port, const std::string& attempt, const std::string& reason,
                                    int status, Micros start = 0, Micros end = 0) {
-    pbs_client::Client client;
-    std::string error;
+    pbs_client::BatchConnection client;
     pbs_protocol::Request r;
     r.type = pbs_protocol::RequestType::kJobObit;
     r.user = "node@double";
@@ -302,10 +303,11 @@
       r.attributes.push_back({"start", "", std::to_string(start), pbs_protocol::Op::kSet});
       r.attributes.push_back({"end", "", std::to_string(end), pbs_protocol::Op::kSet});
     }
-    pbs_protocol::Reply reply;
-    EXPECT_TRUE(client.Connect("127.0.0.1:" + std::to_string(batch_port), kLimit, &error)) << error;
-    EXPECT_TRUE(client.Call(r, &reply, kLimit, &error)) << error;
-    return reply.code;
+    const auto connected = client.Connect("127.0.0.1:" + std::to_string(batch_port), kLimit);
+    EXPECT_TRUE(connected) << pbs_client::Describe(connected.error());
+    const auto reply = client.Call(r, kLimit);
+    EXPECT_TRUE(reply) << pbs_client::Describe(reply.error());
+    return reply.value_or(pbs_protocol::Reply{}).code;
   }
   std::vector<pbs_protocol::StatusObject> held;  // told when a daemon asks what runs
 
@@ -416,13 +418,14 @@
 class BatchClient {
  public:
   explicit BatchClient(const Site::Daemon& d, std::string user = "root") : user_(std::move(user)) {
-    EXPECT_TRUE(client_.Connect(d.address(), kLimit, &error_)) << error_;
+    const auto connected = client_.Connect(d.address(), kLimit);
+    EXPECT_TRUE(connected) << pbs_client::Describe(connected.error());
   }
   pbs_protocol::Reply Call(pbs_protocol::Request r) {
     r.user = user_;
-    pbs_protocol::Reply reply;
-    EXPECT_TRUE(client_.Call(r, &reply, kLimit, &error_)) << error_;
-    return reply;
+    const auto reply = client_.Call(r, kLimit);
+    EXPECT_TRUE(reply) << pbs_client::Describe(reply.error());
+    return reply.value_or(pbs_protocol::Reply{});
   }
   pbs_protocol::Reply Call(pbs_protocol::RequestType type, const std::string& id = "",
                            const std::string& extension = "") {
@@ -451,8 +454,8 @@
   void Close() { client_.Close(); }
 
  private:
-  pbs_client::Client client_;
-  std::string user_, error_;
+  pbs_client::BatchConnection client_;
+  std::string user_;
 };
 
 }  // namespace mountflow::testing
--- a/tools/fuzz/targets.cpp
+++ b/tools/fuzz/targets.cpp
@@ -100,7 +100,7 @@
   const std::string_view prefix = line == std::string_view::npos ? "#PBS" : bytes.substr(0, line);
   const auto read =
       cli::ReadDirectives(line == std::string_view::npos ? bytes : bytes.substr(line + 1), prefix);
-  Must(!prefix.empty() || read.arguments.empty(), "without a prefix there are no directives");
+  Must(!prefix.empty() || (read && read->empty()), "without a prefix there are no directives");
 }
 
 void Config(std::string_view bytes) {
