--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -175,12 +175,12 @@
     root["settings"] = defaults["settings"];
   }
   const json& settings = root["settings"];
-  try {
-    c.core.settings = settings::ParseSettings(Flatten(settings)).settings;
-  } catch (const settings::SettingsError& e) {
-    loaded.errors.push_back(name + ": at /settings: " + e.what());
+  const auto parsed = settings::ParseSettings(Flatten(settings));
+  if (!parsed) {
+    loaded.errors.push_back(name + ": at /settings: " + settings::Describe(parsed.error()));
     return loaded;
   }
+  c.core.settings = parsed->settings;
   if (settings.contains("profiles")) {
     for (std::size_t i = 0; i < settings["profiles"].size(); ++i) {
       const json& profile = settings["profiles"][i];
@@ -263,21 +263,21 @@
   }
   if (root.contains("door")) {
     const json& d = root["door"];
-    c.door.share = d.value("share", c.door.share);
-    c.door.most_wait = Time(d, "most_wait_s", c.door.most_wait);
-    c.door.most_line = d.value("most_line", c.door.most_line);
-    c.door.slice = Time(d, "slice_s", c.door.slice);
-    c.door.most_told = Time(d, "most_told_s", c.door.most_told);
+    c.door.max_wait_share = d.value("share", c.door.max_wait_share);
+    c.door.max_wait = Time(d, "most_wait_s", c.door.max_wait);
+    c.door.max_queue_length = d.value("most_line", c.door.max_queue_length);
+    c.door.iteration_budget = Time(d, "slice_s", c.door.iteration_budget);
+    c.door.max_retry_after = Time(d, "most_told_s", c.door.max_retry_after);
   }
   if (root.contains("repeats")) {
     const json& r = root["repeats"];
-    c.core.repeats.most = r.value("most", c.core.repeats.most);
-    c.core.repeats.first_wait = Time(r, "first_wait_s", c.core.repeats.first_wait);
-    c.core.repeats.most_wait = Time(r, "most_wait_s", c.core.repeats.most_wait);
-    c.core.repeats.lost_wait = Time(r, "lost_wait_s", c.core.repeats.lost_wait);
-    c.core.repeats.spread = r.value("spread", c.core.repeats.spread);
+    c.core.repeats.max_retries = r.value("most", c.core.repeats.max_retries);
+    c.core.repeats.initial_backoff = Time(r, "first_wait_s", c.core.repeats.initial_backoff);
+    c.core.repeats.max_backoff = Time(r, "most_wait_s", c.core.repeats.max_backoff);
+    c.core.repeats.lost_task_backoff = Time(r, "lost_wait_s", c.core.repeats.lost_task_backoff);
+    c.core.repeats.jitter = r.value("spread", c.core.repeats.jitter);
   }
-  if (c.core.settings.client_wait != 0) c.core.repeats.settle_wait = c.core.settings.client_wait;
+  if (c.core.settings.client_wait != 0) c.core.repeats.reconciliation_wait = c.core.settings.client_wait;
   if (root.contains("managers")) {
     const auto managers = Strings(root, "managers");
     c.front.managers = {managers.begin(), managers.end()};
--- a/src/node_sessions/attempt_exchange.cpp
+++ b/src/node_sessions/attempt_exchange.cpp
@@ -62,8 +62,9 @@
 }
 
 // Nodes write the text of a rejection as "text\tx0=.. x1=..", the latter being their load.
-job_manager::Refused ReadRejection(const job_manager::AttemptId& attempt, const pbs_protocol::Reply& reply) {
-  job_manager::Refused rejection;
+job_manager::AttemptRejected ReadRejection(const job_manager::AttemptId& attempt,
+                                           const pbs_protocol::Reply& reply) {
+  job_manager::AttemptRejected rejection;
   rejection.attempt = attempt;
   rejection.cause =
       static_cast<RejectionReason>(std::clamp<std::int64_t>(reply.auxiliary, 0, kLargestRejectionReason));
@@ -84,7 +85,7 @@
   if (job == nullptr) return std::nullopt;
   const job_manager::Attempt* attempt = FindAttempt(*job, attempt_id.number);
   if (attempt == nullptr) return std::nullopt;
-  const std::string name = context.job_manager->NameOf(attempt_id);
+  const std::string name = context.job_manager->AttemptName(attempt_id);
   Submission submission;
   pbs_protocol::Encode(MakeQueueJob(context, *job->spec, name, *attempt), &submission.bytes);
   const unsigned pieces = EncodeScript(context, job->spec->script, name, &submission.bytes);
@@ -95,7 +96,7 @@
 
 std::string EncodeCommit(const SessionContext& context, const job_manager::AttemptId& attempt) {
   std::string bytes;
-  pbs_protocol::Encode(MakeRequest(RequestType::kCommit, context, context.job_manager->NameOf(attempt)),
+  pbs_protocol::Encode(MakeRequest(RequestType::kCommit, context, context.job_manager->AttemptName(attempt)),
                        &bytes);
   return bytes;
 }
@@ -116,7 +117,7 @@
   if (step_ == AttemptStep::kCommitting) {
     step_ = AttemptStep::kIdle;
     if (is_error) return ReadRejection(attempt_, reply);
-    return job_manager::Committed{attempt_};
+    return job_manager::AttemptCommitted{attempt_};
   }
   if (is_error && !first_error_) first_error_ = std::move(reply);
   if (--awaited_replies_ > 0) return std::nullopt;
@@ -125,7 +126,7 @@
     return ReadRejection(attempt_, *first_error_);
   }
   step_ = AttemptStep::kReady;
-  return job_manager::Ready{attempt_};
+  return job_manager::AttemptPrepared{attempt_};
 }
 
 }  // namespace mountflow::node_sessions
--- a/src/node_sessions/attempt_sessions.cpp
+++ b/src/node_sessions/attempt_sessions.cpp
@@ -5,12 +5,13 @@
 namespace mountflow::node_sessions {
 
 void AttemptSessions::ReportNotSent(const job_manager::AttemptId& attempt) {
-  context_->messages.emplace_back(job_manager::Broken{attempt, false});
+  context_->messages.emplace_back(job_manager::AttemptDisconnected{attempt, false});
 }
 
 // ---- From the job manager ----
 
-void AttemptSessions::Submit(Micros now, const job_manager::AskNode& request, const std::string& address) {
+void AttemptSessions::Submit(Micros now, const job_manager::PrepareAttempt& request,
+                             const std::string& address) {
   const NodeSessionOptions& options = context_->options;
   Node& node = nodes_[request.node];
   node.address = address;
@@ -23,7 +24,7 @@
   }
 }
 
-void AttemptSessions::Commit(const job_manager::CommitNode& request) {
+void AttemptSessions::Commit(const job_manager::CommitAttempt& request) {
   const auto found = connection_of_attempt_.find(KeyOf(request.attempt));
   if (found == connection_of_attempt_.end()) {  // its connection broke meanwhile
     ReportNotSent(request.attempt);
@@ -33,7 +34,7 @@
   context_->connections.Send(found->second, EncodeCommit(*context_, request.attempt));
 }
 
-void AttemptSessions::Abandon(Micros now, const job_manager::AbandonAsk& request) {
+void AttemptSessions::Abandon(Micros now, const job_manager::AbandonAttempt& request) {
   const auto found = connection_of_attempt_.find(KeyOf(request.attempt));
   if (found == connection_of_attempt_.end()) {
     const auto node = nodes_.find(request.node);
@@ -126,7 +127,7 @@
   connection_of_attempt_.erase(KeyOf(exchange.attempt()));
   --node.busy;
   const bool commit_sent = exchange.step() == AttemptStep::kCommitting;
-  context_->messages.emplace_back(job_manager::Broken{exchange.attempt(), commit_sent});
+  context_->messages.emplace_back(job_manager::AttemptDisconnected{exchange.attempt(), commit_sent});
   StartWaiting(now, node_id);
 }
 
--- a/src/node_sessions/attempt_sessions.hpp
+++ b/src/node_sessions/attempt_sessions.hpp
@@ -24,10 +24,10 @@
   explicit AttemptSessions(SessionContext* context) : context_(context) {}
 
   // `address` is the node's.
-  void Submit(Micros now, const job_manager::AskNode& request, const std::string& address);
-  void Commit(const job_manager::CommitNode& request);
+  void Submit(Micros now, const job_manager::PrepareAttempt& request, const std::string& address);
+  void Commit(const job_manager::CommitAttempt& request);
   // Before the commit: a connection that is lost then leaves no job at the node.
-  void Abandon(Micros now, const job_manager::AbandonAsk& request);
+  void Abandon(Micros now, const job_manager::AbandonAttempt& request);
   // The attempt is being stopped: the reply to its commit may never come, and its connection is not kept for
   // it for ever.
   void LimitWait(const job_manager::AttemptId& attempt, Micros deadline);
--- a/src/node_sessions/control_exchange.cpp
+++ b/src/node_sessions/control_exchange.cpp
@@ -23,21 +23,21 @@
   const SessionContext& context;
   pbs_protocol::Request& request;
 
-  void operator()(const job_manager::StopOnNode& stop) const {
+  void operator()(const job_manager::StopAttempt& stop) const {
     request.type = RequestType::kDeleteJob;
     request.command = kManageCommandDelete;
-    request.id = context.job_manager->NameOf(stop.attempt);
+    request.id = context.job_manager->AttemptName(stop.attempt);
   }
-  void operator()(const job_manager::SignalOnNode& signal) const {
+  void operator()(const job_manager::SignalAttempt& signal) const {
     request.type = RequestType::kSignalJob;
-    request.id = context.job_manager->NameOf(signal.attempt);
+    request.id = context.job_manager->AttemptName(signal.attempt);
     request.signal = signal.signal;
   }
-  void operator()(const job_manager::QueryNode& query) const {
+  void operator()(const job_manager::QueryAttempt& query) const {
     request.type = RequestType::kStatusJob;
-    request.id = context.job_manager->NameOf(query.attempt);
+    request.id = context.job_manager->AttemptName(query.attempt);
   }
-  void operator()(const job_manager::SyncNode& /*sync*/) const {
+  void operator()(const job_manager::ReconcileNode& /*sync*/) const {
     request.type = RequestType::kStatusJob;
     request.attributes.push_back(
         {"server", "", context.job_manager->options().server, pbs_protocol::Op::kEq});
@@ -47,7 +47,7 @@
     request.type = RequestType::kSelectJobs;
     request.attributes.push_back({"key", "", find.key, pbs_protocol::Op::kEq});
   }
-  void operator()(const job_manager::ProbeNode& /*probe*/) const {
+  void operator()(const job_manager::CheckNodeHealth& /*probe*/) const {
     request.type = RequestType::kStatusServer;
   }
 };
@@ -55,11 +55,11 @@
 // ---- Decoding ----
 
 // One job that the node holds. Nothing when it is not an attempt of ours.
-std::optional<job_manager::RunningOnNode> ReadHeldJob(const SessionContext& context,
-                                                      const pbs_protocol::StatusObject& object) {
-  job_manager::RunningOnNode held;
+std::optional<job_manager::ReportedAttempt> ReadHeldJob(const SessionContext& context,
+                                                        const pbs_protocol::StatusObject& object) {
+  job_manager::ReportedAttempt held;
   std::string server;
-  if (!context.job_manager->AttemptOf(object.name, &held.attempt, &server)) return std::nullopt;
+  if (!context.job_manager->ParseAttemptName(object.name, &held.attempt, &server)) return std::nullopt;
   if (server != context.job_manager->options().server) return std::nullopt;
   held.ended = pbs_protocol::ValueOf(object.attributes, "job_state") == "E";
   held.spec.user = pbs_protocol::ValueOf(object.attributes, "Job_Owner");
@@ -74,8 +74,9 @@
   return held;
 }
 
-job_manager::Synced ReadSync(const SessionContext& context, NodeId node, const pbs_protocol::Reply& reply) {
-  job_manager::Synced synced;
+job_manager::NodeReconciled ReadSync(const SessionContext& context, NodeId node,
+                                     const pbs_protocol::Reply& reply) {
+  job_manager::NodeReconciled synced;
   synced.node = node;
   for (const pbs_protocol::StatusObject& object : reply.objects) {
     if (object.type == pbs_protocol::ObjectType::kServer) {
@@ -84,7 +85,7 @@
       if (pbs_server::ReadCount(text, &started)) synced.started = started;
       continue;
     }
-    std::optional<job_manager::RunningOnNode> held = ReadHeldJob(context, object);
+    std::optional<job_manager::ReportedAttempt> held = ReadHeldJob(context, object);
     if (held) synced.held.push_back(std::move(*held));
   }
   return synced;
@@ -96,31 +97,31 @@
   Micros elapsed;
   const pbs_protocol::Reply& reply;
 
-  std::optional<NodeMessage> operator()(const job_manager::StopOnNode& stop) const {
-    return job_manager::Stopped{stop.attempt, IsSuccess(reply)};
+  std::optional<NodeMessage> operator()(const job_manager::StopAttempt& stop) const {
+    return job_manager::StopAnswered{stop.attempt, IsSuccess(reply)};
   }
-  std::optional<NodeMessage> operator()(const job_manager::SignalOnNode& /*signal*/) const {
+  std::optional<NodeMessage> operator()(const job_manager::SignalAttempt& /*signal*/) const {
     return std::nullopt;
   }
-  std::optional<NodeMessage> operator()(const job_manager::QueryNode& query) const {
-    return job_manager::Found{query.attempt, IsSuccess(reply)};
+  std::optional<NodeMessage> operator()(const job_manager::QueryAttempt& query) const {
+    return job_manager::QueryAnswered{query.attempt, IsSuccess(reply)};
   }
-  std::optional<NodeMessage> operator()(const job_manager::SyncNode& /*sync*/) const {
+  std::optional<NodeMessage> operator()(const job_manager::ReconcileNode& /*sync*/) const {
     return ReadSync(context, node, reply);
   }
   std::optional<NodeMessage> operator()(const job_manager::FindKey& find) const {
-    job_manager::KeyFound found;
+    job_manager::FindKeyAnswered found;
     found.node = node;
     found.job = find.job;
     found.key = find.key;
     found.reached = IsSuccess(reply);
     if (found.reached && !reply.ids.empty()) {
-      found.found = context.job_manager->AttemptOf(reply.ids[0], &found.attempt, &found.server);
+      found.found = context.job_manager->ParseAttemptName(reply.ids[0], &found.attempt, &found.server);
     }
     return found;
   }
-  std::optional<NodeMessage> operator()(const job_manager::ProbeNode& /*probe*/) const {
-    job_manager::Probed probed{node, IsSuccess(reply), elapsed, {}};
+  std::optional<NodeMessage> operator()(const job_manager::CheckNodeHealth& /*probe*/) const {
+    job_manager::NodeHealthChecked probed{node, IsSuccess(reply), elapsed, {}};
     if (!reply.objects.empty()) {
       probed.report = pbs_server::ReadLoad(pbs_protocol::ValueOf(reply.objects[0].attributes, "load"));
     }
@@ -131,27 +132,27 @@
 struct FailureMapper {
   NodeId node;
 
-  std::optional<NodeMessage> operator()(const job_manager::StopOnNode& stop) const {
+  std::optional<NodeMessage> operator()(const job_manager::StopAttempt& stop) const {
     return job_manager::StopFailed{stop.attempt};
   }
-  std::optional<NodeMessage> operator()(const job_manager::SignalOnNode& /*signal*/) const {
+  std::optional<NodeMessage> operator()(const job_manager::SignalAttempt& /*signal*/) const {
     return std::nullopt;
   }
-  std::optional<NodeMessage> operator()(const job_manager::QueryNode& query) const {
+  std::optional<NodeMessage> operator()(const job_manager::QueryAttempt& query) const {
     return job_manager::QueryFailed{query.attempt};
   }
-  std::optional<NodeMessage> operator()(const job_manager::SyncNode& /*sync*/) const {
-    return job_manager::SyncFailed{node};
+  std::optional<NodeMessage> operator()(const job_manager::ReconcileNode& /*sync*/) const {
+    return job_manager::ReconcileFailed{node};
   }
   std::optional<NodeMessage> operator()(const job_manager::FindKey& find) const {
-    job_manager::KeyFound not_reached;
+    job_manager::FindKeyAnswered not_reached;
     not_reached.node = node;
     not_reached.job = find.job;
     not_reached.key = find.key;
     return not_reached;
   }
-  std::optional<NodeMessage> operator()(const job_manager::ProbeNode& /*probe*/) const {
-    return job_manager::Probed{node, false, 0, {}};
+  std::optional<NodeMessage> operator()(const job_manager::CheckNodeHealth& /*probe*/) const {
+    return job_manager::NodeHealthChecked{node, false, 0, {}};
   }
 };
 
--- a/src/node_sessions/control_exchange.hpp
+++ b/src/node_sessions/control_exchange.hpp
@@ -23,8 +23,8 @@
 //   FindKey        SelectJobs     KeyFound                   KeyFound without `reached`
 //   ProbeNode      StatusServer   Probed                     Probed without `answered`
 using ControlRequest =
-    std::variant<job_manager::StopOnNode, job_manager::SignalOnNode, job_manager::QueryNode,
-                 job_manager::SyncNode, job_manager::FindKey, job_manager::ProbeNode>;
+    std::variant<job_manager::StopAttempt, job_manager::SignalAttempt, job_manager::QueryAttempt,
+                 job_manager::ReconcileNode, job_manager::FindKey, job_manager::CheckNodeHealth>;
 
 struct PendingControl {  // a request whose reply is awaited
   ControlRequest request;
--- a/src/node_sessions/control_sessions.cpp
+++ b/src/node_sessions/control_sessions.cpp
@@ -52,10 +52,10 @@
   node.connection = 0;
   bool sync_failed = false;
   for (const PendingControl& pending : std::exchange(node.pending, {})) {
-    sync_failed |= std::holds_alternative<job_manager::SyncNode>(pending.request);
+    sync_failed |= std::holds_alternative<job_manager::ReconcileNode>(pending.request);
     ReportFailure(node_id, pending.request);
   }
-  if (!sync_failed) context_->messages.emplace_back(job_manager::SyncFailed{node_id});
+  if (!sync_failed) context_->messages.emplace_back(job_manager::ReconcileFailed{node_id});
 }
 
 void ControlSessions::CloseIfIdle(NodeId node_id) {
--- a/src/node_sessions/node_sessions.cpp
+++ b/src/node_sessions/node_sessions.cpp
@@ -24,27 +24,29 @@
   NodeSessions& sessions;
   Micros now;
 
-  void operator()(const job_manager::AskNode& request) const { sessions.Submit(now, request); }
-  void operator()(const job_manager::CommitNode& request) const { sessions.attempts_.Commit(request); }
-  void operator()(const job_manager::AbandonAsk& request) const { sessions.attempts_.Abandon(now, request); }
-  void operator()(const job_manager::StopOnNode& request) const {
+  void operator()(const job_manager::PrepareAttempt& request) const { sessions.Submit(now, request); }
+  void operator()(const job_manager::CommitAttempt& request) const { sessions.attempts_.Commit(request); }
+  void operator()(const job_manager::AbandonAttempt& request) const {
+    sessions.attempts_.Abandon(now, request);
+  }
+  void operator()(const job_manager::StopAttempt& request) const {
     const Micros timeout = kStopTimeoutFactor * sessions.context_.options.control_timeout;
     sessions.attempts_.LimitWait(request.attempt, now + timeout);
     sessions.SendControl(now, request.node, request);
   }
-  void operator()(const job_manager::SignalOnNode& request) const {
+  void operator()(const job_manager::SignalAttempt& request) const {
     sessions.SendControl(now, request.node, request);
   }
-  void operator()(const job_manager::QueryNode& request) const {
+  void operator()(const job_manager::QueryAttempt& request) const {
     sessions.SendControl(now, request.node, request);
   }
-  void operator()(const job_manager::SyncNode& request) const {
+  void operator()(const job_manager::ReconcileNode& request) const {
     sessions.SendControl(now, request.node, request);
   }
   void operator()(const job_manager::FindKey& request) const {
     sessions.SendControl(now, request.node, request);
   }
-  void operator()(const job_manager::ProbeNode& request) const {
+  void operator()(const job_manager::CheckNodeHealth& request) const {
     sessions.SendControl(now, request.node, request);
   }
   void operator()(const job_manager::ForgetNode& request) const { sessions.ForgetNode(request.node); }
@@ -58,7 +60,7 @@
 }
 
 const std::string* NodeSessions::AddressOf(NodeId node) {
-  const job_manager::ListedNode* listed = context_.job_manager->NodeOf(node);
+  const job_manager::ListedNode* listed = context_.job_manager->FindNode(node);
   if (listed == nullptr) {
     const auto known = addresses_.find(node);
     return known == addresses_.end() || known->second.empty() ? nullptr : &known->second;
@@ -72,12 +74,12 @@
   return &address;
 }
 
-void NodeSessions::Submit(Micros now, const job_manager::AskNode& request) {
+void NodeSessions::Submit(Micros now, const job_manager::PrepareAttempt& request) {
   const std::string* address = AddressOf(request.node);
   if (address != nullptr) {
     attempts_.Submit(now, request, *address);
   } else {
-    context_.messages.emplace_back(job_manager::Broken{request.attempt, false});
+    context_.messages.emplace_back(job_manager::AttemptDisconnected{request.attempt, false});
   }
 }
 
--- a/src/node_sessions/node_sessions.hpp
+++ b/src/node_sessions/node_sessions.hpp
@@ -63,7 +63,7 @@
   // Where the node listens; null when it was never listed. When it has changed, idle connections to the old
   // address are closed.
   [[nodiscard]] const std::string* AddressOf(NodeId node);
-  void Submit(Micros now, const job_manager::AskNode& request);
+  void Submit(Micros now, const job_manager::PrepareAttempt& request);
   void SendControl(Micros now, NodeId node, const ControlRequest& request);
   void ForgetNode(NodeId node);
   [[nodiscard]] bool AwaitsReply(ConnId id, const SessionConnection& connection) const;
--- a/src/pbs_server/pbs_server.cpp
+++ b/src/pbs_server/pbs_server.cpp
@@ -129,11 +129,11 @@
   }
 
   // Its turn at the door has come.
-  void Enter(Micros now, const admission::Verdict& verdict) {
+  void Enter(Micros now, const admission::AdmissionDecision& verdict) {
     pbs_protocol::Request request = std::move(*asked_);
     asked_.reset();
     at_door = false;
-    if (verdict.admit) {
+    if (verdict.admitted()) {
       Queue(&request, UserOf(request.user));
     } else {
       Turned(verdict);
@@ -157,7 +157,7 @@
 
   pbs_protocol::StatusObject ObjectOf(const job_manager::Job& job, const pbs_protocol::Attributes& wanted) {
     pbs_protocol::StatusObject object;
-    object.name = core().IdOf(job.number);
+    object.name = core().JobId(job.number);
     object.attributes = ForStatus(core(), job, options().words);
     if (!wanted.empty()) {
       std::erase_if(object.attributes, [&wanted](const pbs_protocol::Attribute& a) {
@@ -223,8 +223,8 @@
       case pbs_protocol::RequestType::kMoveJob: {
         pbs_protocol::Attributes none;
         Problem problem;
-        const std::uint64_t number = core().NumberOf(r->id);
-        const job_manager::Verdict v =
+        const std::uint64_t number = core().ParseJobId(r->id);
+        const job_manager::CommandResult v =
             core().Alter(now, number, ActsAs(user), [&](job_manager::JobSpec* spec) {
               problem = Read(none, r->destination, options().words, false, spec);
               return problem.code == pbs_protocol::Code::kNone;
@@ -251,14 +251,14 @@
     Send(Of(pbs_protocol::Code::kUnknownRequest));
   }
 
-  void Reply(job_manager::Verdict verdict) {
-    if (verdict == job_manager::Verdict::kOk) return Send(Of(pbs_protocol::Code::kNone));
+  void Reply(job_manager::CommandResult verdict) {
+    if (verdict == job_manager::CommandResult::kOk) return Send(Of(pbs_protocol::Code::kNone));
     Send(Of(CodeOf(verdict)));
   }
 
   template <typename Act>
   void Manage(const pbs_protocol::Request& r, Act act) {
-    const std::uint64_t number = core().NumberOf(r.id);
+    const std::uint64_t number = core().ParseJobId(r.id);
     if (number == 0) return Send(Of(pbs_protocol::Code::kUnknownJob));
     Reply(act(number));
   }
@@ -270,17 +270,17 @@
   }
 
   void Arrive(Micros now, pbs_protocol::Request* r) {
-    admission::Asked asked;
+    admission::SubmissionState asked;
     asked.now = now;
-    asked.arrived = marks_.empty() ? now : marks_.front().second;
-    asked.give_up = GiveUp(*r, asked.arrived);
-    asked.in_line = front_->line_.size();
-    asked.unanswered = core().Count().queued;
-    const admission::Verdict verdict = front_->door_->Ask(asked);
-    if (!verdict.admit) return Turned(verdict);
+    asked.arrived_at = marks_.empty() ? now : marks_.front().second;
+    asked.deadline = GiveUp(*r, asked.arrived_at);
+    asked.queued_ahead = front_->line_.size();
+    asked.unanswered_jobs = core().Count().queued;
+    const admission::AdmissionDecision verdict = front_->door_->Decide(asked);
+    if (!verdict.admitted()) return Turned(verdict);
     at_door = true;
     asked_ = std::make_unique<pbs_protocol::Request>(std::move(*r));
-    front_->line_.push_back({id_, ++visits, asked.arrived, asked.give_up});
+    front_->line_.push_back({id_, ++visits, asked.arrived_at, asked.deadline});
   }
 
   // The end of the owner's time as far as the request tells it; what is wrong in it is told later.
@@ -299,10 +299,11 @@
     return give_up;
   }
 
-  void Turned(const admission::Verdict& verdict) {
-    pbs_protocol::Reply no = Text(CodeOf(job_manager::Verdict::kFull), verdict.reason);
-    if (verdict.wait != 0) {
-      no.auxiliary = static_cast<std::int64_t>((verdict.wait + 999) / 1000);
+  void Turned(const admission::AdmissionDecision& verdict) {
+    pbs_protocol::Reply no =
+        Text(CodeOf(job_manager::CommandResult::kFull), std::string(admission::Describe(verdict.result)));
+    if (verdict.retry_after != 0) {
+      no.auxiliary = static_cast<std::int64_t>((verdict.retry_after + 999) / 1000);
       no.text += "; ask again in " + std::to_string(no.auxiliary) + " ms";
     }
     Send(no, true);
@@ -311,8 +312,8 @@
   void Queue(pbs_protocol::Request* r, const std::string& user) {
     if (open_)
       return Send(Text(pbs_protocol::Code::kTooMany, "a submission is in progress on this connection"));
-    if (!core().refuses_new().empty()) {
-      return Send(Text(CodeOf(job_manager::Verdict::kFull), core().refuses_new()), true);
+    if (!core().rejection_of_new_jobs().empty()) {
+      return Send(Text(CodeOf(job_manager::CommandResult::kFull), core().rejection_of_new_jobs()), true);
     }
     job_manager::JobSpec spec;
     spec.user = user;
@@ -321,19 +322,20 @@
     std::uint64_t number = 0;
     if (!r->id.empty()) {
       // An id from a client is one that it got before: a repeat of a submission whose end it did not learn.
-      number = core().NumberOf(r->id);
+      number = core().ParseJobId(r->id);
       if (number == 0) return Send(Of(pbs_protocol::Code::kUnknownJob));
-      if (core().Find(number) != nullptr) return Send(Text(pbs_protocol::Code::kExists, core().IdOf(number)));
-      if (!core().Issued(number))
+      if (core().Find(number) != nullptr)
+        return Send(Text(pbs_protocol::Code::kExists, core().JobId(number)));
+      if (!core().WasIssued(number))
         return Send(Text(pbs_protocol::Code::kBadValue, "job id: expected one that was given out"));
-    } else if (const std::uint64_t had = core().JobOfKey(user, spec.key); had != 0) {
-      return Send(Text(pbs_protocol::Code::kExists, core().IdOf(had)));
+    } else if (const std::uint64_t had = core().FindJobByKey(user, spec.key); had != 0) {
+      return Send(Text(pbs_protocol::Code::kExists, core().JobId(had)));
     }
     if (number == 0) number = core().NewJobNumber();
     open_ = true;
     open_number_ = number;
     open_spec_ = std::move(spec);
-    open_id_ = core().IdOf(number);
+    open_id_ = core().JobId(number);
     pbs_protocol::Reply reply;
     reply.choice = pbs_protocol::Choice::kQueued;
     reply.text = open_id_;
@@ -369,17 +371,17 @@
 
   void Commit(Micros now, const pbs_protocol::Request& r) {
     if (!IsOpen(r.id)) {
-      const std::uint64_t number = core().NumberOf(r.id);
+      const std::uint64_t number = core().ParseJobId(r.id);
       return Send(Of(number != 0 && core().Find(number) != nullptr ? pbs_protocol::Code::kExists
                                                                    : pbs_protocol::Code::kUnknownJob));
     }
-    const job_manager::Submitted done = core().Submit(now, open_number_, std::move(open_spec_));
+    const job_manager::SubmitResult done = core().Submit(now, open_number_, std::move(open_spec_));
     Drop();
-    if (done.verdict == job_manager::Verdict::kExists)
-      return Send(Text(pbs_protocol::Code::kExists, core().IdOf(done.job)));
-    if (done.verdict != job_manager::Verdict::kOk) {
-      const bool full =
-          done.verdict == job_manager::Verdict::kFull || done.verdict == job_manager::Verdict::kStopping;
+    if (done.verdict == job_manager::CommandResult::kExists)
+      return Send(Text(pbs_protocol::Code::kExists, core().JobId(done.job)));
+    if (done.verdict != job_manager::CommandResult::kOk) {
+      const bool full = done.verdict == job_manager::CommandResult::kFull ||
+                        done.verdict == job_manager::CommandResult::kStopping;
       return Send(Text(CodeOf(done.verdict), done.reason), full);
     }
     pbs_protocol::Reply reply;
@@ -389,13 +391,14 @@
   }
 
   void Alter(Micros now, const pbs_protocol::Request& r, const std::string& user) {
-    const std::uint64_t number = core().NumberOf(r.id);
+    const std::uint64_t number = core().ParseJobId(r.id);
     if (number == 0) return Send(Of(pbs_protocol::Code::kUnknownJob));
     Problem problem;
-    const job_manager::Verdict v = core().Alter(now, number, ActsAs(user), [&](job_manager::JobSpec* spec) {
-      problem = Read(r.attributes, "", options().words, true, spec);
-      return problem.code == pbs_protocol::Code::kNone;
-    });
+    const job_manager::CommandResult v =
+        core().Alter(now, number, ActsAs(user), [&](job_manager::JobSpec* spec) {
+          problem = Read(r.attributes, "", options().words, true, spec);
+          return problem.code == pbs_protocol::Code::kNone;
+        });
     if (problem.code != pbs_protocol::Code::kNone) return Send(Text(problem.code, problem.text));
     Reply(v);
   }
@@ -410,7 +413,7 @@
       const pbs_protocol::Attributes shown = ForStatus(core(), job, options().words);
       const bool fits = std::all_of(r.attributes.begin(), r.attributes.end(),
                                     [&shown](const pbs_protocol::Attribute& a) { return Matches(shown, a); });
-      if (fits) reply.ids.push_back(core().IdOf(job.number));
+      if (fits) reply.ids.push_back(core().JobId(job.number));
       return reply.ids.size() < pbs_protocol::kMostObjects;
     });
     Send(reply);
@@ -421,7 +424,7 @@
     reply.choice = pbs_protocol::Choice::kStatus;
     if (!r.id.empty() && std::find(options().words.queues.begin(), options().words.queues.end(), r.id) ==
                              options().words.queues.end()) {
-      const std::uint64_t number = core().NumberOf(r.id);
+      const std::uint64_t number = core().ParseJobId(r.id);
       const job_manager::Job* job = number != 0 ? core().Find(number) : nullptr;
       if (job == nullptr) return Send(Of(pbs_protocol::Code::kUnknownJob));
       if (r.extension.rfind("wait=", 0) == 0) return Wait(now, r, *job);
@@ -442,7 +445,7 @@
   void Wait(Micros now, const pbs_protocol::Request& r, const job_manager::Job& job) {
     wait_for_end = r.extension.rfind("wait=end", 0) == 0;
     const bool there = wait_for_end ? job.state == job_manager::JobState::kComplete
-                                    : job.answer != job_manager::Answer::kNone;
+                                    : job.answer != job_manager::FinalAnswer::kNone;
     if (there) return SendStatus(job.number);
     Micros longest = options().longest_wait;
     const std::size_t at = r.extension.find(",seconds=");
@@ -536,15 +539,15 @@
     }
     job_manager::AttemptFinished ended;
     std::string server;
-    if (!core().AttemptOf(r.id, &ended.attempt, &server)) {
+    if (!core().ParseAttemptName(r.id, &ended.attempt, &server)) {
       return Send(Text(pbs_protocol::Code::kUnknownJob, "expected an attempt's name"));
     }
     if (server != core().options().server) return Send(Of(pbs_protocol::Code::kUnknownJob));
     const std::string_view reason = pbs_protocol::ValueOf(r.attributes, "end_reason");
     static const std::pair<const char*, job_manager::EndReason> kReasons[] = {
-        {"exited", job_manager::EndReason::kExited},      {"killed", job_manager::EndReason::kKilled},
-        {"evicted", job_manager::EndReason::kEvicted},    {"pushed_out", job_manager::EndReason::kPushedOut},
-        {"sent_away", job_manager::EndReason::kSentAway}, {"error", job_manager::EndReason::kError},
+        {"exited", job_manager::EndReason::kExited},     {"killed", job_manager::EndReason::kKilled},
+        {"evicted", job_manager::EndReason::kEvicted},   {"pushed_out", job_manager::EndReason::kPreempted},
+        {"sent_away", job_manager::EndReason::kDrained}, {"error", job_manager::EndReason::kError},
         {"lost", job_manager::EndReason::kLost}};
     for (const auto& [name, value] : kReasons) {
       if (reason == name) ended.reason = value;
@@ -558,7 +561,7 @@
     }
     ended.report = ReadLoad(pbs_protocol::ValueOf(r.attributes, "load"));
     const bool known = core().Find(ended.attempt.job) != nullptr;
-    core().Take(now, ended);
+    core().HandleNodeMessage(now, ended);
     Send(Of(known ? pbs_protocol::Code::kNone : pbs_protocol::Code::kUnknownJob));
   }
 
@@ -593,15 +596,16 @@
   if (door_ == nullptr) return false;
   bool did = false;
   std::size_t entered = 0;
-  const std::size_t most = door_->Batch();
+  const std::size_t most = door_->MaxAdmissionsPerIteration();
   while (!line_.empty() && entered < most) {
     const AtDoor one = line_.front();
     line_.pop_front();
     const auto it = sessions_.find(one.session);
     if (it == sessions_.end() || !it->second->at_door || it->second->visits != one.number) continue;
     did = true;
-    const admission::Verdict verdict = door_->Ask({now, one.arrived, one.give_up, 0, core_->Count().queued});
-    entered += verdict.admit;
+    const admission::AdmissionDecision verdict =
+        door_->Decide({now, one.arrived, one.give_up, 0, core_->Count().queued});
+    entered += verdict.admitted();
     it->second->Enter(now, verdict);
   }
   return did;
@@ -643,8 +647,8 @@
   for (Id id : ready) Finish(now, id, *sessions_.at(id), job);
 }
 
-void Front::On(Micros now, const job_manager::Answered& answered) { Wake(now, answered.job, false); }
-void Front::On(Micros now, const job_manager::Ended& ended) { Wake(now, ended.job, true); }
+void Front::On(Micros now, const job_manager::JobAnswered& answered) { Wake(now, answered.job, false); }
+void Front::On(Micros now, const job_manager::JobCompleted& ended) { Wake(now, ended.job, true); }
 
 void Front::Tick(Micros now) {
   while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
--- a/src/platform/platform_config.cpp
+++ b/src/platform/platform_config.cpp
@@ -139,12 +139,12 @@
     if (it == object_.end() || !it->is_object()) {
       return Fail(Code::kBadSettings, "settings", "an object", TypeOf(object_, "settings"));
     }
-    try {
-      config_->wire = settings::ParseSettings(LayOutSettings(*it));
-    } catch (const settings::SettingsError& error) {
-      config_->errors.push_back({Code::kBadSettings, "settings", error.what(), ""});
+    auto parsed = settings::ParseSettings(LayOutSettings(*it));
+    if (!parsed) {
+      config_->errors.push_back({Code::kBadSettings, "settings", settings::Describe(parsed.error()), ""});
       return;
     }
+    config_->wire = std::move(*parsed);
     CheckSettings();
   }
 
--- a/tests/node_sessions/attempt_exchange_test.cpp
+++ b/tests/node_sessions/attempt_exchange_test.cpp
@@ -26,9 +26,9 @@
     ASSERT_TRUE(exchange_.OnReply(Success()).has_value());
     exchange_.BeginCommit();
   }
-  job_manager::Refused ReadRejectionOf(pbs_protocol::Reply reply) {
+  job_manager::AttemptRejected ReadRejectionOf(pbs_protocol::Reply reply) {
     exchange_.Begin(kAttempt, 1);
-    return std::get<job_manager::Refused>(exchange_.OnReply(std::move(reply)).value());
+    return std::get<job_manager::AttemptRejected>(exchange_.OnReply(std::move(reply)).value());
   }
 
   AttemptExchange exchange_;
@@ -47,7 +47,7 @@
   EXPECT_TRUE(exchange_.AwaitsReply());
   const auto message = exchange_.OnReply(Success());
   ASSERT_TRUE(message.has_value());
-  EXPECT_EQ(std::get<job_manager::Ready>(*message).attempt, kAttempt);
+  EXPECT_EQ(std::get<job_manager::AttemptPrepared>(*message).attempt, kAttempt);
   EXPECT_EQ(exchange_.step(), AttemptStep::kReady);
   EXPECT_FALSE(exchange_.AwaitsReply());
 }
@@ -58,7 +58,7 @@
   EXPECT_FALSE(exchange_.OnReply(Failure("second", 2)).has_value());
   const auto message = exchange_.OnReply(Success());
   ASSERT_TRUE(message.has_value());
-  const auto& rejection = std::get<job_manager::Refused>(*message);
+  const auto& rejection = std::get<job_manager::AttemptRejected>(*message);
   EXPECT_EQ(rejection.attempt, kAttempt);
   EXPECT_EQ(rejection.reason, "first");
   EXPECT_EQ(rejection.cause, RejectionReason::kNoCores);
@@ -71,7 +71,7 @@
   exchange_.Begin({8, 1}, 1);
   const auto message = exchange_.OnReply(Success());
   ASSERT_TRUE(message.has_value());
-  EXPECT_EQ(std::get<job_manager::Ready>(*message).attempt, (job_manager::AttemptId{8, 1}));
+  EXPECT_EQ(std::get<job_manager::AttemptPrepared>(*message).attempt, (job_manager::AttemptId{8, 1}));
 }
 
 TEST_F(AttemptExchangeTest, CommitsWithTheReplyToTheCommit) {
@@ -79,7 +79,7 @@
   EXPECT_TRUE(exchange_.AwaitsReply());
   const auto message = exchange_.OnReply(Success());
   ASSERT_TRUE(message.has_value());
-  EXPECT_EQ(std::get<job_manager::Committed>(*message).attempt, kAttempt);
+  EXPECT_EQ(std::get<job_manager::AttemptCommitted>(*message).attempt, kAttempt);
   EXPECT_EQ(exchange_.step(), AttemptStep::kIdle);
 }
 
@@ -87,13 +87,14 @@
   BeginCommit();
   const auto message = exchange_.OnReply(Failure("too late", 4));
   ASSERT_TRUE(message.has_value());
-  EXPECT_EQ(std::get<job_manager::Refused>(*message).reason, "too late");
-  EXPECT_EQ(std::get<job_manager::Refused>(*message).cause, RejectionReason::kNotAccepting);
+  EXPECT_EQ(std::get<job_manager::AttemptRejected>(*message).reason, "too late");
+  EXPECT_EQ(std::get<job_manager::AttemptRejected>(*message).cause, RejectionReason::kNotAccepting);
   EXPECT_EQ(exchange_.step(), AttemptStep::kIdle);
 }
 
 TEST_F(AttemptExchangeTest, ReadsLoadBehindTheTextOfARejection) {
-  const job_manager::Refused rejection = ReadRejectionOf(Failure("full\tx0=1.5 x1=2 queue=3 util=0.5"));
+  const job_manager::AttemptRejected rejection =
+      ReadRejectionOf(Failure("full\tx0=1.5 x1=2 queue=3 util=0.5"));
   EXPECT_EQ(rejection.reason, "full");
   EXPECT_NE(pbs_server::WriteLoad(rejection.report), pbs_server::WriteLoad({}));
 }
--- a/tests/node_sessions/node_sessions_test.cpp
+++ b/tests/node_sessions/node_sessions_test.cpp
@@ -27,8 +27,8 @@
  protected:
   void SetUp() override {
     Restart({});
-    rig_.List({CoreRig::Node("a")});
-    node_ = rig_.All<job_manager::SyncNode>().at(0).node;
+    rig_.List({JobManagerFixture::Node("a")});
+    node_ = rig_.All<job_manager::ReconcileNode>().at(0).node;
     rig_.SyncAll();
     rig_.Clear();
   }
@@ -44,7 +44,7 @@
   job_manager::AttemptId Ask() {
     rig_.Clear();
     rig_.Submit(1);
-    const job_manager::AskNode ask = rig_.Last<job_manager::AskNode>().value();
+    const job_manager::PrepareAttempt ask = rig_.Last<job_manager::PrepareAttempt>().value();
     Deliver(ask);
     return ask.attempt;
   }
@@ -108,13 +108,13 @@
     Act();
     const ConnId id = opened_.back();
     Reply(id, {}, kSubmissionReplies);
-    EXPECT_TRUE(std::holds_alternative<job_manager::Ready>(TakeMessages().at(0)));
+    EXPECT_TRUE(std::holds_alternative<job_manager::AttemptPrepared>(TakeMessages().at(0)));
     return id;
   }
 
   static constexpr int kSubmissionReplies = 3;  // QueueJob, one piece of a script, ReadyToCommit
 
-  CoreRig rig_;
+  JobManagerFixture rig_;
   std::unique_ptr<NodeSessions> sessions_;
   NodeId node_ = 0;
   bool connect_ = true;
@@ -135,20 +135,20 @@
   ASSERT_EQ(requests_[id].size(), 3u);
   EXPECT_EQ(requests_[id][0].type, RequestType::kQueueJob);
   EXPECT_EQ(requests_[id][0].destination, "safe");
-  EXPECT_EQ(requests_[id][0].id, rig_.core.NameOf(attempt));
+  EXPECT_EQ(requests_[id][0].id, rig_.core.AttemptName(attempt));
   EXPECT_EQ(pbs_protocol::ValueOf(requests_[id][0].attributes, "server"), "d0");
   EXPECT_EQ(requests_[id][1].type, RequestType::kJobScript);
   EXPECT_EQ(requests_[id][2].type, RequestType::kReadyToCommit);
   Reply(id, {}, 2);
   EXPECT_TRUE(sessions_->messages().empty());
   Reply(id);
-  EXPECT_EQ(TakeMessage<job_manager::Ready>().attempt, attempt);
-  Deliver(job_manager::CommitNode{attempt, node_});
+  EXPECT_EQ(TakeMessage<job_manager::AttemptPrepared>().attempt, attempt);
+  Deliver(job_manager::CommitAttempt{attempt, node_});
   Act();
   ASSERT_EQ(requests_[id].size(), 4u);
   EXPECT_EQ(requests_[id][3].type, RequestType::kCommit);
   Reply(id);
-  EXPECT_EQ(TakeMessage<job_manager::Committed>().attempt, attempt);
+  EXPECT_EQ(TakeMessage<job_manager::AttemptCommitted>().attempt, attempt);
   EXPECT_EQ(sessions_->NextTimer(), kNever);
 }
 
@@ -160,7 +160,7 @@
   spec.service = "stock";
   spec.script = std::string((64 << 10) + 1, 's');
   rig_.Submit(spec);
-  Deliver(rig_.Last<job_manager::AskNode>().value());
+  Deliver(rig_.Last<job_manager::PrepareAttempt>().value());
   Act();
   const auto& requests = requests_[opened_.at(0)];
   ASSERT_EQ(requests.size(), 4u);
@@ -174,7 +174,7 @@
   Ask();
   Act();
   Reply(opened_[0], Failure("full"), kSubmissionReplies);
-  EXPECT_EQ(TakeMessage<job_manager::Refused>().reason, "full");
+  EXPECT_EQ(TakeMessage<job_manager::AttemptRejected>().reason, "full");
   Ask();
   Act();
   EXPECT_EQ(opened_.size(), 1u);
@@ -205,7 +205,7 @@
   const job_manager::AttemptId waiting = Ask();
   EXPECT_TRUE(sessions_->messages().empty());
   const job_manager::AttemptId rejected = Ask();
-  const auto broken = TakeMessage<job_manager::Broken>();
+  const auto broken = TakeMessage<job_manager::AttemptDisconnected>();
   EXPECT_EQ(broken.attempt, rejected);
   EXPECT_FALSE(broken.sent);
   Act();
@@ -214,7 +214,7 @@
   Act();
   EXPECT_EQ(opened_.size(), 2u);  // the waiting one took the connection over
   ASSERT_EQ(requests_[opened_[0]].size(), 6u);
-  EXPECT_EQ(requests_[opened_[0]][3].id, rig_.core.NameOf(waiting));
+  EXPECT_EQ(requests_[opened_[0]][3].id, rig_.core.AttemptName(waiting));
 }
 
 TEST_F(NodeSessionsTest, AbandonedAttemptLosesItsConnectionAndAWaitingOneItsPlace) {
@@ -226,12 +226,12 @@
   const job_manager::AttemptId second = Ask();
   const job_manager::AttemptId third = Ask();
   Act();
-  Deliver(job_manager::AbandonAsk{second, node_});
-  Deliver(job_manager::AbandonAsk{first, node_});
+  Deliver(job_manager::AbandonAttempt{second, node_});
+  Deliver(job_manager::AbandonAttempt{first, node_});
   Act();
   EXPECT_EQ(closed_, std::vector<ConnId>{opened_[0]});
   ASSERT_EQ(opened_.size(), 2u);
-  EXPECT_EQ(requests_[opened_[1]][0].id, rig_.core.NameOf(third));
+  EXPECT_EQ(requests_[opened_[1]][0].id, rig_.core.AttemptName(third));
   EXPECT_TRUE(sessions_->messages().empty());
   sessions_->Closed(rig_.now, opened_[0]);  // an event that comes late
   EXPECT_TRUE(sessions_->messages().empty());
@@ -241,20 +241,20 @@
   const job_manager::AttemptId attempt = Ask();
   const ConnId id = MakeReady();
   sessions_->Closed(rig_.now, id);
-  const auto broken = TakeMessage<job_manager::Broken>();
+  const auto broken = TakeMessage<job_manager::AttemptDisconnected>();
   EXPECT_EQ(broken.attempt, attempt);
   EXPECT_FALSE(broken.sent);
-  Deliver(job_manager::CommitNode{attempt, node_});  // crossed the news
-  EXPECT_FALSE(TakeMessage<job_manager::Broken>().sent);
+  Deliver(job_manager::CommitAttempt{attempt, node_});  // crossed the news
+  EXPECT_FALSE(TakeMessage<job_manager::AttemptDisconnected>().sent);
   EXPECT_EQ(sessions_->connections(), 0u);
 }
 
 TEST_F(NodeSessionsTest, ConnectionThatBreaksAfterTheCommitTellsItWasSent) {
   const job_manager::AttemptId attempt = Ask();
   const ConnId id = MakeReady();
-  Deliver(job_manager::CommitNode{attempt, node_});
+  Deliver(job_manager::CommitAttempt{attempt, node_});
   sessions_->Closed(rig_.now, id);
-  const auto broken = TakeMessage<job_manager::Broken>();
+  const auto broken = TakeMessage<job_manager::AttemptDisconnected>();
   EXPECT_EQ(broken.attempt, attempt);
   EXPECT_TRUE(broken.sent);
 }
@@ -268,7 +268,7 @@
   sessions_->Tick(due - 1);
   EXPECT_TRUE(sessions_->messages().empty());
   sessions_->Tick(due);
-  const auto broken = TakeMessage<job_manager::Broken>();
+  const auto broken = TakeMessage<job_manager::AttemptDisconnected>();
   EXPECT_EQ(broken.attempt, attempt);
   EXPECT_FALSE(broken.sent);
   Act();
@@ -279,24 +279,24 @@
 TEST_F(NodeSessionsTest, StoppedAttemptDoesNotKeepItsConnectionForEver) {
   const job_manager::AttemptId attempt = Ask();
   const ConnId id = MakeReady();
-  Deliver(job_manager::CommitNode{attempt, node_});
-  Deliver(job_manager::StopOnNode{attempt, node_});
+  Deliver(job_manager::CommitAttempt{attempt, node_});
+  Deliver(job_manager::StopAttempt{attempt, node_});
   Act();
   const Micros timeout = NodeSessionOptions{}.control_timeout;
   Reply(opened_.back());  // to the stop; the commit gets no reply
-  EXPECT_TRUE(TakeMessage<job_manager::Stopped>().known);
+  EXPECT_TRUE(TakeMessage<job_manager::StopAnswered>().known);
   EXPECT_EQ(sessions_->NextTimer(), rig_.now + 2 * timeout);
   sessions_->Tick(rig_.now + 2 * timeout);
-  EXPECT_TRUE(TakeMessage<job_manager::Broken>().sent);
+  EXPECT_TRUE(TakeMessage<job_manager::AttemptDisconnected>().sent);
   Act();
   EXPECT_EQ(closed_, std::vector<ConnId>{id});
 }
 
 TEST_F(NodeSessionsTest, AttemptOfAnUnknownNodeOrJobIsNotSent) {
-  Deliver(job_manager::AskNode{{1, 1}, node_ + 1000});
-  EXPECT_FALSE(TakeMessage<job_manager::Broken>().sent);
-  Deliver(job_manager::AskNode{{999, 1}, node_});
-  EXPECT_FALSE(TakeMessage<job_manager::Broken>().sent);
+  Deliver(job_manager::PrepareAttempt{{1, 1}, node_ + 1000});
+  EXPECT_FALSE(TakeMessage<job_manager::AttemptDisconnected>().sent);
+  Deliver(job_manager::PrepareAttempt{{999, 1}, node_});
+  EXPECT_FALSE(TakeMessage<job_manager::AttemptDisconnected>().sent);
   EXPECT_TRUE(sessions_->actions().empty());
 }
 
@@ -306,7 +306,7 @@
   const job_manager::AttemptId attempt = Ask();
   Act();
   sessions_->Received(rig_.now, opened_[0], "no reply");
-  EXPECT_EQ(TakeMessage<job_manager::Broken>().attempt, attempt);
+  EXPECT_EQ(TakeMessage<job_manager::AttemptDisconnected>().attempt, attempt);
   Act();
   EXPECT_EQ(closed_, opened_);
 }
@@ -315,7 +315,7 @@
   Ask();
   const ConnId id = MakeReady();
   Reply(id);  // before any commit
-  EXPECT_FALSE(TakeMessage<job_manager::Broken>().sent);
+  EXPECT_FALSE(TakeMessage<job_manager::AttemptDisconnected>().sent);
   Act();
   EXPECT_EQ(closed_, std::vector<ConnId>{id});
 }
@@ -343,18 +343,18 @@
     EXPECT_TRUE(sessions_->messages().empty());
     sessions_->Received(rig_.now, opened_[0], std::string_view(&byte, 1));
   }
-  EXPECT_EQ(TakeMessage<job_manager::Ready>().attempt, attempt);
+  EXPECT_EQ(TakeMessage<job_manager::AttemptPrepared>().attempt, attempt);
 }
 
 // ---- Control requests ----
 
 TEST_F(NodeSessionsTest, ControlRequestsShareOneConnectionAndAreAnsweredInOrder) {
   const job_manager::AttemptId attempt{5, 1};
-  Deliver(job_manager::StopOnNode{attempt, node_});
-  Deliver(job_manager::SignalOnNode{attempt, node_, "TERM"});
-  Deliver(job_manager::QueryNode{attempt, node_});
+  Deliver(job_manager::StopAttempt{attempt, node_});
+  Deliver(job_manager::SignalAttempt{attempt, node_, "TERM"});
+  Deliver(job_manager::QueryAttempt{attempt, node_});
   Deliver(job_manager::FindKey{node_, 5, "k"});
-  Deliver(job_manager::ProbeNode{node_});
+  Deliver(job_manager::CheckNodeHealth{node_});
   Act();
   ASSERT_EQ(opened_.size(), 1u);
   const auto& requests = requests_[opened_[0]];
@@ -363,7 +363,7 @@
   EXPECT_EQ(requests[1].type, RequestType::kSignalJob);
   EXPECT_EQ(requests[1].signal, "TERM");
   EXPECT_EQ(requests[2].type, RequestType::kStatusJob);
-  EXPECT_EQ(requests[2].id, rig_.core.NameOf(attempt));
+  EXPECT_EQ(requests[2].id, rig_.core.AttemptName(attempt));
   EXPECT_EQ(requests[3].type, RequestType::kSelectJobs);
   EXPECT_EQ(requests[4].type, RequestType::kStatusServer);
   Reply(opened_[0], {}, 3);
@@ -375,14 +375,14 @@
   Reply(opened_[0]);
   const auto messages = TakeMessages();
   ASSERT_EQ(messages.size(), 4u);  // a signal has no answer
-  EXPECT_TRUE(std::get<job_manager::Stopped>(messages[0]).known);
-  EXPECT_TRUE(std::get<job_manager::Found>(messages[1]).found);
-  const auto& key_found = std::get<job_manager::KeyFound>(messages[2]);
+  EXPECT_TRUE(std::get<job_manager::StopAnswered>(messages[0]).known);
+  EXPECT_TRUE(std::get<job_manager::QueryAnswered>(messages[1]).found);
+  const auto& key_found = std::get<job_manager::FindKeyAnswered>(messages[2]);
   EXPECT_TRUE(key_found.reached);
   EXPECT_TRUE(key_found.found);
   EXPECT_EQ(key_found.server, "d1");
   EXPECT_EQ(key_found.attempt, (job_manager::AttemptId{5, 3}));
-  const auto& probed = std::get<job_manager::Probed>(messages[3]);
+  const auto& probed = std::get<job_manager::NodeHealthChecked>(messages[3]);
   EXPECT_TRUE(probed.answered);
   EXPECT_EQ(probed.elapsed, 7u);
   EXPECT_EQ(sessions_->NextTimer(), kNever);
@@ -393,32 +393,32 @@
   options.max_controls = 2;
   Restart(options);
   const job_manager::AttemptId attempt{5, 1};
-  Deliver(job_manager::ProbeNode{node_});
-  Deliver(job_manager::ProbeNode{node_});
+  Deliver(job_manager::CheckNodeHealth{node_});
+  Deliver(job_manager::CheckNodeHealth{node_});
   EXPECT_TRUE(sessions_->messages().empty());
-  Deliver(job_manager::StopOnNode{attempt, node_});
+  Deliver(job_manager::StopAttempt{attempt, node_});
   EXPECT_EQ(TakeMessage<job_manager::StopFailed>().attempt, attempt);
-  Deliver(job_manager::QueryNode{attempt, node_});
+  Deliver(job_manager::QueryAttempt{attempt, node_});
   EXPECT_EQ(TakeMessage<job_manager::QueryFailed>().attempt, attempt);
   Deliver(job_manager::FindKey{node_, 5, "k"});
-  EXPECT_FALSE(TakeMessage<job_manager::KeyFound>().reached);
-  Deliver(job_manager::SyncNode{node_});
-  EXPECT_EQ(TakeMessage<job_manager::SyncFailed>().node, node_);
-  Deliver(job_manager::ProbeNode{node_});
-  EXPECT_FALSE(TakeMessage<job_manager::Probed>().answered);
-  Deliver(job_manager::SignalOnNode{attempt, node_, "TERM"});
+  EXPECT_FALSE(TakeMessage<job_manager::FindKeyAnswered>().reached);
+  Deliver(job_manager::ReconcileNode{node_});
+  EXPECT_EQ(TakeMessage<job_manager::ReconcileFailed>().node, node_);
+  Deliver(job_manager::CheckNodeHealth{node_});
+  EXPECT_FALSE(TakeMessage<job_manager::NodeHealthChecked>().answered);
+  Deliver(job_manager::SignalAttempt{attempt, node_, "TERM"});
   EXPECT_TRUE(sessions_->messages().empty());
   Act();
   Reply(opened_[0]);
   TakeMessages();
-  Deliver(job_manager::StopOnNode{attempt, node_});  // there is room again
+  Deliver(job_manager::StopAttempt{attempt, node_});  // there is room again
   EXPECT_TRUE(sessions_->messages().empty());
 }
 
 TEST_F(NodeSessionsTest, SilentControlConnectionIsClosedAndAllItsRequestsFail) {
   const job_manager::AttemptId attempt{5, 1};
-  Deliver(job_manager::StopOnNode{attempt, node_});
-  Deliver(job_manager::QueryNode{attempt, node_});
+  Deliver(job_manager::StopAttempt{attempt, node_});
+  Deliver(job_manager::QueryAttempt{attempt, node_});
   Act();
   const Micros timeout = NodeSessionOptions{}.control_timeout;
   EXPECT_EQ(sessions_->NextTimer(), rig_.now + timeout);
@@ -430,32 +430,32 @@
   const auto messages = TakeMessages();
   ASSERT_EQ(messages.size(), 2u);
   EXPECT_EQ(std::get<job_manager::QueryFailed>(messages[0]).attempt, attempt);
-  EXPECT_EQ(std::get<job_manager::SyncFailed>(messages[1]).node, node_);  // the node may have died
+  EXPECT_EQ(std::get<job_manager::ReconcileFailed>(messages[1]).node, node_);  // the node may have died
   Act();
   EXPECT_EQ(closed_, opened_);
 }
 
 TEST_F(NodeSessionsTest, FailedSyncIsReportedOnce) {
-  Deliver(job_manager::SyncNode{node_});
+  Deliver(job_manager::ReconcileNode{node_});
   Act();
   sessions_->Closed(rig_.now, opened_[0]);
-  EXPECT_EQ(TakeMessage<job_manager::SyncFailed>().node, node_);
+  EXPECT_EQ(TakeMessage<job_manager::ReconcileFailed>().node, node_);
 }
 
 TEST_F(NodeSessionsTest, MalformedControlReplyFailsAllRequests) {
-  Deliver(job_manager::ProbeNode{node_});
+  Deliver(job_manager::CheckNodeHealth{node_});
   Act();
   sessions_->Received(rig_.now, opened_[0], "no reply");
   const auto messages = TakeMessages();
   ASSERT_EQ(messages.size(), 2u);
-  EXPECT_FALSE(std::get<job_manager::Probed>(messages[0]).answered);
-  EXPECT_EQ(std::get<job_manager::SyncFailed>(messages[1]).node, node_);
+  EXPECT_FALSE(std::get<job_manager::NodeHealthChecked>(messages[0]).answered);
+  EXPECT_EQ(std::get<job_manager::ReconcileFailed>(messages[1]).node, node_);
   Act();
   EXPECT_EQ(closed_, opened_);
 }
 
 TEST_F(NodeSessionsTest, SyncListsOurAttemptsAndTheNodesStart) {
-  Deliver(job_manager::SyncNode{node_});
+  Deliver(job_manager::ReconcileNode{node_});
   Act();
   pbs_protocol::Reply reply;
   reply.choice = pbs_protocol::Choice::kStatus;
@@ -471,7 +471,7 @@
   reply.objects[3].name = "7.d0/1";
   reply.objects[3].attributes = {{"queue", "", "none of ours", pbs_protocol::Op::kSet}};
   Reply(opened_[0], reply);
-  const auto synced = TakeMessage<job_manager::Synced>();
+  const auto synced = TakeMessage<job_manager::NodeReconciled>();
   EXPECT_EQ(synced.node, node_);
   EXPECT_EQ(synced.started, 1234u);
   ASSERT_EQ(synced.held.size(), 2u);
@@ -484,8 +484,8 @@
 }
 
 TEST_F(NodeSessionsTest, ControlRequestToAnUnknownNodeFails) {
-  Deliver(job_manager::SyncNode{node_ + 1000});
-  EXPECT_EQ(TakeMessage<job_manager::SyncFailed>().node, node_ + 1000);
+  Deliver(job_manager::ReconcileNode{node_ + 1000});
+  EXPECT_EQ(TakeMessage<job_manager::ReconcileFailed>().node, node_ + 1000);
   EXPECT_TRUE(sessions_->actions().empty());
 }
 
@@ -495,14 +495,14 @@
   Ask();
   Act();
   Reply(opened_[0], Failure("full"), kSubmissionReplies);
-  Deliver(job_manager::ProbeNode{node_});
+  Deliver(job_manager::CheckNodeHealth{node_});
   Act();
   Reply(opened_[1]);
   TakeMessages();
-  job_manager::ListedNode moved = CoreRig::Node("a");
+  job_manager::ListedNode moved = JobManagerFixture::Node("a");
   moved.address = "127.0.0.1:2";
   rig_.List({moved});
-  Deliver(job_manager::ProbeNode{node_});
+  Deliver(job_manager::CheckNodeHealth{node_});
   Act();
   EXPECT_EQ(closed_,
             opened_.size() == 3 ? std::vector<ConnId>({opened_[0], opened_[1]}) : std::vector<ConnId>{});
@@ -512,7 +512,7 @@
 
 TEST_F(NodeSessionsTest, ForgottenNodeLosesAllItsConnectionsSilently) {
   const job_manager::AttemptId attempt = Ask();
-  Deliver(job_manager::ProbeNode{node_});
+  Deliver(job_manager::CheckNodeHealth{node_});
   Act();
   ASSERT_EQ(opened_.size(), 2u);
   Deliver(job_manager::ForgetNode{node_});
@@ -521,8 +521,8 @@
   EXPECT_EQ(sessions_->connections(), 0u);
   EXPECT_EQ(sessions_->NextTimer(), kNever);
   EXPECT_TRUE(sessions_->messages().empty());
-  Deliver(job_manager::CommitNode{attempt, node_});
-  EXPECT_FALSE(TakeMessage<job_manager::Broken>().sent);
+  Deliver(job_manager::CommitAttempt{attempt, node_});
+  EXPECT_FALSE(TakeMessage<job_manager::AttemptDisconnected>().sent);
 }
 
 }  // namespace
--- a/tests/platform/platform_config_test.cpp
+++ b/tests/platform/platform_config_test.cpp
@@ -31,11 +31,13 @@
 
 TEST(PlatformConfig, ReadsTheSameSettingsFromBothForms) {
   const settings::WireSettings nested = ReadPlatformConfig(kPlatformConfig, nullptr, nullptr).wire;
-  const settings::WireSettings lines = settings::ParseSettings(
-      "profiles.count=2\nprofiles.0.name=service\nprofiles.0.effect=keyed\nprofiles.0.key_scope=cell\n"
-      "profiles.0.window_us=5000000\nprofiles.0.hard_limit_us=3000000\nprofiles.1.effect=safe\n"
-      "domain.spread_by=silent,cell\ndomain.together_max=0,3\nstats.names=x0,x1,pending,cpu_share\n"
-      "domain.kind_cores=32\ndomain.mem_of_kind=64.0\nbounds.max_attempts=4\n");
+  const settings::WireSettings lines =
+      settings::ParseSettings(
+          "profiles.count=2\nprofiles.0.name=service\nprofiles.0.effect=keyed\nprofiles.0.key_scope=cell\n"
+          "profiles.0.window_us=5000000\nprofiles.0.hard_limit_us=3000000\nprofiles.1.effect=safe\n"
+          "domain.spread_by=silent,cell\ndomain.together_max=0,3\nstats.names=x0,x1,pending,cpu_share\n"
+          "domain.kind_cores=32\ndomain.mem_of_kind=64.0\nbounds.max_attempts=4\n")
+          .value();
   ASSERT_EQ(nested.settings.classes.size(), lines.settings.classes.size());
   for (std::size_t i = 0; i < 2; ++i) {
     const TaskClass& one = nested.settings.classes[i];
--- a/tools/fuzz/targets.cpp
+++ b/tools/fuzz/targets.cpp
@@ -73,7 +73,7 @@
   front.Tick(1'000'000'000 + 3'600'000'000);
   // Every job that was taken has its answer by now: there is no node.
   core.ForEach(0, [](const job_manager::Job& job) {
-    Must(job.answer != job_manager::Answer::kNone || !job.spec->hold.empty() || job.spec->due != 0,
+    Must(job.answer != job_manager::FinalAnswer::kNone || !job.spec->hold.empty() || job.spec->due != 0,
          "a taken job is answered");
     return true;
   });
@@ -100,7 +100,7 @@
   const std::string_view prefix = line == std::string_view::npos ? "#PBS" : bytes.substr(0, line);
   const auto read =
       cli::ReadDirectives(line == std::string_view::npos ? bytes : bytes.substr(line + 1), prefix);
-  Must(!prefix.empty() || read.arguments.empty(), "without a prefix there are no directives");
+  Must(!prefix.empty() || (read && read->empty()), "without a prefix there are no directives");
 }
 
 void Config(std::string_view bytes) {
