--- a/src/platform/client_connections.cpp
+++ b/src/platform/client_connections.cpp
@@ -6,241 +6,274 @@
 namespace mountflow::platform {
 namespace {
 
-// The four numbers of IP:PORT as one; what has another form counts as one host.
-Host HostOf(const std::string& address) {
-  Host host = 0, part = 0;
-  for (const char c : address) {
-    if (c >= '0' && c <= '9') {
-      part = part * 10 + static_cast<Host>(c - '0');
-    } else {
-      host = host << 8 | (part & 255);
-      part = 0;
-      if (c == ':') break;
+// The four numbers of IP:PORT as one; addresses of another form count as one host.
+ClientHost HostOf(const std::string& address) {
+  constexpr ClientHost kLowByte = 255;
+  ClientHost host = 0;
+  ClientHost part = 0;
+  for (const char symbol : address) {
+    if (symbol >= '0' && symbol <= '9') {
+      part = part * 10 + static_cast<ClientHost>(symbol - '0');
+      continue;
     }
+    host = host << 8 | (part & kLowByte);
+    part = 0;
+    if (symbol == ':') break;
   }
   return host;
 }
 
 }  // namespace
 
+ClientConnections::ClientConnections(std::size_t max_connections, Dispatcher* dispatcher,
+                                     Transport* transport)
+    : max_connections_(max_connections), dispatcher_(dispatcher), transport_(transport) {
+  dispatcher_->SetClientHasLeft([transport](ConnId conn) { return transport->HungUp(conn); });
+}
+
 void ClientConnections::Accept(Micros now, ConnId conn, const std::string& address) {
-  if (conns_.size() >= most_) {
-    // First one that said nothing, the oldest; then the one whose last word is longest ago and that waits for
-    // nothing: some ask once and keep their connection for good, and new ones must still come in. One whose
-    // tasks still stand comes last: word of them might find no other way.
-    ConnId victim = 0;
-    auto least = std::make_pair(true, kNever);
-    for (const auto& [id, c] : conns_) {
-      const auto rank = std::make_pair(tasks_->standing_on(id) > 0, c.spoke);
-      if (rank >= least || tasks_->open_on(id) > 0) continue;
-      victim = id;
-      least = rank;
-    }
-    if (victim == 0) {
-      return port_->Close(conn, false);
-    }
-    Cut(now, victim,
-        least.second == 0 ? "silent, and all are taken" : "unused for longest, and all are taken");
+  if (!EvictIfFull(now)) return transport_->Close(conn, false);
+  if (trace_) trace_(now, "client " + std::to_string(conn) + " from " + address);
+  Connection& connection = connections_[conn];
+  connection.host = HostOf(address);
+  connection.accepted_at = now;
+}
+
+// Some clients ask once and keep their connection for good, and new ones must still come in. A connection
+// whose tasks still run is evicted last: notifications about them might find no other.
+bool ClientConnections::EvictIfFull(Micros now) {
+  if (connections_.size() < max_connections_) return true;
+  ConnId evicted = 0;
+  EvictionRank smallest;
+  for (const auto& [id, connection] : connections_) {
+    const EvictionRank rank{dispatcher_->requests().running_on(id) > 0, connection.last_message_at};
+    if (rank >= smallest || dispatcher_->requests().unanswered_on(id) > 0) continue;
+    evicted = id;
+    smallest = rank;
   }
-  if (trace_) trace_(now, "owner " + std::to_string(conn) + " from " + address);
-  Conn& c = conns_[conn];
-  c.host = HostOf(address);
-  c.since = now;
+  if (evicted == 0) return false;
+  CloseConnection(now, evicted,
+                  smallest.last_message_at == 0
+                      ? "evicted: it sent nothing, and the connection limit is reached"
+                      : "evicted: least recently used, and the connection limit is reached");
+  return true;
 }
 
 void ClientConnections::OnBytes(Micros now, ConnId conn, std::string_view bytes) {
-  const auto it = conns_.find(conn);
-  if (it == conns_.end()) return;
-  it->second.reader.Feed(bytes);
-  Take(now, conn);
+  const auto found = connections_.find(conn);
+  if (found == connections_.end()) return;
+  found->second.reader.Feed(bytes);
+  ReadMessages(now, conn);
+}
+
+std::vector<ConnId> ClientConnections::ProcessBacklog(Micros now) {
+  const std::vector<ConnId> waiting(backlog_.begin(), backlog_.end());
+  std::vector<ConnId> finished;
+  for (const ConnId conn : waiting) {
+    ReadMessages(now, conn);
+    if (!HasBacklog(conn)) finished.push_back(conn);
+  }
+  return finished;
 }
 
-bool ClientConnections::Full(ConnId conn) const {
-  const auto it = conns_.find(conn);
-  return it != conns_.end() && it->second.waits;
+void ClientConnections::ReadMessages(Micros now, ConnId conn) {
+  for (std::size_t i = 0; i < kMaxMessagesPerTurn; ++i) {
+    if (!ReadMessage(now, conn)) return;
+  }
+  if (HasConnection(conn)) backlog_.insert(conn);
 }
 
-void ClientConnections::Take(Micros now, ConnId conn) {
+// Returns false also when no whole message is left.
+bool ClientConnections::ReadMessage(Micros now, ConnId conn) {
+  const auto found = connections_.find(conn);
+  if (found == connections_.end()) return false;
+  Connection& connection = found->second;
   ClientMessage message;
-  for (std::size_t i = 0; i < kMessagesTurn; ++i) {
-    const auto it = conns_.find(conn);
-    if (it == conns_.end()) return;
-    Conn& c = it->second;
-    switch (c.reader.Next(&message)) {
-      case ClientMessageReader::State::kMore:
-        c.partial_at = !c.reader.within_message() ? 0 : c.partial_at != 0 ? c.partial_at : now;
-        c.waits = false;
-        waiting_.erase(conn);
-        return;
-      case ClientMessageReader::State::kBroken:
-        return Cut(now, conn, c.reader.error());
-      case ClientMessageReader::State::kUnusable: {
-        c.spoke = now;
-        c.partial_at = 0;
-        ClientMessage stop;
-        stop.kind = ClientMessageKind::kStop;
-        stop.uid = message.uid;
-        stop.cause = kCauseBad;
-        // An id that is in use keeps its own answer; a second one for it would break that.
-        if (tasks_->Holds(message.uid)) return Cut(now, conn, "what cannot be used, under an id in use");
-        Send(conn, stop);
-        break;
-      }
-      case ClientMessageReader::State::kMessage:
-        c.spoke = now;
-        c.partial_at = 0;
-        if (!One(now, conn, c, message)) return;
-        break;
+  const ClientMessageReader::State state = connection.reader.Next(&message);
+  if (state == ClientMessageReader::State::kMore) {
+    if (!connection.reader.within_message()) {
+      connection.partial_since = 0;
+    } else if (connection.partial_since == 0) {
+      connection.partial_since = now;
     }
+    backlog_.erase(conn);
+    return false;
+  }
+  if (state == ClientMessageReader::State::kBroken) {
+    CloseConnection(now, conn, connection.reader.error());
+    return false;
+  }
+  connection.last_message_at = now;
+  connection.partial_since = 0;
+  if (state == ClientMessageReader::State::kUnusable) return HandleUnusable(now, conn, message.uid);
+  return HandleMessage(now, conn, message);
+}
+
+bool ClientConnections::HandleUnusable(Micros now, ConnId conn, RequestUid uid) {
+  // The request that has this uid keeps its own final answer; a second one under the uid would break that.
+  if (dispatcher_->requests().Contains(uid)) {
+    CloseConnection(now, conn, "a message that cannot be used, under a uid in use");
+    return false;
   }
-  const auto it = conns_.find(conn);
-  if (it == conns_.end()) return;
-  it->second.waits = true;
-  waiting_.insert(conn);
+  Send(conn, MakeNegativeAnswer(uid, kCauseInvalidRequest));
+  return true;
 }
 
-bool ClientConnections::One(Micros now, ConnId conn, Conn& c, const ClientMessage& message) {
+bool ClientConnections::HandleMessage(Micros now, ConnId conn, const ClientMessage& message) {
   switch (message.kind) {
-    case ClientMessageKind::kLaunch: {
-      const Dispatcher::Took took = tasks_->SetUp(now, conn, c.host, message);
-      if (took == Dispatcher::Took::kTwice) {
-        // An answer to the second would be taken for one to the first.
-        Cut(now, conn, "a second set-up under an id in use");
-        return false;
-      }
-      if (took == Dispatcher::Took::kRunning) Prove(conn, c);
-      Deliver(now);
-      return conns_.count(conn) > 0;
-    }
+    case ClientMessageKind::kLaunch:
+      return HandleLaunch(now, conn, message);
     case ClientMessageKind::kStop:
-      tasks_->Stop(now, conn, message.uid);
-      Deliver(now);
-      return conns_.count(conn) > 0;
+      dispatcher_->Cancel(now, message.uid);
+      DeliverNotifications(now);
+      return HasConnection(conn);
     case ClientMessageKind::kHealthCheck: {
-      ClientMessage tested;
-      tested.kind = ClientMessageKind::kHealthCheckReply;
-      tested.uid = message.uid;
-      tested.cause = ready_ ? 1 : 0;
-      Send(conn, tested);
+      ClientMessage reply;
+      reply.kind = ClientMessageKind::kHealthCheckReply;
+      reply.uid = message.uid;
+      reply.cause = ready_ ? 1 : 0;
+      Send(conn, reply);
       return true;
     }
     default:
-      return true;  // free words; they mean nothing here
+      return true;  // the other kinds say nothing that the scheduler needs
+  }
+}
+
+bool ClientConnections::HandleLaunch(Micros now, ConnId conn, const ClientMessage& message) {
+  const SubmitResult result = dispatcher_->Submit(now, conn, connections_.at(conn).host, message);
+  if (result == SubmitResult::kDuplicateUid) {
+    // An answer to the second request would be taken for one to the first.
+    CloseConnection(now, conn, "a second request under a uid in use");
+    return false;
   }
+  if (result == SubmitResult::kAlreadyRunning) OnTaskStarted(conn);
+  DeliverNotifications(now);
+  return HasConnection(conn);
 }
 
 void ClientConnections::Send(ConnId conn, const ClientMessage& message) {
-  port_->Send(conn, EncodeClientMessage(message));
+  transport_->Send(conn, EncodeClientMessage(message));
 }
 
-void ClientConnections::Cut(Micros now, ConnId conn, const std::string& why) {
-  port_->Log("owner's connection closed: " + why);
-  port_->Close(conn, true);
+void ClientConnections::CloseConnection(Micros now, ConnId conn, const std::string& reason) {
+  transport_->Log("client connection closed: " + reason);
+  transport_->Close(conn, true);
   OnClosed(now, conn);
 }
 
 void ClientConnections::OnClosed(Micros now, ConnId conn) {
-  const auto it = conns_.find(conn);
-  if (it == conns_.end()) return;
-  if (trace_) trace_(now, "owner " + std::to_string(conn) + " left");
-  conns_.erase(it);
-  waiting_.erase(conn);
-  tasks_->OwnerLeft(now, conn);
-  Deliver(now);
-}
-
-std::vector<ConnId> ClientConnections::Work(Micros now) {
-  const std::vector<ConnId> waiting(waiting_.begin(), waiting_.end());
-  std::vector<ConnId> taken;
-  for (const ConnId conn : waiting) {
-    Take(now, conn);
-    if (waiting_.count(conn) == 0) taken.push_back(conn);
-  }
-  return taken;
+  const auto found = connections_.find(conn);
+  if (found == connections_.end()) return;
+  if (trace_) trace_(now, "client " + std::to_string(conn) + " left");
+  connections_.erase(found);
+  backlog_.erase(conn);
+  dispatcher_->OnClientDisconnected(now, conn);
+  DeliverNotifications(now);
 }
 
-bool ClientConnections::Owes() const {
-  return !waiting_.empty() || !owed_.empty() ||
-         std::any_of(conns_.begin(), conns_.end(), [this](const auto& c) {
-           return !port_->AllWritten(c.first) && !port_->HungUp(c.first);
-         });
+bool ClientConnections::HasUnfinishedWork() const {
+  if (!backlog_.empty() || !undelivered_.empty()) return true;
+  return std::any_of(connections_.begin(), connections_.end(), [this](const auto& entry) {
+    return !transport_->AllWritten(entry.first) && !transport_->HungUp(entry.first);
+  });
 }
 
-// An answer goes on the connection of its set-up alone. No connection owns a task that stands: word of it
-// goes there too, else on the newest one from the same host on which something was placed; 0: nowhere. What
-// is written to a connection whose owner has just closed it is lost, and the task would stand for ever: such
-// a one is none.
-ConnId ClientConnections::WayTo(const ClientNotification& out) const {
-  if (conns_.count(out.conn) > 0 && (!out.anywhere || !port_->HungUp(out.conn))) return out.conn;
-  for (auto it = conns_.rbegin(); out.anywhere && it != conns_.rend(); ++it) {
-    if (it->second.proven && it->second.host == out.host && !port_->HungUp(it->first)) return it->first;
+// ---- Notifications ----
+
+// A final answer goes on the connection of its request alone. A notification goes there too, else on the
+// newest connection from the same host on which a task was started. What is written to a connection that its
+// client has just closed is lost, and the client would wait for ever: such a connection does not count.
+ConnId ClientConnections::ConnectionFor(const ClientNotification& notification) const {
+  const bool any_connection = notification.any_connection;
+  if (HasConnection(notification.conn) && (!any_connection || !transport_->HungUp(notification.conn))) {
+    return notification.conn;
+  }
+  if (!any_connection) return 0;
+  for (auto it = connections_.rbegin(); it != connections_.rend(); ++it) {
+    const auto& [id, connection] = *it;
+    const bool same_client = connection.started_task && connection.host == notification.host;
+    if (same_client && !transport_->HungUp(id)) return id;
   }
   return 0;
 }
 
-void ClientConnections::Deliver(Micros now) {
-  for (std::vector<ClientNotification> outs = tasks_->Take(); !outs.empty(); outs = tasks_->Take()) {
-    for (ClientNotification& out : outs) {
-      const ConnId to = WayTo(out);
-      if (trace_ && out.anywhere) {
-        trace_(now, "word of " + WriteHex(out.message.uid) +
-                        (to == 0          ? " waits for a connection of its host"
-                         : to == out.conn ? " goes to its connection"
-                                          : " goes to another connection of its host"));
-      }
-      if (to != 0) {
-        Send(to, out.message);
-        if (out.message.kind == ClientMessageKind::kAnswer) Prove(to, conns_.at(to));
-      } else if (out.anywhere && owed_.size() < kMostOwedWord) {
-        owed_.push_back({now + kOwedWord, out.host, std::move(out.message)});
-      } else if (out.anywhere) {
-        port_->Log("word of a task dropped: too much waits for connections of owners");
-      }
-    }
+void ClientConnections::DeliverNotifications(Micros now) {
+  for (std::vector<ClientNotification> notifications = dispatcher_->TakeNotifications();
+       !notifications.empty(); notifications = dispatcher_->TakeNotifications()) {
+    for (ClientNotification& notification : notifications) Deliver(now, std::move(notification));
+  }
+}
+
+void ClientConnections::Deliver(Micros now, ClientNotification notification) {
+  const ConnId to = ConnectionFor(notification);
+  if (trace_ && notification.any_connection) TraceDelivery(now, notification, to);
+  if (to != 0) {
+    Send(to, notification.message);
+    if (notification.message.kind == ClientMessageKind::kAnswer) OnTaskStarted(to);
+  } else if (notification.any_connection && undelivered_.size() < kMaxUndelivered) {
+    undelivered_.push_back({now + kUndeliveredTimeout, notification.host, std::move(notification.message)});
+  } else if (notification.any_connection) {
+    transport_->Log("notification dropped: too many wait for a connection of their client");
   }
 }
 
-// Word that waited for a connection of this host goes here now.
-void ClientConnections::Prove(ConnId conn, Conn& c) {
-  c.proven = true;
-  std::deque<Owed> rest;
-  for (Owed& one : owed_) {
-    if (one.host == c.host) {
-      Send(conn, one.message);
+void ClientConnections::TraceDelivery(Micros now, const ClientNotification& notification, ConnId to) const {
+  const char* way = " goes to another connection of its host";
+  if (to == 0) {
+    way = " waits for a connection of its host";
+  } else if (to == notification.conn) {
+    way = " goes to its connection";
+  }
+  trace_(now, "notification about " + WriteHex(notification.message.uid) + way);
+}
+
+// Notifications that waited for a connection of this host go on this one.
+void ClientConnections::OnTaskStarted(ConnId conn) {
+  Connection& connection = connections_.at(conn);
+  connection.started_task = true;
+  std::deque<Undelivered> others;
+  for (Undelivered& waiting : undelivered_) {
+    if (waiting.host == connection.host) {
+      Send(conn, waiting.message);
     } else {
-      rest.push_back(std::move(one));
+      others.push_back(std::move(waiting));
     }
   }
-  owed_.swap(rest);
+  undelivered_.swap(others);
 }
 
-Micros ClientConnections::DueOf(const Conn& c) const {
-  if (c.spoke == 0) return c.since + kFirstWait;
-  return c.partial_at != 0 ? c.partial_at + kLineWait : kNever;
+// ---- Time ----
+
+Micros ClientConnections::DueOf(const Connection& connection) const {
+  if (connection.last_message_at == 0) return connection.accepted_at + kFirstMessageTimeout;
+  return connection.partial_since != 0 ? connection.partial_since + kPartialMessageTimeout : kNever;
 }
 
 Micros ClientConnections::NextDue() const {
-  Micros due = owed_.empty() ? kNever : owed_.front().until;
-  for (const auto& [id, c] : conns_) due = std::min(due, DueOf(c));
+  Micros due = undelivered_.empty() ? kNever : undelivered_.front().expires_at;
+  for (const auto& [id, connection] : connections_) due = std::min(due, DueOf(connection));
   return due;
 }
 
 void ClientConnections::Tick(Micros now) {
   std::vector<ConnId> due;
-  for (const auto& [id, c] : conns_) {
-    if (DueOf(c) <= now) due.push_back(id);
+  for (const auto& [id, connection] : connections_) {
+    if (DueOf(connection) <= now) due.push_back(id);
   }
   for (const ConnId conn : due) {
-    const auto it = conns_.find(conn);
-    if (it == conns_.end()) continue;
-    if (it->second.spoke != 0 && tasks_->open_on(conn) > 0) {
-      it->second.partial_at = now;  // not while answers are owed on it
+    const auto found = connections_.find(conn);
+    if (found == connections_.end()) continue;
+    if (found->second.last_message_at == 0) {
+      CloseConnection(now, conn, "no message in time");
+    } else if (dispatcher_->requests().unanswered_on(conn) == 0) {
+      CloseConnection(now, conn, "a message did not end in time");
     } else {
-      Cut(now, conn, it->second.spoke == 0 ? "no message in time" : "a message that does not end");
+      found->second.partial_since = now;  // final answers are due on it: it gets more time
     }
   }
-  for (; !owed_.empty() && owed_.front().until <= now; owed_.pop_front()) {
-    port_->Log("word of a task found no connection of its owner");
+  for (; !undelivered_.empty() && undelivered_.front().expires_at <= now; undelivered_.pop_front()) {
+    transport_->Log("notification dropped: its client did not connect in time");
   }
 }
 
--- a/src/platform/client_connections.hpp
+++ b/src/platform/client_connections.hpp
@@ -1,19 +1,16 @@
-// The owners' connections: who may connect, what is read of each in a turn, whom to cut off and when, and on
-// which connection word of a task finds its owner. Sans-I/O.
+// The connections of clients: how many there may be, how much of each is read in a turn, which are closed and
+// when, and on which connection a notification finds its client. Without I/O: the transport reads and writes.
 //
-// Bounds, in the open:
-//   most_connections           at the limit the oldest that said nothing is closed, else the one unused for
-//                              longest that waits for no answer (last those whose tasks stand), else the new
-//                              one
-//   kFirstWait                 a connection that has not sent one whole message is closed after this
-//   kLineWait                  a message that has begun and does not end closes it, unless a set-up is open
-//   on it kMessagesTurn              messages of one connection a turn; reading pauses until the rest is
-//   taken, so
-//                              that what is fed and not taken is at most one read of the port
-//   kMostOwedWord, kOwedWord   word of tasks whose owner has no connection waits for its next one, this long
+// At the connection limit, in this order: the oldest connection that sent nothing is evicted; else the least
+// recently used one that waits for no final answer, those with running tasks last; else the new one is
+// closed.
+//
+// Not thread-safe; the caller passes the time. What is received and not taken is at most one read of the
+// transport for each connection, as reading pauses until the rest is taken.
 #ifndef MOUNTFLOW_PLATFORM_CLIENT_CONNECTIONS_HPP_
 #define MOUNTFLOW_PLATFORM_CLIENT_CONNECTIONS_HPP_
 
+#include <cstddef>
 #include <deque>
 #include <functional>
 #include <map>
@@ -23,80 +20,104 @@
 #include <vector>
 
 #include "platform/client_codec.hpp"
-#include "platform/request_table.hpp"
+#include "platform/client_notifications.hpp"
+#include "platform/dispatcher.hpp"
 #include "platform/transport.hpp"
 
 namespace mountflow::platform {
 
-inline constexpr Micros kFirstWait = 2'000'000;
-inline constexpr Micros kLineWait = 2'000'000;
-inline constexpr std::size_t kMessagesTurn = 32;
-inline constexpr std::size_t kMostOwedWord = 4096;
-inline constexpr Micros kOwedWord = 8'000'000;
+// A connection that has not sent one whole message is closed after this: it takes a descriptor for nothing.
+inline constexpr Micros kFirstMessageTimeout = 2'000'000;
+// A message that has begun must end within this, unless a final answer is due on its connection.
+inline constexpr Micros kPartialMessageTimeout = 2'000'000;
+// Of one connection, so that a flood on one does not hold up the others.
+inline constexpr std::size_t kMaxMessagesPerTurn = 32;
+// Notifications whose client has no connection wait for its next one: this many, this long. A client is owed
+// the end of its task within 8 s.
+inline constexpr std::size_t kMaxUndelivered = 4096;
+inline constexpr Micros kUndeliveredTimeout = 8'000'000;
 
 class ClientConnections {
  public:
-  ClientConnections(std::size_t most_connections, Dispatcher* tasks, Transport* port)
-      : most_(most_connections), tasks_(tasks), port_(port) {
-    tasks_->AskWhoLeft([port](ConnId conn) { return port->HungUp(conn); });
-  }
+  // `dispatcher` and `transport` must outlive this object.
+  ClientConnections(std::size_t max_connections, Dispatcher* dispatcher, Transport* transport);
 
-  // Where there is no room for it the port is told to close it.
+  // A new connection from `address` (IP:PORT). Where there is no room for it the transport is told to close
+  // it.
   void Accept(Micros now, ConnId conn, const std::string& address);
-  // What is fed and not taken in this turn waits: Work() goes on with it.
+  // What is not taken in this turn waits for ProcessBacklog().
   void OnBytes(Micros now, ConnId conn, std::string_view bytes);
   void OnClosed(Micros now, ConnId conn);
-  bool Owns(ConnId conn) const { return conns_.count(conn) > 0; }
+  [[nodiscard]] bool HasConnection(ConnId conn) const { return connections_.count(conn) > 0; }
 
-  // One turn's part of what waits. Those that have nothing left are returned: they may be read again.
-  std::vector<ConnId> Work(Micros now);
-  bool waiting() const { return !waiting_.empty(); }
-  bool Full(ConnId conn) const;  // do not read from it until Work() has taken some
+  // One turn's part of what waits. Returns the connections that have nothing left: they may be read again.
+  [[nodiscard]] std::vector<ConnId> ProcessBacklog(Micros now);
+  [[nodiscard]] bool has_backlog() const { return !backlog_.empty(); }
+  // It must not be read until ProcessBacklog() returns it.
+  [[nodiscard]] bool HasBacklog(ConnId conn) const { return backlog_.count(conn) > 0; }
 
-  void Deliver(Micros now);  // what the tasks have for owners
+  // Sends what the dispatcher has for clients.
+  void DeliverNotifications(Micros now);
   void Tick(Micros now);
-  Micros NextDue() const;
-  void Trace(std::function<void(Micros, const std::string&)> trace) { trace_ = std::move(trace); }
-  void SetReady(bool ready) { ready_ = ready; }  // what tests from the front are told
+  [[nodiscard]] Micros NextDue() const;  // of Tick; kNever: nothing is due
+  void SetTrace(std::function<void(Micros, const std::string&)> trace) { trace_ = std::move(trace); }
+  // What clients are told that ask by a health check.
+  void SetReady(bool ready) { ready_ = ready; }
 
-  std::size_t connections() const { return conns_.size(); }
-  std::size_t owed() const { return owed_.size(); }
-  // Something for owners is not with the kernel yet, or of theirs is not taken yet: a bad moment to end.
-  bool Owes() const;
+  [[nodiscard]] std::size_t connection_count() const { return connections_.size(); }
+  [[nodiscard]] std::size_t undelivered_count() const { return undelivered_.size(); }
+  // Something for clients is not with the kernel yet, or of theirs is not taken yet: to stop now would lose
+  // it.
+  [[nodiscard]] bool HasUnfinishedWork() const;
 
  private:
-  struct Conn {
-    Host host = 0;
+  struct Connection {
+    ClientHost host = 0;
     ClientMessageReader reader;
-    Micros since = 0;       // when it came
-    Micros spoke = 0;       // its last whole message; 0: none
-    Micros partial_at = 0;  // a message began then and has not ended
-    bool waits = false;     // has more to take
-    bool proven = false;    // a set-up of it was placed: word of other tasks may go here
+    Micros accepted_at = 0;
+    Micros last_message_at = 0;  // 0: none yet
+    Micros partial_since = 0;    // when a message began that has not ended; 0: none
+    // A task of this client was started on it, so notifications about its other tasks may go here.
+    bool started_task = false;
   };
-
-  void Take(Micros now, ConnId conn);
-  bool One(Micros now, ConnId conn, Conn& c, const ClientMessage& message);
-  void Cut(Micros now, ConnId conn, const std::string& why);
-  void Send(ConnId conn, const ClientMessage& message);
-  Micros DueOf(const Conn& c) const;
-  ConnId WayTo(const ClientNotification& out) const;
-  void Prove(ConnId conn, Conn& c);
-
-  struct Owed {
-    Micros until;
-    Host host;
+  struct Undelivered {
+    Micros expires_at;
+    ClientHost host;
     ClientMessage message;
   };
+  // The order in which connections are evicted: the smallest first.
+  struct EvictionRank {
+    bool has_running_tasks = true;
+    Micros last_message_at = kNever;
+    auto operator<=>(const EvictionRank&) const = default;
+  };
+
+  // False: there is no room, and no connection can be evicted.
+  [[nodiscard]] bool EvictIfFull(Micros now);
+  void ReadMessages(Micros now, ConnId conn);
+  // These return false when the connection is closed.
+  bool ReadMessage(Micros now, ConnId conn);
+  bool HandleMessage(Micros now, ConnId conn, const ClientMessage& message);
+  bool HandleLaunch(Micros now, ConnId conn, const ClientMessage& message);
+  bool HandleUnusable(Micros now, ConnId conn, RequestUid uid);
+
+  void Send(ConnId conn, const ClientMessage& message);
+  void CloseConnection(Micros now, ConnId conn, const std::string& reason);
+  [[nodiscard]] Micros DueOf(const Connection& connection) const;
+  // 0: there is none now.
+  [[nodiscard]] ConnId ConnectionFor(const ClientNotification& notification) const;
+  void Deliver(Micros now, ClientNotification notification);
+  void TraceDelivery(Micros now, const ClientNotification& notification, ConnId to) const;
+  void OnTaskStarted(ConnId conn);
 
-  std::size_t most_;
-  Dispatcher* tasks_;
-  Transport* port_;
+  std::size_t max_connections_;
+  Dispatcher* dispatcher_;
+  Transport* transport_;
   bool ready_ = true;
   std::function<void(Micros, const std::string&)> trace_;
-  std::map<ConnId, Conn> conns_;
-  std::set<ConnId> waiting_;
-  std::deque<Owed> owed_;
+  std::map<ConnId, Connection> connections_;
+  std::set<ConnId> backlog_;
+  std::deque<Undelivered> undelivered_;
 };
 
 }  // namespace mountflow::platform
--- /dev/null
+++ b/src/platform/dispatcher.cpp
@@ -0,0 +1,478 @@
+#include "platform/dispatcher.hpp"
+
+#include <algorithm>
+#include <map>
+#include <set>
+#include <utility>
+#include <variant>
+
+#include "platform/event_trace.hpp"
+#include "platform/message_mapping.hpp"
+
+namespace mountflow::platform {
+namespace {
+
+// Of one turn: a flood of lines must not take the memory of requests.
+constexpr std::size_t kMaxLogLines = 100;
+
+constexpr Micros kMicrosPerMilli = 1000;
+
+// Empty: absent.
+std::string FieldOf(const ClientMessage& message, const std::string& name) {
+  const auto field = message.fields.find(name);
+  return field == message.fields.end() ? std::string() : field->second;
+}
+
+// `wait`: how long the scheduler will wait for the node's answer.
+NodeMessage MakeLaunchMessage(const Request& request, Micros wait) {
+  const LaunchPayload& payload = request.payload;
+  NodeMessage message;
+  message.kind = NodeMessageKind::kLaunch;
+  message.uid = request.uid;
+  message.params[kClass] = payload.task_class;
+  message.params[kWait] = std::to_string(std::max<Micros>(1, wait / kMicrosPerMilli));
+  message.params[kTaskName] = payload.task_name;
+  if (!payload.idempotency_key.empty()) message.params[kIdem] = payload.idempotency_key;
+  if (!payload.description.empty()) message.params[kDescription] = payload.description;
+  return message;
+}
+
+Micros TimeBetween(Micros from, Micros to) { return to > from ? to - from : 0; }
+
+}  // namespace
+
+Dispatcher::Dispatcher(const settings::WireSettings& wire, std::uint64_t seed, NodeConnections* connections,
+                       std::size_t max_description_bytes)
+    : wire_(wire),
+      connections_(connections),
+      scheduler_(wire.settings, seed),
+      requests_(max_description_bytes) {}
+
+std::vector<std::string> Dispatcher::TakeLogLines() { return std::exchange(log_lines_, {}); }
+
+void Dispatcher::AddLogLine(std::string line) {
+  if (log_lines_.size() < kMaxLogLines) log_lines_.push_back(std::move(line));
+}
+
+// ---- The node list ----
+
+void Dispatcher::Start(Micros now, const std::vector<NodeListChange>& cached_changes) {
+  std::map<std::string, ListedNode> nodes;
+  for (const NodeListChange& change : cached_changes) {
+    if (change.whole) nodes.clear();
+    for (const ListedNode& node : change.nodes) nodes[node.name] = node;
+  }
+  NodeListChange snapshot;
+  snapshot.whole = true;
+  for (auto& [name, node] : nodes) snapshot.nodes.push_back(std::move(node));
+  UpdateNodes(now, snapshot, NodeListKind::kCached);
+}
+
+void Dispatcher::ApplyNodeList(Micros now, const NodeListChange& change) {
+  UpdateNodes(now, change, change.whole ? NodeListKind::kSnapshot : NodeListKind::kDelta);
+}
+
+void Dispatcher::UpdateNodes(Micros now, const NodeListChange& change, NodeListKind kind) {
+  now_ = now;
+  NodeListUpdate update;
+  update.kind = kind;
+  std::set<std::string> names;
+  for (const ListedNode& node : change.nodes) {
+    names.insert(node.name);
+    update.nodes.push_back(ToNodeEntry(node, nodes_.IdOf(node.name), wire_));
+    const NodeEntry& entry = update.nodes.back();
+    if (entry.state == NodeState::kGone) {
+      nodes_.MarkUnlisted(entry.node);
+      connections_->RemoveNode(now, entry.node);
+    } else {
+      nodes_.MarkListed(entry.node);
+      connections_->SetNodeAddress(now, entry.node, node.address);
+    }
+  }
+  if (change.whole) {
+    for (const NodeId id : nodes_.NotNamedIn(names)) {
+      nodes_.MarkUnlisted(id);
+      connections_->RemoveNode(now, id);
+    }
+  }
+  pending_events_.push_back(std::move(update));
+  RunScheduler();
+  HandleNodeEvents(now);
+  nodes_.ForgetUnlisted();
+}
+
+// ---- Requests of clients ----
+
+SubmitResult Dispatcher::Submit(Micros now, ConnId conn, ClientHost host, const ClientMessage& message) {
+  now_ = now;
+  Task task;
+  std::string node_name;  // of the node that runs it already
+  const char* problem = ReadSetUp(message, wire_, now_, &task, &node_name);
+  const bool runs_already = !node_name.empty();
+  if (!runs_already) last_submitted_at_ = now_;
+  if (Request* known = requests_.FindByUid(message.uid); known != nullptr) {
+    if (problem != nullptr || !runs_already) return SubmitResult::kDuplicateUid;
+    MoveToConnection(*known, conn, host);
+    return SubmitResult::kAlreadyRunning;
+  }
+  if (problem != nullptr) {
+    AddLogLine(std::string("request rejected, it cannot be read: ") + problem);
+    notifications_.AddFinalAnswer(conn, MakeNegativeAnswer(message.uid, kCauseInvalidRequest));
+    return SubmitResult::kSubmitted;
+  }
+  if (runs_already) return Recover(task, node_name, message.uid, conn, host);
+  return SubmitNew(task, message, conn, host);
+}
+
+// Its client speaks of a running task on another connection: notifications go there from now on.
+void Dispatcher::MoveToConnection(Request& request, ConnId conn, ClientHost host) {
+  if (!request.IsRunning()) return;
+  requests_.UncountRunning(request);
+  request.conn = conn;
+  request.host = host;
+  requests_.CountRunning(request);
+}
+
+SubmitResult Dispatcher::Recover(Task task, const std::string& node_name, RequestUid uid, ConnId conn,
+                                 ClientHost host) {
+  if (!requests_.HasRoomForRunningTask()) return SubmitResult::kSubmitted;
+  Request& request = requests_.Add(uid, conn, host);
+  request.state = RequestState::kRunning;
+  request.answered = true;
+  request.deadline = task.deadline;
+  request.node = nodes_.IdOf(node_name);
+  const NodeId node = request.node;
+  nodes_.AddRunningTask(node, request.id);
+  requests_.CountRunning(request);
+  task.request = request.id;
+  pending_events_.push_back(TaskRecovered{task, node});
+  RunScheduler();
+  connections_->AddRunningTask(now_, node, true);
+  HandleNodeEvents(now_);
+  return SubmitResult::kAlreadyRunning;
+}
+
+SubmitResult Dispatcher::SubmitNew(Task task, const ClientMessage& message, ConnId conn, ClientHost host) {
+  if (!requests_.HasRoomForRequest(conn, message.description.size())) {
+    notifications_.AddFinalAnswer(conn, MakeNegativeAnswer(message.uid, kCauseRejected));
+    return SubmitResult::kSubmitted;
+  }
+  Request& request = requests_.Add(message.uid, conn, host);
+  request.deadline = task.deadline;
+  LaunchPayload payload;
+  payload.task_class = FieldOf(message, "class");
+  payload.task_name = FieldOf(message, "key");
+  payload.idempotency_key = FieldOf(message, "idem");
+  payload.description = message.description;
+  requests_.AddUnanswered(request, std::move(payload));
+  task.request = request.id;
+  pending_events_.push_back(TaskSubmitted{task});
+  RunScheduler();
+  HandleNodeEvents(now_);
+  return SubmitResult::kSubmitted;
+}
+
+void Dispatcher::Cancel(Micros now, RequestUid uid) {
+  now_ = now;
+  Request* request = requests_.FindByUid(uid);
+  if (request == nullptr || request->state == RequestState::kTerminating) return;
+  pending_events_.push_back(TaskCancelled{request->id});
+  if (request->state == RequestState::kRunning) {
+    Terminate(*request);
+    RunScheduler();
+  } else {
+    requests_.MarkAnswered(*request);
+    connections_->CancelAttempt(now, request->node, uid);
+    if (request->state == RequestState::kAttemptInFlight) {
+      EndAttempt(*request, {AttemptResult::kCancelled, true});
+    } else {
+      RemoveRequest(*request);
+      RunScheduler();
+    }
+  }
+  HandleNodeEvents(now);
+}
+
+void Dispatcher::OnClientDisconnected(Micros now, ConnId conn) {
+  for (const RequestId id : requests_.UnansweredOn(conn)) {
+    if (const Request* request = requests_.Find(id); request != nullptr) Cancel(now, request->uid);
+  }
+}
+
+void Dispatcher::FailUnanswered(Micros now) {
+  now_ = now;
+  for (const RequestId id : requests_.Unanswered()) {
+    Request* request = requests_.Find(id);
+    if (request == nullptr || request->answered) continue;
+    const RequestUid uid = request->uid;
+    Answer(*request, MakeNegativeAnswer(uid, kCauseFailed));
+    Cancel(now, uid);
+  }
+}
+
+// ---- Records ----
+
+// The one place that tells the scheduler how an attempt or a running task ended. `request` may be gone
+// afterwards.
+void Dispatcher::EndAttempt(Request& request, const AttemptOutcome& outcome) {
+  if (!request.HasAttempt()) return;
+  const bool was_running = request.IsRunning();
+  request.state = RequestState::kPending;
+  SetTimer(request, kNever);
+  if (was_running && nodes_.RemoveRunningTask(request.node, request.id)) {
+    connections_->RemoveRunningTask(request.node);
+    requests_.UncountRunning(request);
+  }
+  AttemptEnded ended;
+  ended.request = request.id;
+  ended.attempt = request.attempt;
+  ended.node = request.node;
+  ended.elapsed = TimeBetween(request.attempt_started_at, now_);
+  ended.request_closed = outcome.request_closed;
+  ended.result = outcome.result;
+  ended.reason = outcome.reason;
+  ended.report = outcome.report;
+  pending_events_.push_back(ended);
+  if (request.answered) RemoveRequest(request);
+  RunScheduler();
+}
+
+void Dispatcher::RemoveRequest(Request& request) {
+  SetTimer(request, kNever);
+  requests_.Remove(request.id);
+}
+
+// kNever: none.
+void Dispatcher::SetTimer(Request& request, Micros at) {
+  if (request.timer_at != kNever) request_timers_.Remove(request.timer_at, request.id);
+  request.timer_at = at;
+  if (at != kNever) request_timers_.Add(at, request.id);
+}
+
+void Dispatcher::Answer(Request& request, ClientMessage message) {
+  if (request.answered) return;
+  message.uid = request.uid;
+  notifications_.AddFinalAnswer(request.conn, std::move(message));
+  requests_.MarkAnswered(request);
+}
+
+void Dispatcher::NotifyClient(const Request& request, ClientMessageKind kind, int cause) {
+  notifications_.AddTaskNotification(request.conn, request.host, request.uid, kind, cause);
+}
+
+void Dispatcher::Terminate(Request& request) {
+  request.state = RequestState::kTerminating;
+  connections_->TerminateTask(now_, request.node, request.uid);
+  SetTimer(request, now_ + kTerminationTimeout);
+}
+
+// ---- What nodes say ----
+
+void Dispatcher::HandleNodeEvents(Micros now) {
+  now_ = now;
+  for (std::vector<NodeConnectionEvent> events = connections_->TakeEvents(); !events.empty();
+       events = connections_->TakeEvents()) {
+    for (const NodeConnectionEvent& event : events) HandleNodeEvent(event);
+  }
+}
+
+void Dispatcher::HandleNodeEvent(const NodeConnectionEvent& event) {
+  using Kind = NodeConnectionEvent::Kind;
+  if (event.kind == Kind::kNodeLost) return OnNodeLost(event.node);
+  Request* request = requests_.FindByUid(event.uid);
+  if (request == nullptr) {
+    if (trace_) trace_(now_, "message about an unknown task " + WriteHex(event.uid));
+    return;
+  }
+  // Attempts of one request go to several nodes under one uid: only the node of the attempt that is in flight
+  // is listened to.
+  if (!request->HasAttempt() || request->node != event.node) return;
+  switch (event.kind) {
+    case Kind::kStarted:
+      return OnStarted(*request, event.message);
+    case Kind::kEnded:
+      if (event.of_running_task == request->IsRunning()) OnEnded(*request, event.message);
+      return;
+    case Kind::kNeverRan:
+      return EndAttempt(*request, {AttemptResult::kUnreachable});
+    case Kind::kMayHaveRun:
+      return EndAttempt(*request, {AttemptResult::kLost});
+    case Kind::kProgress:
+      return OnProgress(*request, event.message);
+    case Kind::kNodeLost:
+      return;
+  }
+}
+
+void Dispatcher::OnNodeLost(NodeId node) {
+  for (const RequestId id : nodes_.RunningTasks(node)) {
+    Request* request = requests_.Find(id);
+    if (request == nullptr) continue;
+    const bool terminated = request->state == RequestState::kTerminating;
+    if (!terminated) NotifyClient(*request, ClientMessageKind::kStop, kCauseFailed);
+    EndAttempt(*request, {terminated ? AttemptResult::kCancelled : AttemptResult::kLost, true});
+  }
+}
+
+void Dispatcher::OnStarted(Request& request, const NodeMessage& message) {
+  if (request.IsRunning()) return;
+  request.state = RequestState::kRunning;
+  SetTimer(request, kNever);
+  nodes_.AddRunningTask(request.node, request.id);
+  requests_.CountRunning(request);
+  connections_->AddRunningTask(now_, request.node);
+  pending_events_.push_back(
+      TaskStarted{request.id, request.attempt, request.node, TimeBetween(request.attempt_started_at, now_)});
+  ClientMessage answer;
+  answer.kind = ClientMessageKind::kAnswer;
+  answer.description = message.Text(kDescription);
+  Answer(request, std::move(answer));
+  requests_.ReleasePayload(request);
+  RunScheduler();
+}
+
+void Dispatcher::OnEnded(Request& request, const NodeMessage& message) {
+  const int cause = message.cause.value_or(kCauseFailed);
+  const AttemptResult result = EndingOf(cause, request.IsRunning());
+  // A client that ended its task, or is asked to migrate it, is told nothing more.
+  if (request.state == RequestState::kRunning && result != AttemptResult::kCancelled) {
+    NotifyClient(request, ClientMessageKind::kStop, cause);
+  }
+  EndAttempt(request, {result, request.IsRunning(), CauseOf(message.Text(kSaid)), ReadReport(message)});
+}
+
+void Dispatcher::OnProgress(const Request& request, const NodeMessage& message) {
+  TaskProgress progress;
+  progress.request = request.id;
+  progress.attempt = request.attempt;
+  progress.node = request.node;
+  if (!ReadNoteKind(message.Text(kSaid), &progress.kind)) return;
+  ReadReported(message.Text(kFigure), &progress.value);
+  pending_events_.push_back(progress);
+  RunScheduler();
+}
+
+// ---- Time ----
+
+Micros Dispatcher::NextDue() const {
+  return std::min(request_timers_.NextDue(), scheduler_timers_.NextDue());
+}
+
+void Dispatcher::Tick(Micros now) {
+  now_ = now;
+  while (const auto token = scheduler_timers_.TakeDue(now)) {
+    pending_events_.push_back(TimerFired{*token});
+    RunScheduler();
+  }
+  while (const auto id = request_timers_.TakeDue(now)) {
+    Request* request = requests_.Find(*id);
+    if (request == nullptr) continue;
+    request->timer_at = kNever;
+    OnTimer(*request);
+  }
+  HandleNodeEvents(now);
+}
+
+void Dispatcher::OnTimer(Request& request) {
+  // A terminated task of whose end nothing was heard.
+  if (request.IsRunning()) return EndAttempt(request, {AttemptResult::kCancelled, true});
+  // The node must know that the attempt is cancelled before the next one begins elsewhere.
+  connections_->CancelAttempt(now_, request.node, request.uid);
+  EndAttempt(request, {AttemptResult::kTimedOut});
+}
+
+// ---- The scheduler ----
+
+void Dispatcher::RunScheduler() {
+  if (scheduler_runs_) return;  // an event that an action caused waits for its turn
+  scheduler_runs_ = true;
+  std::vector<Action> actions;
+  while (!pending_events_.empty()) {
+    const Event event = std::move(pending_events_.front());
+    pending_events_.pop_front();
+    actions.clear();
+    scheduler_.Handle(now_, event, &actions);
+    if (trace_) TraceTurn(event, actions);
+    for (const Action& action : actions) {
+      std::visit([this](const auto& typed_action) { Execute(typed_action); }, action);
+    }
+  }
+  scheduler_runs_ = false;
+}
+
+void Dispatcher::TraceTurn(const Event& event, const std::vector<Action>& actions) {
+  std::string text = Describe(event);
+  if (const auto* recovered = std::get_if<TaskRecovered>(&event)) {
+    const Request* request = requests_.Find(recovered->task.request);
+    if (request != nullptr) text += " uid " + WriteHex(request->uid);
+  }
+  if (!text.empty()) trace_(now_, text);
+  for (const Action& action : actions) {
+    const std::string action_text = Describe(action);
+    if (!action_text.empty()) trace_(now_, "  " + action_text);
+  }
+}
+
+void Dispatcher::Execute(const StartAttempt& action) {
+  Request* request = requests_.Find(action.request);
+  if (request == nullptr) return;
+  request->state = RequestState::kAttemptInFlight;
+  request->attempt = action.attempt;
+  request->node = action.node;
+  request->attempt_started_at = now_;
+  // The client may have left while the request waited to be read, or between two attempts, and nothing was
+  // read of that yet: nobody waits for an attempt that begins now.
+  if (client_has_left_ && client_has_left_(request->conn)) {
+    pending_events_.push_back(TaskCancelled{action.request});
+    requests_.MarkAnswered(*request);
+    return EndAttempt(*request, {AttemptResult::kNotSent, true});
+  }
+  const Micros deadline =
+      action.deadline == 0 ? request->deadline : std::min(action.deadline, request->deadline);
+  SetTimer(*request, deadline);
+  std::string bytes = EncodeNodeMessage(MakeLaunchMessage(*request, TimeBetween(now_, deadline)));
+  // Too long for the protocol: no node can get it, so it never ran.
+  if (bytes.empty()) return EndAttempt(*request, {AttemptResult::kNotSent});
+  connections_->Launch(now_, action.node, request->uid, std::move(bytes));
+}
+
+void Dispatcher::Execute(const CancelAttempt& action) {
+  Request* request = requests_.Find(action.request);
+  if (request == nullptr || request->state != RequestState::kAttemptInFlight) return;
+  connections_->CancelAttempt(now_, request->node, request->uid);
+  EndAttempt(*request, {AttemptResult::kCancelled});
+}
+
+void Dispatcher::Execute(const RejectTask& action) {
+  Request* request = requests_.Find(action.request);
+  if (request == nullptr) return;
+  ClientMessage answer = MakeNegativeAnswer(request->uid, kCauseRejected);
+  if (action.retry_after > 0) {
+    const Micros rounded_up = action.retry_after + kMicrosPerMilli - 1;
+    answer.fields["wait"] = std::to_string(rounded_up / kMicrosPerMilli);
+  }
+  Answer(*request, std::move(answer));
+  if (!request->HasAttempt()) RemoveRequest(*request);
+}
+
+void Dispatcher::Execute(const FailTask& action) {
+  Request* request = requests_.Find(action.request);
+  if (request == nullptr) return;
+  Answer(*request, MakeNegativeAnswer(request->uid, kCauseFailed));
+  if (!request->HasAttempt()) RemoveRequest(*request);
+}
+
+void Dispatcher::Execute(const MigrateTask& action) {
+  Request* request = requests_.Find(action.request);
+  if (request == nullptr || request->state != RequestState::kRunning) return;
+  NotifyClient(*request, ClientMessageKind::kMigrate, 0);
+  Terminate(*request);
+}
+
+void Dispatcher::Execute(const mountflow::SetTimer& action) {
+  scheduler_timers_.Add(action.at, action.token);
+}
+
+void Dispatcher::Execute(const LogLine& action) { AddLogLine(action.text); }
+
+}  // namespace mountflow::platform
--- a/src/platform/node_connections.cpp
+++ b/src/platform/node_connections.cpp
@@ -6,372 +6,410 @@
 #include "platform/client_codec.hpp"
 
 namespace mountflow::platform {
-
 namespace {
-constexpr std::uint8_t kGivenUp = 16;
+
+// The cause of a kStop message that ends an attempt or a running task, as the nodes' protocol numbers it.
+constexpr std::uint8_t kCauseCancelled = 16;
+
+}  // namespace
+
+NodeConnections::Peer& NodeConnections::PeerOf(NodeId node) {
+  Peer& peer = peers_[node];
+  peer.node = node;
+  return peer;
+}
+
+NodeConnections::Peer* NodeConnections::FindPeer(NodeId node) {
+  const auto found = peers_.find(node);
+  return found == peers_.end() ? nullptr : &found->second;
 }
 
-NodeConnections::Link& NodeConnections::Of(NodeId machine) {
-  Link& link = links_[machine];
-  link.node = machine;
-  return link;
+NodeConnections::Peer* NodeConnections::FindPeerByConn(ConnId conn) {
+  const auto found = node_by_conn_.find(conn);
+  return found == node_by_conn_.end() ? nullptr : FindPeer(found->second);
 }
 
-void NodeConnections::Emit(NodeConnectionEvent::Kind kind, const Link& link, RequestUid uid) {
+void NodeConnections::AddEvent(NodeConnectionEvent::Kind kind, const Peer& peer, RequestUid uid) {
   NodeConnectionEvent event;
   event.kind = kind;
-  event.node = link.node;
+  event.node = peer.node;
   event.uid = uid;
   events_.push_back(std::move(event));
 }
 
-std::vector<NodeConnectionEvent> NodeConnections::Take() { return std::exchange(events_, {}); }
+std::vector<NodeConnectionEvent> NodeConnections::TakeEvents() { return std::exchange(events_, {}); }
 
-bool NodeConnections::Needed(const Link& link) const {
-  return !link.flights.empty() || link.standing > 0 || !link.owed.empty();
+// ---- The node list ----
+
+void NodeConnections::SetNodeAddress(Micros now, NodeId node, const std::string& address) {
+  TakeAddressFromOthers(now, node, address);
+  Peer& peer = PeerOf(node);
+  peer.listed = true;
+  if (peer.address == address) return;
+  peer.address = address;
+  if (peer.HasConnection()) CloseConnection(now, peer, "its address changed", peer.IsConnected());
 }
 
-void NodeConnections::Know(Micros now, NodeId machine, const std::string& address) {
-  // A new machine at the address of an old one: a connection made there reaches the new one, and what stood
-  // at the old one is cut, as two processes cannot share an address. The new one would pass every test and
-  // never say so.
+// A connection made from now on to the address of an old node reaches the new node, and the tasks of the old
+// one are lost, as two processes cannot share an address. The new node would answer every health check and
+// never say so.
+void NodeConnections::TakeAddressFromOthers(Micros now, NodeId node, const std::string& address) {
   std::vector<NodeId> replaced;
-  for (const auto& [id, other] : links_) {
-    if (id != machine && (other.address == address || (other.conn != 0 && other.connected_to == address)))
-      replaced.push_back(id);
+  for (const auto& [id, other] : peers_) {
+    const bool connected_there = other.HasConnection() && other.connection.address == address;
+    if (id != node && (other.address == address || connected_there)) replaced.push_back(id);
   }
   for (const NodeId id : replaced) {
-    Link& other = links_.at(id);
+    Peer& other = peers_.at(id);
     other.address.clear();
-    if (other.conn != 0 && (!other.up || other.reopened))
-      Cut(now, other, "another machine has its address", other.up);
-    if (other.conn == 0) Lose(other);
-    Forget(id);
+    if (other.HasConnection() && (!other.IsConnected() || other.tasks_predate_connection)) {
+      CloseConnection(now, other, "another node has its address", other.IsConnected());
+    }
+    if (!other.HasConnection()) ReportTasksLost(other);
+    ForgetIfUnused(id);
   }
-  Link& link = Of(machine);
-  link.listed = true;
-  if (link.address == address) return;
-  link.address = address;
-  if (link.conn != 0) Cut(now, link, "its address changed", link.up);
 }
 
-void NodeConnections::Gone(Micros now, NodeId machine) {
-  const auto it = links_.find(machine);
-  if (it == links_.end()) return;
-  Link& link = it->second;
-  link.listed = false;
-  link.address.clear();
-  // While the connection is up, the machine still tells how its tasks end.
-  if (link.conn != 0 && link.up) return;
-  if (link.conn != 0) return Cut(now, link, "it is gone", false);
-  Lose(link);
-  Forget(machine);
+void NodeConnections::RemoveNode(Micros now, NodeId node) {
+  Peer* peer = FindPeer(node);
+  if (peer == nullptr) return;
+  peer->listed = false;
+  peer->address.clear();
+  // While the connection is up, the node still tells how its tasks end.
+  if (peer->IsConnected()) return;
+  if (peer->HasConnection()) return CloseConnection(now, *peer, "the node is gone", false);
+  ReportTasksLost(*peer);
+  ForgetIfUnused(node);
 }
 
-void NodeConnections::Forget(NodeId machine) {
-  const auto it = links_.find(machine);
-  if (it == links_.end() || it->second.listed || it->second.conn != 0 || Needed(it->second)) return;
-  links_.erase(it);
+void NodeConnections::ForgetIfUnused(NodeId node) {
+  const Peer* peer = FindPeer(node);
+  if (peer == nullptr || peer->listed || peer->HasConnection() || peer->IsNeeded()) return;
+  peers_.erase(node);
 }
 
-void NodeConnections::Lose(Link& link) {
-  link.owed.clear();
-  if (link.standing > 0) Emit(NodeConnectionEvent::Kind::kMachineLost, link, 0);
+void NodeConnections::ReportTasksLost(Peer& peer) {
+  peer.pending_terminations.clear();
+  if (peer.running_tasks > 0) AddEvent(NodeConnectionEvent::Kind::kNodeLost, peer, 0);
 }
 
-bool NodeConnections::MakeRoom(Micros now, bool for_set_up) {
-  if (by_conn_.size() < options_.most_connections) return true;
-  // Without a set-up in flight: first one that nothing needs, then one that has told how its tasks are,
-  // unused for longest; it is asked again in its turn. One that was not heard yet gives way to a set-up
-  // alone: else many that wait would close each other's connections before any comes up, and sound machines
-  // would count as lost.
-  Link* oldest = nullptr;
-  std::pair<int, Micros> least;
-  for (auto& [id, link] : links_) {
-    if (link.conn == 0 || !link.flights.empty()) continue;
-    const bool needed = Needed(link);
-    if (needed && !link.spoke && !for_set_up) continue;
-    const std::pair<int, Micros> rank{!needed ? 0 : link.spoke ? 1 : 2, link.used};
-    if (oldest == nullptr || rank < least) oldest = &link, least = rank;
+// ---- Making connections ----
+
+// False: every connection is needed. Without an attempt to send, a connection that nothing needs goes first,
+// then the least recently used whose node has told how its tasks are; that node is connected again in
+// rotation. A connection that has received nothing yet is evicted for an attempt alone: else many that wait
+// would close each other's connections before any comes up, and sound nodes would count as lost.
+bool NodeConnections::EvictIfFull(Micros now, bool for_attempt) {
+  if (node_by_conn_.size() < options_.max_connections) return true;
+  Peer* evicted = nullptr;
+  EvictionRank smallest;
+  for (auto& [node, peer] : peers_) {
+    if (!peer.HasConnection() || !peer.attempts.empty()) continue;
+    const bool received_any = peer.connection.received_any;
+    if (peer.IsNeeded() && !received_any && !for_attempt) continue;
+    EvictionRank rank{0, peer.last_used_at};
+    if (peer.IsNeeded()) rank.need = received_any ? 1 : 2;
+    if (evicted != nullptr && rank >= smallest) continue;
+    evicted = &peer;
+    smallest = rank;
   }
-  if (oldest == nullptr) return false;
-  port_->Close(oldest->conn, true);
-  Drop(now, *oldest, oldest->up);
-  oldest->retry_at = now + kTurn;
+  if (evicted == nullptr) return false;
+  transport_->Close(evicted->connection.id, true);
+  OnConnectionEnded(now, *evicted, evicted->IsConnected());
+  evicted->reconnect_at = now + kRotationInterval;
   return true;
 }
 
-void NodeConnections::Connect(Micros now, Link& link, bool for_set_up) {
-  if (link.conn != 0 || link.address.empty()) return;
-  if (!MakeRoom(now, for_set_up)) {
-    link.retry_at = now + kRoomWait;
+void NodeConnections::Connect(Micros now, Peer& peer, bool for_attempt) {
+  if (peer.HasConnection() || peer.address.empty()) return;
+  if (!EvictIfFull(now, for_attempt)) {
+    peer.reconnect_at = now + kNoConnectionFreeDelay;
     return;
   }
-  link.conn = port_->Connect(link.address);
-  link.connected_to = link.address;
-  by_conn_[link.conn] = link.node;
-  link.up = link.spoke = false;
-  link.connect_by = now + options_.connect_timeout;
-  link.reader = {};
-  link.tested = link.partial_at = 0;
-  if (link.heard == 0) link.heard = now;
+  peer.connection = {};
+  peer.connection.id = transport_->Connect(peer.address);
+  peer.connection.address = peer.address;
+  peer.connection.connect_deadline = now + options_.connect_timeout;
+  node_by_conn_[peer.connection.id] = peer.node;
+  if (peer.last_received_at == 0) peer.last_received_at = now;
+}
+
+void NodeConnections::OnConnected(Micros now, ConnId conn) {
+  Peer* peer = FindPeerByConn(conn);
+  if (peer == nullptr) return;
+  peer->connection.established = true;
+  peer->connection.connect_deadline = kNever;
+  peer->reconnect_delay = 0;
+  peer->last_used_at = now;
+  for (const RequestUid uid : std::exchange(peer->pending_terminations, {})) SendStop(*peer, uid);
+  // A node learns who connected from the first message, and only then tells how running tasks have ended:
+  // without a message now, ends would be known as late as the first health check.
+  if (peer->running_tasks > 0 && peer->attempts.empty()) SendHealthCheck(now, *peer);
+  SendUnsentAttempts(now, *peer);
 }
 
-void NodeConnections::SetUp(Micros now, NodeId machine, RequestUid uid, std::string message) {
-  Link& link = Of(machine);
-  link.used = now;
-  if (link.address.empty() && link.conn == 0) {
-    Emit(NodeConnectionEvent::Kind::kNeverRan, link, uid);
-    return Forget(machine);
+// ---- Attempts and running tasks ----
+
+void NodeConnections::Launch(Micros now, NodeId node, RequestUid uid, std::string message) {
+  Peer& peer = PeerOf(node);
+  peer.last_used_at = now;
+  if (peer.address.empty() && !peer.HasConnection()) {
+    AddEvent(NodeConnectionEvent::Kind::kNeverRan, peer, uid);
+    return ForgetIfUnused(node);
   }
-  if (link.flights.size() >= kMostInFlight) return Emit(NodeConnectionEvent::Kind::kNeverRan, link, uid);
-  if (link.conn == 0) Connect(now, link, true);
-  if (link.conn == 0) return Emit(NodeConnectionEvent::Kind::kNeverRan, link, uid);
-  link.flights[uid].message = std::move(message);
-  link.line.push_back(uid);
-  if (link.up) SendLine(now, link);
+  if (peer.attempts.size() >= kMaxAttemptsInFlight) {
+    return AddEvent(NodeConnectionEvent::Kind::kNeverRan, peer, uid);
+  }
+  Connect(now, peer, true);
+  if (!peer.HasConnection()) return AddEvent(NodeConnectionEvent::Kind::kNeverRan, peer, uid);
+  peer.attempts[uid].message = std::move(message);
+  peer.unsent_attempts.push_back(uid);
+  if (peer.IsConnected()) SendUnsentAttempts(now, peer);
 }
 
-void NodeConnections::SendLine(Micros now, Link& link) {
-  while (!link.line.empty() && port_->AllWritten(link.conn)) {
-    Flight& flight = link.flights.at(link.line.front());
-    link.line.pop_front();
-    link.used = now;
-    flight.sent = true;
-    Send(link, std::exchange(flight.message, {}));
+void NodeConnections::SendUnsentAttempts(Micros now, Peer& peer) {
+  while (!peer.unsent_attempts.empty() && transport_->AllWritten(peer.connection.id)) {
+    AttemptInFlight& attempt = peer.attempts.at(peer.unsent_attempts.front());
+    peer.unsent_attempts.pop_front();
+    peer.last_used_at = now;
+    attempt.sent = true;
+    Send(peer, std::exchange(attempt.message, {}));
   }
 }
 
-// Any send may take along what earlier ones left with the port.
-void NodeConnections::Send(Link& link, const std::string& bytes) {
-  port_->Send(link.conn, bytes);
-  if (!port_->AllWritten(link.conn)) return;
-  for (auto& [uid, flight] : link.flights) flight.written |= flight.sent;
+// Any send may take along what earlier ones left with the transport.
+void NodeConnections::Send(Peer& peer, const std::string& bytes) {
+  transport_->Send(peer.connection.id, bytes);
+  if (!transport_->AllWritten(peer.connection.id)) return;
+  for (auto& [uid, attempt] : peer.attempts) attempt.written |= attempt.sent;
 }
 
 void NodeConnections::OnWritten(Micros now, ConnId conn) {
-  const auto it = by_conn_.find(conn);
-  if (it == by_conn_.end()) return;
-  Link& link = links_.at(it->second);
-  for (auto& [uid, flight] : link.flights) flight.written |= flight.sent;
-  if (link.up) SendLine(now, link);
+  Peer* peer = FindPeerByConn(conn);
+  if (peer == nullptr) return;
+  for (auto& [uid, attempt] : peer->attempts) attempt.written |= attempt.sent;
+  if (peer->IsConnected()) SendUnsentAttempts(now, *peer);
 }
 
-void NodeConnections::SendStop(Link& link, RequestUid uid) {
+void NodeConnections::SendStop(Peer& peer, RequestUid uid) {
   NodeMessage stop;
   stop.kind = NodeMessageKind::kStop;
   stop.uid = uid;
-  stop.cause = kGivenUp;
-  Send(link, EncodeNodeMessage(stop));
+  stop.cause = kCauseCancelled;
+  Send(peer, EncodeNodeMessage(stop));
 }
 
-void NodeConnections::SendTest(Micros now, Link& link) {
-  NodeMessage test;
-  test.kind = NodeMessageKind::kHealthCheck;
-  test.uid = ++tests_;
-  test.cause = 0;
-  link.tested = now;
-  Send(link, EncodeNodeMessage(test));
+void NodeConnections::SendHealthCheck(Micros now, Peer& peer) {
+  NodeMessage health_check;
+  health_check.kind = NodeMessageKind::kHealthCheck;
+  health_check.uid = ++health_checks_sent_;
+  health_check.cause = 0;
+  peer.connection.health_check_sent_at = now;
+  Send(peer, EncodeNodeMessage(health_check));
 }
 
-void NodeConnections::GiveUp(Micros now, NodeId machine, RequestUid uid) {
-  const auto it = links_.find(machine);
-  if (it == links_.end()) return;
-  Link& link = it->second;
-  const auto flight = link.flights.find(uid);
-  if (flight == link.flights.end()) return;
-  const bool sent = flight->second.sent, written = flight->second.written;
-  link.flights.erase(flight);
-  if (!sent) {
-    std::erase(link.line, uid);
-  } else if (written) {
-    SendStop(link, uid);
+void NodeConnections::CancelAttempt(Micros now, NodeId node, RequestUid uid) {
+  Peer* peer = FindPeer(node);
+  if (peer == nullptr) return;
+  const auto found = peer->attempts.find(uid);
+  if (found == peer->attempts.end()) return;
+  const AttemptInFlight attempt = std::move(found->second);
+  peer->attempts.erase(found);
+  if (!attempt.sent) {
+    std::erase(peer->unsent_attempts, uid);
+  } else if (attempt.written) {
+    SendStop(*peer, uid);
   } else {
-    // Part of it waits here for a machine that does not read. Its rest would make an attempt whole that
-    // nobody waits for, after its owner left or while the next attempt is out; without its rest the machine
-    // never reads it.
-    Cut(now, link, "a set-up was given up before it was written", true);
-    Forget(machine);
+    // Part of the message waits here for a node that does not read. Its rest would complete an attempt that
+    // nobody waits for, after its client left or while the next attempt is in flight. Without its rest the
+    // node never reads it.
+    CloseConnection(now, *peer, "an attempt was cancelled before it was written", true);
+    ForgetIfUnused(node);
   }
 }
 
-void NodeConnections::Release(Micros now, NodeId machine, RequestUid uid) {
-  const auto it = links_.find(machine);
-  if (it == links_.end()) return;
-  Link& link = it->second;
-  link.used = now;
-  if (link.up) return SendStop(link, uid);
-  if (link.address.empty()) return;
-  if (link.owed.size() < kMostOwed) link.owed.push_back(uid);
-  if (now >= link.retry_at) Connect(now, link);
+void NodeConnections::TerminateTask(Micros now, NodeId node, RequestUid uid) {
+  Peer* peer = FindPeer(node);
+  if (peer == nullptr) return;
+  peer->last_used_at = now;
+  if (peer->IsConnected()) return SendStop(*peer, uid);
+  if (peer->address.empty()) return;
+  if (peer->pending_terminations.size() < kMaxPendingTerminations) peer->pending_terminations.push_back(uid);
+  if (now >= peer->reconnect_at) Connect(now, *peer);
 }
 
-void NodeConnections::Stand(Micros now, NodeId machine, bool before) {
-  Link& link = Of(machine);
-  link.reopened |= before;
-  if (link.standing++ == 0 && link.conn == 0) link.heard = now;
-  if (link.conn == 0 && now >= link.retry_at) Connect(now, link);
+void NodeConnections::AddRunningTask(Micros now, NodeId node, bool recovered) {
+  Peer& peer = PeerOf(node);
+  peer.tasks_predate_connection |= recovered;
+  if (peer.running_tasks++ == 0 && !peer.HasConnection()) peer.last_received_at = now;
+  if (now >= peer.reconnect_at) Connect(now, peer);
 }
 
-void NodeConnections::Unstand(NodeId machine) {
-  const auto it = links_.find(machine);
-  if (it == links_.end()) return;
-  if (it->second.standing > 0 && --it->second.standing == 0) it->second.reopened = false;
-  Forget(machine);
+void NodeConnections::RemoveRunningTask(NodeId node) {
+  Peer* peer = FindPeer(node);
+  if (peer == nullptr) return;
+  if (peer->running_tasks > 0 && --peer->running_tasks == 0) peer->tasks_predate_connection = false;
+  ForgetIfUnused(node);
 }
 
-void NodeConnections::OnConnected(Micros now, ConnId conn) {
-  const auto it = by_conn_.find(conn);
-  if (it == by_conn_.end()) return;
-  Link& link = links_.at(it->second);
-  link.up = true;
-  link.connect_by = kNever;
-  link.retry_wait = 0;
-  link.used = now;
-  for (const RequestUid uid : std::exchange(link.owed, {})) SendStop(link, uid);
-  // A machine learns who connected from the first message, and tells how tasks that stood have ended only
-  // then: without one, releases came as late as the first test.
-  if (link.standing > 0 && link.flights.empty()) SendTest(now, link);
-  SendLine(now, link);
-}
+// ---- What nodes send ----
 
 void NodeConnections::OnBytes(Micros now, ConnId conn, std::string_view bytes) {
-  const auto it = by_conn_.find(conn);
-  if (it == by_conn_.end()) return;
-  Link& link = links_.at(it->second);
-  link.heard = now;
-  link.spoke = true;
-  link.tested = 0;
-  link.reader.Feed(bytes);
+  Peer* peer = FindPeerByConn(conn);
+  if (peer == nullptr) return;
+  Connection& connection = peer->connection;
+  peer->last_received_at = now;
+  connection.received_any = true;
+  connection.health_check_sent_at = 0;
+  connection.reader.Feed(bytes);
   NodeMessage message;
   for (;;) {
-    const auto state = link.reader.Next(&message);
+    const NodeMessageReader::State state = connection.reader.Next(&message);
     if (state == NodeMessageReader::State::kMore) break;
-    // A stream that cannot be read is of no further use, for the other set-ups on it either.
-    if (state == NodeMessageReader::State::kBroken) return Cut(now, link, link.reader.error().c_str(), true);
+    // A stream that cannot be read is of no further use, for the other attempts on it either.
+    if (state == NodeMessageReader::State::kBroken) {
+      return CloseConnection(now, *peer, connection.reader.error(), true);
+    }
     if (message.kind == NodeMessageKind::kAnswer && !IsUtf8(message.Text(kDescription))) {
-      return Cut(now, link, "a description that is no UTF-8", true);
+      return CloseConnection(now, *peer, "description: expected UTF-8", true);
     }
-    Read(now, link, message);
+    HandleMessage(now, *peer, message);
+  }
+  if (!connection.reader.within_message()) {
+    connection.partial_since = 0;
+  } else if (connection.partial_since == 0) {
+    connection.partial_since = now;
   }
-  link.partial_at = !link.reader.within_message() ? 0 : link.partial_at != 0 ? link.partial_at : now;
 }
 
-void NodeConnections::Read(Micros now, Link& link, const NodeMessage& message) {
+void NodeConnections::HandleMessage(Micros now, Peer& peer, const NodeMessage& message) {
   NodeConnectionEvent event;
-  event.node = link.node;
+  event.node = peer.node;
   event.uid = message.uid;
-  // Word under the id of a set-up that still waits in line is of an earlier one, and leaves it there.
-  const auto flight = link.flights.find(message.uid);
-  const bool ours = flight != link.flights.end() && flight->second.sent;
+  // A message under the uid of an attempt that was not sent yet is about an earlier one, and leaves it there.
+  const auto attempt = peer.attempts.find(message.uid);
+  const bool of_attempt = attempt != peer.attempts.end() && attempt->second.sent;
   switch (message.kind) {
     case NodeMessageKind::kAnswer:
-      // One that is not in flight here is a second copy, or of an attempt that was given up.
-      if (!ours) return;
-      link.flights.erase(flight);
-      event.kind = NodeConnectionEvent::Kind::kAnswered;
+      // Without an attempt in flight it is a second copy, or of an attempt that was cancelled.
+      if (!of_attempt) return;
+      peer.attempts.erase(attempt);
+      event.kind = NodeConnectionEvent::Kind::kStarted;
       break;
     case NodeMessageKind::kStop:
       event.kind = NodeConnectionEvent::Kind::kEnded;
-      event.standing = !ours;
-      if (ours) link.flights.erase(flight);
+      event.of_running_task = !of_attempt;
+      if (of_attempt) peer.attempts.erase(attempt);
       break;
     case NodeMessageKind::kNote:
-      event.kind = NodeConnectionEvent::Kind::kNoted;
+      event.kind = NodeConnectionEvent::Kind::kProgress;
       break;
     default:
       return;
   }
-  link.used = now;
+  peer.last_used_at = now;
   event.message = message;
   events_.push_back(std::move(event));
 }
 
-void NodeConnections::Cut(Micros now, Link& link, const char* why, bool was_up) {
-  port_->Log("machine at " + link.address + ": connection closed: " + why);
-  port_->Close(link.conn, false);
-  Drop(now, link, was_up);
+// ---- The end of connections ----
+
+void NodeConnections::CloseConnection(Micros now, Peer& peer, const std::string& reason,
+                                      bool was_established) {
+  transport_->Log("node at " + peer.connection.address + ": connection closed: " + reason);
+  transport_->Close(peer.connection.id, false);
+  OnConnectionEnded(now, peer, was_established);
 }
 
-void NodeConnections::Drop(Micros now, Link& link, bool was_up) {
-  by_conn_.erase(link.conn);
-  link.conn = 0;
-  link.up = false;
-  link.connect_by = kNever;
-  link.tested = link.partial_at = 0;
-  link.reader = {};
-  link.reopened = link.standing > 0;
-  link.line.clear();
-  for (auto& [uid, flight] : std::exchange(link.flights, {})) {
-    Emit(was_up && flight.written ? NodeConnectionEvent::Kind::kMayHaveRun
-                                  : NodeConnectionEvent::Kind::kNeverRan,
-         link, uid);
+void NodeConnections::OnConnectionEnded(Micros now, Peer& peer, bool was_established) {
+  node_by_conn_.erase(peer.connection.id);
+  peer.connection = {};
+  peer.tasks_predate_connection = peer.running_tasks > 0;
+  peer.unsent_attempts.clear();
+  for (const auto& [uid, attempt] : std::exchange(peer.attempts, {})) {
+    const bool may_have_run = was_established && attempt.written;
+    AddEvent(may_have_run ? NodeConnectionEvent::Kind::kMayHaveRun : NodeConnectionEvent::Kind::kNeverRan,
+             peer, uid);
   }
-  link.retry_at = now + link.retry_wait;  // at once, then ever later
-  link.retry_wait = std::min(kReconnectMost, std::max(kReconnectFirst, link.retry_wait * 2));
-  if (!link.listed) Lose(link);
+  // At once the first time, then with backoff.
+  peer.reconnect_at = now + peer.reconnect_delay;
+  peer.reconnect_delay = std::clamp(peer.reconnect_delay * 2, kReconnectDelayMin, kReconnectDelayMax);
+  if (!peer.listed) ReportTasksLost(peer);
 }
 
 void NodeConnections::OnClosed(Micros now, ConnId conn, bool refused) {
-  const auto it = by_conn_.find(conn);
-  if (it == by_conn_.end()) return;
-  Link& link = links_.at(it->second);
-  const NodeId machine = link.node;
-  const bool was_up = link.up;
-  Drop(now, link, was_up);
-  if (refused && !was_up) Lose(link);
-  Forget(machine);
+  Peer* peer = FindPeerByConn(conn);
+  if (peer == nullptr) return;
+  const NodeId node = peer->node;
+  const bool was_established = peer->IsConnected();
+  OnConnectionEnded(now, *peer, was_established);
+  if (refused && !was_established) ReportTasksLost(*peer);
+  ForgetIfUnused(node);
 }
 
-Micros NodeConnections::DueOf(const Link& link) const {
-  if (link.conn == 0) {
-    if (!Needed(link)) return kNever;
-    return std::min(link.address.empty() ? kNever : link.retry_at,
-                    link.standing > 0 || !link.owed.empty() ? link.heard + kSilentLost : kNever);
+// ---- Time ----
+
+Micros NodeConnections::DueOf(const Peer& peer) const {
+  const Connection& connection = peer.connection;
+  if (!peer.HasConnection()) {
+    if (!peer.IsNeeded()) return kNever;
+    const Micros reconnect_at = peer.address.empty() ? kNever : peer.reconnect_at;
+    const Micros lost_at = peer.HasTasks() ? peer.last_received_at + kNodeLostTimeout : kNever;
+    return std::min(reconnect_at, lost_at);
   }
-  if (!link.up) return link.connect_by;
-  if (link.partial_at != 0) return link.partial_at + kMessageWait;
-  if (link.tested != 0) return link.tested + kTestWait;
-  return std::min(Needed(link) ? std::max(link.heard, link.used) + kTestAfter : kNever,
-                  Needed(link) ? kNever : (link.listed ? link.used + options_.idle : 0));
+  if (!connection.established) return connection.connect_deadline;
+  if (connection.partial_since != 0) return connection.partial_since + kPartialNodeMessageTimeout;
+  if (connection.health_check_sent_at != 0) return connection.health_check_sent_at + kHealthCheckTimeout;
+  if (peer.IsNeeded()) return std::max(peer.last_received_at, peer.last_used_at) + kHealthCheckInterval;
+  return peer.listed ? peer.last_used_at + options_.idle_timeout : 0;
 }
 
 Micros NodeConnections::NextDue() const {
   Micros due = kNever;
-  for (const auto& [machine, link] : links_) due = std::min(due, DueOf(link));
+  for (const auto& [node, peer] : peers_) due = std::min(due, DueOf(peer));
   return due;
 }
 
 void NodeConnections::Tick(Micros now) {
-  std::vector<std::pair<Micros, NodeId>> due;  // those not heard for longest first
-  for (const auto& [machine, link] : links_) {
-    if (DueOf(link) <= now) due.emplace_back(link.heard, machine);
+  // Those that were not heard for longest come first.
+  struct DuePeer {
+    Micros last_received_at;
+    NodeId node;
+    auto operator<=>(const DuePeer&) const = default;
+  };
+  std::vector<DuePeer> due;
+  for (const auto& [node, peer] : peers_) {
+    if (DueOf(peer) <= now) due.push_back({peer.last_received_at, node});
   }
   std::sort(due.begin(), due.end());
-  for (const auto& [heard, machine] : due) {
-    const auto it = links_.find(machine);
-    if (it == links_.end() || DueOf(it->second) > now) continue;
-    Link& link = it->second;
-    if (link.conn == 0) {
-      if ((link.standing > 0 || !link.owed.empty()) && now >= link.heard + kSilentLost) {
-        Lose(link);
-        link.heard = now;  // told once; what still stands there is asked for again after as long
-      }
-      if (!link.address.empty() && now >= link.retry_at) Connect(now, link);
-    } else if (!link.up) {
-      Cut(now, link, "did not come up in time", false);
-    } else if (link.partial_at != 0) {
-      Cut(now, link, "a message that does not end", true);
-    } else if (link.tested != 0) {
-      // It opens and is silent, or is half open: no test passes. What is on it may have run.
-      Cut(now, link, "no word on a test", true);
-    } else if (Needed(link)) {
-      SendTest(now, link);
-    } else {
-      port_->Close(link.conn, true);
-      Drop(now, link, true);
+  for (const DuePeer& due_peer : due) {
+    Peer* peer = FindPeer(due_peer.node);
+    if (peer == nullptr || DueOf(*peer) > now) continue;
+    TickPeer(now, *peer);
+    ForgetIfUnused(due_peer.node);
+  }
+}
+
+void NodeConnections::TickPeer(Micros now, Peer& peer) {
+  const Connection& connection = peer.connection;
+  if (!peer.HasConnection()) {
+    if (peer.HasTasks() && now >= peer.last_received_at + kNodeLostTimeout) {
+      ReportTasksLost(peer);
+      peer.last_received_at = now;  // reported once; again only after as long
     }
-    Forget(machine);
+    if (now >= peer.reconnect_at) Connect(now, peer);
+  } else if (!connection.established) {
+    CloseConnection(now, peer, "it was not established in time", false);
+  } else if (connection.partial_since != 0) {
+    CloseConnection(now, peer, "a message did not end in time", true);
+  } else if (connection.health_check_sent_at != 0) {
+    // The node accepts connections and is silent, or the connection is half open. What is on it may have run.
+    CloseConnection(now, peer, "no answer to a health check", true);
+  } else if (peer.IsNeeded()) {
+    SendHealthCheck(now, peer);
+  } else {
+    transport_->Close(connection.id, true);
+    OnConnectionEnded(now, peer, true);
   }
 }
 
--- a/src/platform/node_connections.hpp
+++ b/src/platform/node_connections.hpp
@@ -1,29 +1,32 @@
-// Connections to machines, by machine id and never by address; the set-ups in flight on each, and what the
-// end of a connection proves of them. Sans-I/O: the port connects and sends, events are taken with Take().
+// The connections to nodes: one a node, found by node id and never by address; the attempts in flight on
+// each, and what the end of a connection proves about them. Without I/O: the transport connects and sends,
+// and the events are taken with TakeEvents().
 //
-// What is proved:
-//   no connection came up (refused, in time or not)     the set-ups that waited for it never ran
-//   a connection ended after a set-up was written whole  it may have run
-//   a connection ended before that                       it never ran: a machine reads whole messages only
-//   a connection was refused                             the process is gone, and with it the tasks that
-//                                                        stood
-//   another machine has its address                      the same, unless a connection from before they were
-//                                                        placed is still up: that one goes to the old process
-//   nothing was heard for kSilentLost                    the same is taken to hold: releases are owed in time
+// What is proved, and by what:
+//   no connection came up (refused, in time or not)      the attempts that waited for it never ran
+//   a connection ended after an attempt was written whole  it may have run
+//   a connection ended before that                       it never ran: a node reads whole messages only
+//   a connection was refused                             the node's process is gone, and its tasks with it
+//   another node has its address                         the same, unless a connection from before the tasks
+//                                                        were started is still up: that one leads to the old
+//                                                        process
+//   nothing was received for kNodeLostTimeout            the same is assumed, so that clients are told in
+//   time
 //
-// A set-up is handed to the port once all before it is with the kernel, so that one that is given up is
-// either not sent at all, or the machine hears of both, or its connection ends before the message is whole.
+// An attempt is handed to the transport once the kernel has everything before it. So an attempt that is
+// cancelled is either not sent at all, or the node reads of both, or its connection ends before the message
+// is whole.
 //
-// Bounds: connections as the options say, one a machine; kMostInFlight set-ups a machine; kMostOwed releases
-// owed to a machine that is not connected, for kSilentLost; reconnects at most every kReconnectMost; a
-// machine that is gone is forgotten with its last task.
+// Not thread-safe; the caller passes the time. Bounds: connections as the options say; kMaxAttemptsInFlight
+// attempts a node; kMaxPendingTerminations terminations for a node that is not connected; reconnects at most
+// every kReconnectDelayMax; a node that is no longer listed is forgotten with its last task.
 #ifndef MOUNTFLOW_PLATFORM_NODE_CONNECTIONS_HPP_
 #define MOUNTFLOW_PLATFORM_NODE_CONNECTIONS_HPP_
 
+#include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <map>
-#include <optional>
 #include <string>
 #include <string_view>
 #include <unordered_map>
@@ -35,126 +38,159 @@
 
 namespace mountflow::platform {
 
-inline constexpr std::size_t kMostInFlight = 1024;
-inline constexpr std::size_t kMostOwed = 1024;
-// A connection with something on it is tested when nothing was heard on it for kTestAfter; without any word
-// for kTestWait after that it is dead. A stall of a machine is half a second.
-inline constexpr Micros kTestAfter = 1'000'000;
-inline constexpr Micros kTestWait = 2'000'000;
-// A message that has begun and does not end; honest ones come in one piece.
-inline constexpr Micros kMessageWait = 1'000'000;
-// Releases of tasks that are over are owed within 8 s of their end: what is not heard of for this long counts
-// as lost, as late as that allows, for a machine that is only cut off comes back with its tasks.
-inline constexpr Micros kSilentLost = 7'500'000;
-// With more machines that hold tasks than connections, each that has none is asked in turn this often; word
-// of an end comes as much later then, and is owed within 8 s.
-inline constexpr Micros kTurn = 2'000'000;
-inline constexpr Micros kRoomWait = 50'000;  // while no connection can be spared
-inline constexpr Micros kReconnectFirst = 50'000;
-inline constexpr Micros kReconnectMost = 500'000;
+// Of one node: more than it can accept within the longest deadline of an attempt.
+inline constexpr std::size_t kMaxAttemptsInFlight = 1024;
+inline constexpr std::size_t kMaxPendingTerminations = 1024;
+// A connection in use gets a health check when nothing was received for kHealthCheckInterval; it is closed
+// when nothing comes within kHealthCheckTimeout after that. A node may stall for half a second.
+inline constexpr Micros kHealthCheckInterval = 1'000'000;
+inline constexpr Micros kHealthCheckTimeout = 2'000'000;
+// For a message that has begun to end; sound nodes send each in one piece.
+inline constexpr Micros kPartialNodeMessageTimeout = 1'000'000;
+// Clients are told the end of a running task within 8 s. A node that is not heard of for this long counts as
+// lost: as late as those 8 s allow, for a node that is only cut off comes back with its tasks.
+inline constexpr Micros kNodeLostTimeout = 7'500'000;
+// With more nodes that run tasks than connections, each node without one is connected in rotation this often;
+// the end of a task is heard as much later, and must be known within 8 s.
+inline constexpr Micros kRotationInterval = 2'000'000;
+// Until the next attempt to connect while no connection can be evicted.
+inline constexpr Micros kNoConnectionFreeDelay = 50'000;
+inline constexpr Micros kReconnectDelayMin = 50'000;
+inline constexpr Micros kReconnectDelayMax = 500'000;
 
 struct NodeConnectionEvent {
   enum class Kind {
-    kAnswered,     // the set-up stands
-    kEnded,        // the set-up or the task ended by the machine's word
-    kNeverRan,     // the set-up got no connection, or was not written whole
-    kMayHaveRun,   // its connection ended
-    kNoted,        // a note on a task
-    kMachineLost,  // what stood there is cut
+    kStarted,     // the node accepted the attempt: its task runs
+    kEnded,       // the node says that the attempt or the running task ended
+    kNeverRan,    // the attempt got no connection, or was not written whole
+    kMayHaveRun,  // the attempt was written, and its connection ended
+    kProgress,    // the node reports on a running task
+    kNodeLost,    // every task that ran there is lost; `uid` is 0
   };
-  Kind kind = Kind::kAnswered;
+  Kind kind = Kind::kStarted;
   NodeId node = 0;
   RequestUid uid = 0;
-  bool standing = false;  // kEnded: of no set-up in flight here
-  NodeMessage message;
+  bool of_running_task = false;  // kEnded: no attempt of this uid is in flight here
+  NodeMessage message;           // kStarted, kEnded, kProgress
 };
 
 struct NodeConnectionOptions {
-  std::size_t most_connections = 64;
+  std::size_t max_connections = 64;
   Micros connect_timeout = 250'000;
-  Micros idle = 10'000'000;  // closed before the machine does
+  // Shorter than the node's own: an attempt that crosses the node's close may have run.
+  Micros idle_timeout = 10'000'000;
 };
 
 class NodeConnections {
  public:
-  NodeConnections(const NodeConnectionOptions& options, Transport* port) : options_(options), port_(port) {}
-
-  // As the change log has it. An address that another machine takes over is lost to the one before.
-  void Know(Micros now, NodeId machine, const std::string& address);
-  void Gone(Micros now, NodeId machine);
-
-  void SetUp(Micros now, NodeId machine, RequestUid uid, std::string message);
-  void GiveUp(Micros now, NodeId machine, RequestUid uid);   // no event comes for it any more
-  void Release(Micros now, NodeId machine, RequestUid uid);  // cuts a task that stands
-  // Tasks that stand at a machine: word of them must be able to come.
-  // `before`: they were placed before any connection of ours.
-  void Stand(Micros now, NodeId machine, bool before = false);
-  void Unstand(NodeId machine);
-
-  bool Owns(ConnId conn) const { return by_conn_.count(conn) > 0; }
+  // `transport` must outlive this object.
+  NodeConnections(const NodeConnectionOptions& options, Transport* transport)
+      : options_(options), transport_(transport) {}
+
+  // A node is listed, or its address changed. A node that had this address before loses it.
+  void SetNodeAddress(Micros now, NodeId node, const std::string& address);
+  // A node is no longer listed.
+  void RemoveNode(Micros now, NodeId node);
+
+  // Sends an attempt: `message` is its encoded launch message. Exactly one of kStarted, kEnded, kNeverRan,
+  // kMayHaveRun follows, unless it is cancelled before.
+  void Launch(Micros now, NodeId node, RequestUid uid, std::string message);
+  // No event about this attempt follows. An attempt that is not in flight is ignored.
+  void CancelAttempt(Micros now, NodeId node, RequestUid uid);
+  // Tells the node to end a running task, now or when it is connected again.
+  void TerminateTask(Micros now, NodeId node, RequestUid uid);
+  // A task runs at a node: there must be a connection on which its end can be told. `recovered`: it was
+  // started before any connection of this process.
+  void AddRunningTask(Micros now, NodeId node, bool recovered = false);
+  void RemoveRunningTask(NodeId node);
+
+  // What the transport reports. Connections that are not of this object are ignored.
+  [[nodiscard]] bool HasConnection(ConnId conn) const { return node_by_conn_.count(conn) > 0; }
   void OnConnected(Micros now, ConnId conn);
   void OnBytes(Micros now, ConnId conn, std::string_view bytes);
-  void OnWritten(Micros now, ConnId conn);  // all that was sent is with the kernel
+  void OnWritten(Micros now, ConnId conn);  // the kernel has everything that was sent
   void OnClosed(Micros now, ConnId conn, bool refused);
 
   void Tick(Micros now);
-  Micros NextDue() const;
-  std::vector<NodeConnectionEvent> Take();
+  [[nodiscard]] Micros NextDue() const;  // of Tick; kNever: nothing is due
+  [[nodiscard]] std::vector<NodeConnectionEvent> TakeEvents();
 
-  std::size_t connections() const { return by_conn_.size(); }
-  std::size_t machines() const { return links_.size(); }
+  [[nodiscard]] std::size_t connection_count() const { return node_by_conn_.size(); }
+  [[nodiscard]] std::size_t node_count() const { return peers_.size(); }
 
  private:
-  struct Flight {
+  struct AttemptInFlight {
     std::string message;  // until it is sent
     bool sent = false;
-    bool written = false;  // the kernel has all of it: what it holds is on its way
+    bool written = false;  // the kernel has all of it: it is on its way
   };
-  struct Link {
+  struct Connection {
+    ConnId id = 0;        // 0: there is none
+    std::string address;  // that it was made to
+    bool established = false;
+    Micros connect_deadline = kNever;
+    bool received_any = false;
+    Micros health_check_sent_at = 0;  // nothing was received since; 0: none is open
+    Micros partial_since = 0;         // when a message began that has not ended; 0: none
+    NodeMessageReader reader;
+  };
+  // What is known of one node.
+  struct Peer {
     NodeId node = 0;
-    std::string address;       // empty: no new connection
-    std::string connected_to;  // the address of its last connection
-    bool reopened = false;     // tasks stand there that are older than its connection
     bool listed = false;
-    ConnId conn = 0;
-    bool up = false;
-    Micros connect_by = kNever;
-    bool spoke = false;     // something was heard on this connection
-    Micros heard = 0;       // last bytes; while never, when it was first needed
-    Micros tested = 0;      // a test without any word since; 0: none
-    Micros partial_at = 0;  // a message began then and has not ended
-    Micros used = 0;
-    Micros retry_at = 0, retry_wait = 0;
-    std::size_t standing = 0;
-    NodeMessageReader reader;
-    std::map<RequestUid, Flight> flights;
-    std::deque<RequestUid> line;  // flights that are not sent yet, in their order
-    std::deque<RequestUid> owed;
+    std::string address;  // empty: no new connection is made
+    Connection connection;
+    bool tasks_predate_connection = false;
+    std::size_t running_tasks = 0;
+    Micros last_received_at = 0;  // before the first byte: when it was first needed
+    Micros last_used_at = 0;
+    Micros reconnect_at = 0;
+    Micros reconnect_delay = 0;
+    std::map<RequestUid, AttemptInFlight> attempts;
+    std::deque<RequestUid> unsent_attempts;  // in the order of their launch
+    std::deque<RequestUid> pending_terminations;
+
+    [[nodiscard]] bool IsConnected() const { return connection.established; }
+    [[nodiscard]] bool HasConnection() const { return connection.id != 0; }
+    [[nodiscard]] bool HasTasks() const { return running_tasks > 0 || !pending_terminations.empty(); }
+    [[nodiscard]] bool IsNeeded() const { return !attempts.empty() || HasTasks(); }
+  };
+  // The order in which connections are evicted: the smallest first.
+  struct EvictionRank {
+    int need = 0;  // 0: of no use; 1: its node has told how its tasks are; 2: it has not
+    Micros last_used_at = 0;
+    auto operator<=>(const EvictionRank&) const = default;
   };
 
-  Link& Of(NodeId machine);
-  bool Needed(const Link& link) const;
-  void Connect(Micros now, Link& link, bool for_set_up = false);
-  bool MakeRoom(Micros now, bool for_set_up);
-  void SendLine(Micros now, Link& link);
-  void Send(Link& link, const std::string& bytes);
-  void SendStop(Link& link, RequestUid uid);
-  void SendTest(Micros now, Link& link);
-  void Read(Micros now, Link& link, const NodeMessage& message);
-  // The connection is no more: what was on it gets its event.
-  void Drop(Micros now, Link& link, bool was_up);
-  void Cut(Micros now, Link& link, const char* why, bool was_up);
-  void Lose(Link& link);
-  void Forget(NodeId machine);
-  Micros DueOf(const Link& link) const;
-  void Emit(NodeConnectionEvent::Kind kind, const Link& link, RequestUid uid);
+  Peer& PeerOf(NodeId node);
+  Peer* FindPeer(NodeId node);        // null: unknown
+  Peer* FindPeerByConn(ConnId conn);  // null: not of this object
+  void TakeAddressFromOthers(Micros now, NodeId node, const std::string& address);
+
+  void Connect(Micros now, Peer& peer, bool for_attempt = false);
+  [[nodiscard]] bool EvictIfFull(Micros now, bool for_attempt);
+  void SendUnsentAttempts(Micros now, Peer& peer);
+  void Send(Peer& peer, const std::string& bytes);
+  void SendStop(Peer& peer, RequestUid uid);
+  void SendHealthCheck(Micros now, Peer& peer);
+  void HandleMessage(Micros now, Peer& peer, const NodeMessage& message);
+
+  // Closes the connection, with the reason in the log.
+  void CloseConnection(Micros now, Peer& peer, const std::string& reason, bool was_established);
+  // The connection is no more: each attempt on it gets its event.
+  void OnConnectionEnded(Micros now, Peer& peer, bool was_established);
+  void ReportTasksLost(Peer& peer);
+  void ForgetIfUnused(NodeId node);
+  void TickPeer(Micros now, Peer& peer);
+  [[nodiscard]] Micros DueOf(const Peer& peer) const;
+  void AddEvent(NodeConnectionEvent::Kind kind, const Peer& peer, RequestUid uid);
 
   NodeConnectionOptions options_;
-  Transport* port_;
-  std::map<NodeId, Link> links_;
-  std::unordered_map<ConnId, NodeId> by_conn_;
+  Transport* transport_;
+  std::map<NodeId, Peer> peers_;
+  std::unordered_map<ConnId, NodeId> node_by_conn_;
   std::vector<NodeConnectionEvent> events_;
-  std::uint64_t tests_ = 0;
+  std::uint64_t health_checks_sent_ = 0;
 };
 
 }  // namespace mountflow::platform
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -1,252 +1,287 @@
 #include "platform/platform_server.hpp"
 
-#include <errno.h>
-#include <poll.h>
-#include <signal.h>
-#include <unistd.h>
-
 #include <algorithm>
-#include <cstdio>
+#include <chrono>
+#include <csignal>
 #include <cstdlib>
 #include <fstream>
 #include <iterator>
+#include <memory>
+#include <optional>
 #include <utility>
+#include <vector>
+
+#include "platform/nonblocking_stderr_sink.hpp"
+#include "platform/rate_limited_sink.hpp"
 
 namespace mountflow::daemon {
 namespace {
 
-constexpr std::size_t kMostRead = 16 << 10;
-constexpr std::size_t kMostClosing = 4;  // out of the descriptors that are for the program itself
-constexpr unsigned kLinesASecond = 20;
+// At once, of one connection: one that sends much does not hold up the others.
+constexpr std::size_t kMaxReadBytes = 16 << 10;
+// Closed connections that still flush; they take descriptors that are meant for the program itself.
+constexpr std::size_t kMaxClosing = 4;
+// Parts of the memory limit: of all descriptions that wait, and of the unsent bytes of one connection.
+constexpr std::size_t kDescriptionShare = 16;
+constexpr std::size_t kUnsentShare = 512;
+constexpr std::size_t kBytesPerMegabyte = 1 << 20;
 
-platform::NodeConnectionOptions LinksOf(const platform::PlatformConfig& config) {
+platform::NodeConnectionOptions MakeNodeConnectionOptions(const platform::PlatformConfig& config) {
   platform::NodeConnectionOptions options;
-  options.most_connections = platform::SplitDescriptors(config.sockets).machines;
+  options.max_connections = platform::SplitDescriptors(config.sockets).machines;
   if (config.wire.connect_timeout > 0) options.connect_timeout = config.wire.connect_timeout;
-  // Well before the machine closes it: a set-up that crosses its close may have run.
-  if (config.wire.conn_idle > 0) options.idle = config.wire.conn_idle / 3 * 2;
+  // Well before the node closes it: an attempt that crosses the node's close may have run.
+  if (config.wire.conn_idle > 0) options.idle_timeout = config.wire.conn_idle / 3 * 2;
   return options;
 }
 
-bool ReadFile(const std::string& file, std::string* text) {
+spdlog::sink_ptr MakeLogSink() {
+  return std::make_shared<platform::RateLimitedSink>(std::make_shared<platform::NonblockingStderrSink>());
+}
+
+// Empty: it cannot be read.
+std::optional<std::string> ReadFile(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
-  if (!in) return false;
-  text->assign(std::istreambuf_iterator<char>(in), {});
-  return !in.bad();
+  if (!in) return std::nullopt;
+  std::string text(std::istreambuf_iterator<char>(in), {});
+  if (in.bad()) return std::nullopt;
+  return text;
 }
 
 }  // namespace
 
-void RateLimitedLog::Put(const std::string& line) {
-  // A full pipe must not stop the scheduler; a write of up to PIPE_BUF bytes to a writable one does not
-  // block.
-  pollfd out{STDERR_FILENO, POLLOUT, 0};
-  if (poll(&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0) return;
-  const std::string text = line.substr(0, 500) + "\n";
-  while (write(STDERR_FILENO, text.data(), text.size()) < 0 && errno == EINTR) {
-  }
-}
-
-void RateLimitedLog::Write(Micros now, const std::string& line) {
-  if (now / 1'000'000 != second_) {
-    if (left_out_ > 0) Put("(" + std::to_string(left_out_) + " more in that second)");
-    second_ = now / 1'000'000;
-    written_ = left_out_ = 0;
-    said_.clear();
-  }
-  if (written_ < kLinesASecond && said_.insert(line).second) {
-    ++written_;
-    Put(line);
-  } else {
-    ++left_out_;
-  }
-}
+std::string Describe(const ListenError& error) { return "listen: " + error.reason; }
 
 PlatformServer::PlatformServer(event_loop::Loop* loop, const platform::PlatformConfig& config,
                                std::string config_file)
     : loop_(loop),
       config_(config),
       config_file_(std::move(config_file)),
-      links_(LinksOf(config), this),
-      tasks_(config.wire, config.seed, &links_, config.memory_mb * (1 << 20) / 16),
-      owners_(platform::SplitDescriptors(config.sockets).owners, &tasks_, this),
-      changes_(config.change_log, config.known_last, this) {}
-
-bool PlatformServer::Start(std::string* error) {
-  loop_->SetMostUnsent(config_.memory_mb * (1 << 20) / 512);  // of one connection
-  loop_->SetMostClosing(kMostClosing);
-  loop_->SetMostRead(kMostRead);
-  loop_->SetTellPeers(false);
-  tasks_.Start(loop_->Now(), config_.known);
-  std::vector<platform::NodeListChange>().swap(config_.known);
-  listener_ = loop_->Listen(config_.listen, this, error);
-  if (listener_ == 0) return false;
-  loop_->SetAfterTurn([this] { AfterTurn(); });
+      log_("platform", MakeLogSink()),
+      node_connections_(MakeNodeConnectionOptions(config), this),
+      dispatcher_(config.wire, config.seed, &node_connections_,
+                  config.memory_mb * kBytesPerMegabyte / kDescriptionShare),
+      client_connections_(platform::SplitDescriptors(config.sockets).owners, &dispatcher_, this),
+      node_watch_(config.change_log, config.known_last, this),
+      shutdown_(config.wire.longest_deadline) {}
+
+tl::expected<void, ListenError> PlatformServer::Start() {
+  ConfigureLoop();
+  dispatcher_.Start(loop_->Now(), config_.known);
+  std::vector<platform::NodeListChange>().swap(config_.known);  // gives its memory back
+  std::string reason;
+  listener_ = loop_->Listen(config_.listen, this, &reason);
+  if (listener_ == 0) return tl::unexpected(ListenError{config_.listen, std::move(reason)});
+  loop_->SetAfterTurn([this] { OnTurnEnded(); });
   loop_->SetMainTimer(loop_->Now(), [this] { OnTimer(); });
-  return true;
+  return {};
+}
+
+void PlatformServer::ConfigureLoop() {
+  loop_->SetMostUnsent(config_.memory_mb * kBytesPerMegabyte / kUnsentShare);
+  loop_->SetMostClosing(kMaxClosing);
+  loop_->SetMostRead(kMaxReadBytes);
+  loop_->SetTellPeers(false);
 }
 
-void PlatformServer::Trace(std::FILE* to) {
-  const auto write = [to](Micros at, const std::string& line) {
-    std::fprintf(to, "%llu %s\n", static_cast<unsigned long long>(at), line.c_str());
-    std::fflush(to);
+void PlatformServer::TraceTo(std::FILE* file) {
+  const auto write_line = [file](Micros at, const std::string& line) {
+    std::fprintf(file, "%llu %s\n", static_cast<unsigned long long>(at), line.c_str());
+    std::fflush(file);
   };
-  tasks_.Trace(write);
-  owners_.Trace(write);
+  dispatcher_.SetTrace(write_line);
+  client_connections_.SetTrace(write_line);
 }
 
-void PlatformServer::OnAccepted(event_loop::ListenerId, event_loop::ConnId conn,
+// ---- Events of the loop ----
+
+void PlatformServer::OnAccepted(event_loop::ListenerId /*listener*/, event_loop::ConnId conn,
                                 const event_loop::PeerInfo& peer) {
-  last_new_ = loop_->Now();
-  owners_.Accept(loop_->Now(), conn, peer.address);
+  last_accepted_at_ = loop_->Now();
+  client_connections_.Accept(loop_->Now(), conn, peer.address);
 }
 
 void PlatformServer::OnConnected(event_loop::ConnId conn) {
-  if (changes_.Owns(conn)) return changes_.OnConnected(loop_->Now(), conn);
-  links_.OnConnected(loop_->Now(), conn);
+  if (node_watch_.Owns(conn)) return node_watch_.OnConnected(loop_->Now(), conn);
+  node_connections_.OnConnected(loop_->Now(), conn);
 }
 
 void PlatformServer::OnReceived(event_loop::ConnId conn, std::string_view bytes) {
   const Micros now = loop_->Now();
-  if (owners_.Owns(conn)) {
-    owners_.OnBytes(now, conn, bytes);
-    if (owners_.Full(conn)) loop_->PauseReading(conn, true);
-  } else if (changes_.Owns(conn)) {
-    changes_.OnBytes(now, conn, bytes);
-    for (const platform::NodeListChange& change : changes_.Take()) tasks_.Fleet(now, change);
-  } else if (links_.Owns(conn)) {
-    links_.OnBytes(now, conn, bytes);
-    tasks_.FromLinks(now);
+  if (client_connections_.HasConnection(conn)) {
+    client_connections_.OnBytes(now, conn, bytes);
+    if (client_connections_.HasBacklog(conn)) loop_->PauseReading(conn, true);
+  } else if (node_watch_.Owns(conn)) {
+    node_watch_.OnBytes(now, conn, bytes);
+    ApplyNodeListChanges(now);
+  } else if (node_connections_.HasConnection(conn)) {
+    node_connections_.OnBytes(now, conn, bytes);
+    dispatcher_.HandleNodeEvents(now);
   }
-  owners_.Deliver(now);
+  client_connections_.DeliverNotifications(now);
 }
 
-void PlatformServer::OnSent(event_loop::ConnId conn) { links_.OnWritten(loop_->Now(), conn); }
+void PlatformServer::OnSent(event_loop::ConnId conn) { node_connections_.OnWritten(loop_->Now(), conn); }
 
 void PlatformServer::OnClosed(event_loop::ConnId conn, const std::string& reason) {
   const Micros now = loop_->Now();
-  if (owners_.Owns(conn)) {
-    owners_.OnClosed(now, conn);
-  } else if (changes_.Owns(conn)) {
-    changes_.OnClosed(now, conn);
-    for (const platform::NodeListChange& change : changes_.Take()) tasks_.Fleet(now, change);
+  if (client_connections_.HasConnection(conn)) {
+    client_connections_.OnClosed(now, conn);
+  } else if (node_watch_.Owns(conn)) {
+    node_watch_.OnClosed(now, conn);
+    ApplyNodeListChanges(now);
   } else {
-    links_.OnClosed(now, conn, event_loop::Loop::Refused(reason));
-    tasks_.FromLinks(now);
+    node_connections_.OnClosed(now, conn, event_loop::Loop::Refused(reason));
+    dispatcher_.HandleNodeEvents(now);
   }
-  owners_.Deliver(now);
+  client_connections_.DeliverNotifications(now);
 }
 
 void PlatformServer::OnTimer() {
   const Micros now = loop_->Now();
-  tasks_.Tick(now);
-  links_.Tick(now);
-  tasks_.FromLinks(now);
-  changes_.Tick(now);
-  for (const platform::NodeListChange& change : changes_.Take()) tasks_.Fleet(now, change);
-  owners_.Tick(now);
-  owners_.Deliver(now);
+  dispatcher_.Tick(now);
+  node_connections_.Tick(now);
+  dispatcher_.HandleNodeEvents(now);
+  node_watch_.Tick(now);
+  ApplyNodeListChanges(now);
+  client_connections_.Tick(now);
+  client_connections_.DeliverNotifications(now);
 }
 
-void PlatformServer::AfterTurn() {
+void PlatformServer::ApplyNodeListChanges(Micros now) {
+  for (const platform::NodeListChange& change : node_watch_.Take()) dispatcher_.ApplyNodeList(now, change);
+}
+
+void PlatformServer::OnTurnEnded() {
   const Micros now = loop_->Now();
-  bool more = false;
-  if (owners_.waiting()) {
-    const std::vector<platform::ConnId> taken = owners_.Work(now);
-    for (const platform::ConnId conn : taken) loop_->PauseReading(conn, false);
-    owners_.Deliver(now);
-    more = owners_.waiting();
+  ProcessClientBacklog(now);
+  for (const std::string& line : dispatcher_.TakeLogLines()) Log(line);
+  // Here, and not with the turn's timers: what came in the same turn is read after those, and a request taken
+  // after the last look would get no answer.
+  ContinueShutdown(now);
+  SetNextTimer(now);
+}
+
+void PlatformServer::ProcessClientBacklog(Micros now) {
+  if (!client_connections_.has_backlog()) return;
+  for (const platform::ConnId conn : client_connections_.ProcessBacklog(now)) {
+    loop_->PauseReading(conn, false);
   }
-  for (const std::string& line : tasks_.TakeLog()) log_.Write(now, line);
-  // Here, and not among the turn's timers: what came in the same turn is read after them, and a set-up taken
-  // after the last answers would get none.
-  MaybeLeave(now);
-  Micros due = std::min({tasks_.NextDue(), links_.NextDue(), changes_.NextDue(), owners_.NextDue()});
-  if (leaving_ != 0) due = std::min(due, looked_ ? now : now + 50'000);
-  loop_->SetMainTimer(more ? now : due, {});
+  client_connections_.DeliverNotifications(now);
 }
 
+void PlatformServer::SetNextTimer(Micros now) {
+  const Micros due =
+      client_connections_.has_backlog()
+          ? now
+          : std::min({dispatcher_.NextDue(), node_connections_.NextDue(), node_watch_.NextDue(),
+                      client_connections_.NextDue(), shutdown_.NextCheck(now)});
+  loop_->SetMainTimer(due, {});
+}
+
+// ---- Reload and shutdown ----
+
 void PlatformServer::Reload() {
-  std::string text, error;
+  const std::optional<std::string> text = ReadFile(config_file_);
+  std::string error = "expected a file that can be read";
   std::string address;
-  if (!ReadFile(config_file_, &text)) {
-    error = "cannot be read";
-  } else {
-    address = platform::ReadChangeLogAddress(text, &error);
+  if (text.has_value()) address = platform::ReadChangeLogAddress(*text, &error);
+  if (address.empty()) {
+    Log("reload: the configuration stays as it was: " + config_file_ + ": " + error);
+    return;
   }
-  if (address.empty()) return Log("new configuration not taken: " + config_file_ + ": " + error);
-  Log("new configuration: change log at " + address);
-  changes_.Follow(loop_->Now(), address);
+  Log("reload: the change log is at " + address);
+  node_watch_.Follow(loop_->Now(), address);
 }
 
-void PlatformServer::Leave() {
-  if (leaving_ != 0) return;
-  leaving_ = loop_->Now();
-  owners_.SetReady(false);
-  Log("leaving: tests fail from now on; what is open is answered");
+void PlatformServer::Shutdown() {
+  if (!shutdown_.Begin(loop_->Now())) return;
+  client_connections_.SetReady(false);
+  Log("shutdown: health checks fail from now on, and requests that come are still answered");
 }
 
-void PlatformServer::MaybeLeave(Micros now) {
-  if (leaving_ == 0 || now < leaving_ + kLeaveAfter) return;
-  const Micros last = leaving_ + std::min(kLeaveLongest, config_.wire.longest_deadline) + kLeaveMargin;
-  if (now < last &&
-      (tasks_.open() > 0 || owners_.Owes() || now < std::max(last_new_, tasks_.last_asked()) + kLeaveQuiet)) {
-    looked_ = false;
-    return;
-  }
-  tasks_.FailOpen(now);
-  owners_.Deliver(now);
-  // The end of the program is the end of its sockets: what their owners have not taken yet would never come.
-  if (now < last + kLeaveFlush && (owners_.Owes() || loop_->closing() > 0)) return;
-  // One more turn that takes what lies in the kernel: a turn that a timer or a signal began has read nothing.
-  if (!std::exchange(looked_, true)) return;
-  Log("left");
+void PlatformServer::ContinueShutdown(Micros now) {
+  platform::GracefulShutdown::Work work;
+  work.unanswered_requests = dispatcher_.requests().unanswered() > 0;
+  work.unfinished_clients = client_connections_.HasUnfinishedWork();
+  work.last_arrival_at = std::max(last_accepted_at_, dispatcher_.last_submitted_at());
+  if (!shutdown_.CheckWork(now, work)) return;
+  dispatcher_.FailUnanswered(now);
+  client_connections_.DeliverNotifications(now);
+  shutdown_.FinishTurn(now, client_connections_.HasUnfinishedWork() || loop_->closing() > 0);
+  if (shutdown_.state() != platform::GracefulShutdown::State::kStopped) return;
+  Log("shutdown: done");
   loop_->Stop();
 }
 
+// ---- The transport of the parts ----
+
 platform::ConnId PlatformServer::Connect(const std::string& address) { return loop_->Connect(address, this); }
 void PlatformServer::Send(platform::ConnId conn, std::string_view bytes) { loop_->Send(conn, bytes); }
 bool PlatformServer::AllWritten(platform::ConnId conn) const { return loop_->AllWritten(conn); }
 bool PlatformServer::HungUp(platform::ConnId conn) const { return loop_->HungUp(conn); }
 void PlatformServer::Close(platform::ConnId conn, bool flush) { loop_->Close(conn, flush); }
-void PlatformServer::Log(const std::string& line) { log_.Write(loop_->Now(), line); }
 
-int RunPlatform(const std::string& trace) {
-  // Before anything else: until then SIGHUP and SIGTERM end the program where it stands.
-  event_loop::Loop loop;
-  PlatformServer* told = nullptr;
-  loop.OnSignal(SIGTERM, [&told] { told->Leave(); });
-  loop.OnSignal(SIGINT, [&told] { told->Leave(); });
-  loop.OnSignal(SIGHUP, [&told] { told->Reload(); });
-  const char* file = std::getenv("LB_CONFIG");
-  std::string text;
-  if (file == nullptr || !ReadFile(file, &text)) {
+// With the loop's time, which does not jump as the system's may.
+void PlatformServer::Log(const std::string& line) {
+  const spdlog::log_clock::time_point now{std::chrono::microseconds(loop_->Now())};
+  log_.log(now, spdlog::source_loc{}, spdlog::level::info, line);
+}
+
+// ---- The program ----
+
+namespace {
+
+// Empty, with the reason on standard error: the configuration cannot be used.
+std::optional<platform::PlatformConfig> ReadConfiguration(const char* file) {
+  std::optional<std::string> text;
+  if (file != nullptr) text = ReadFile(file);
+  if (!text.has_value()) {
     std::fprintf(stderr, "mountflowd: LB_CONFIG: expected a file that can be read, got '%s'\n",
                  file == nullptr ? "" : file);
-    return 1;
+    return std::nullopt;
   }
-  const platform::PlatformConfig config =
-      platform::ReadPlatformConfig(text, std::getenv("LB_NAME"), std::getenv("LB_LISTEN"));
-  std::string().swap(text);
+  platform::PlatformConfig config =
+      platform::ReadPlatformConfig(*text, std::getenv("LB_NAME"), std::getenv("LB_LISTEN"));
   for (const std::string& error : config.errors) std::fprintf(stderr, "mountflowd: %s\n", error.c_str());
-  if (!config.ok()) return 1;
-  PlatformServer shell(&loop, config, file);
-  if (!trace.empty()) {
-    std::FILE* to = std::fopen(trace.c_str(), "w");
-    if (to == nullptr) {
-      std::fprintf(stderr, "mountflowd: --trace: expected a file that can be written, got '%s'\n",
-                   trace.c_str());
-      return 1;
-    }
-    shell.Trace(to);
+  if (!config.ok()) return std::nullopt;
+  return config;
+}
+
+// False, with the reason on standard error: the file cannot be written. It stays open until the program ends.
+bool StartTrace(PlatformServer& server, const std::string& file_name) {
+  if (file_name.empty()) return true;
+  std::FILE* file = std::fopen(file_name.c_str(), "w");
+  if (file == nullptr) {
+    std::fprintf(stderr, "mountflowd: --trace: expected a file that can be written, got '%s'\n",
+                 file_name.c_str());
+    return false;
   }
-  std::string error;
-  if (!shell.Start(&error)) {
-    std::fprintf(stderr, "mountflowd: listen: %s\n", error.c_str());
+  server.TraceTo(file);
+  return true;
+}
+
+}  // namespace
+
+int RunPlatform(const std::string& trace_file) {
+  // The handlers come before anything else: without them SIGHUP and SIGTERM end the program at once. They are
+  // called in Run() alone, when `server` is set.
+  event_loop::Loop loop;
+  PlatformServer* server = nullptr;
+  loop.OnSignal(SIGTERM, [&server] { server->Shutdown(); });
+  loop.OnSignal(SIGINT, [&server] { server->Shutdown(); });
+  loop.OnSignal(SIGHUP, [&server] { server->Reload(); });
+  const char* config_file = std::getenv("LB_CONFIG");
+  const std::optional<platform::PlatformConfig> config = ReadConfiguration(config_file);
+  if (!config.has_value()) return 1;
+  PlatformServer platform_server(&loop, *config, config_file);
+  if (!StartTrace(platform_server, trace_file)) return 1;
+  if (const auto started = platform_server.Start(); !started) {
+    std::fprintf(stderr, "mountflowd: %s\n", Describe(started.error()).c_str());
     return 1;
   }
-  told = &shell;  // signals are told in Run() alone
-  shell.Log("mountflowd " + config.name + " serves on " + config.listen);
+  server = &platform_server;
+  platform_server.Log("mountflowd " + config->name + " serves on " + config->listen);
   loop.Run();
   return 0;
 }
--- a/tests/platform/platform_races_test.cpp
+++ b/tests/platform/platform_races_test.cpp
@@ -26,11 +26,11 @@
   rig.port.hung_up.insert(rig.owner);
   rig.Say(PlatformRig::Launch(kUid));
   EXPECT_TRUE(rig.port.to.empty());
-  EXPECT_EQ(rig.tasks.size(), 0u);
-  EXPECT_EQ(rig.tasks.open(), 0u);
+  EXPECT_EQ(rig.tasks.requests().size(), 0u);
+  EXPECT_EQ(rig.tasks.requests().unanswered(), 0u);
   // A task that runs is handed over all the same: it stands whoever told of it.
   rig.Say(PlatformRig::Launch(kNext, "service", 0, ";at:m-1"));
-  EXPECT_EQ(rig.tasks.size(), 1u);
+  EXPECT_EQ(rig.tasks.requests().size(), 1u);
 }
 
 TEST(PlatformCrossings, NoFurtherAttemptOnceTheOwnerLeft) {
@@ -40,9 +40,9 @@
     if (left) rig.port.hung_up.insert(rig.owner);
     rig.Machine(first, Ends(kUid, 34));
     EXPECT_EQ(rig.port.to.size(), left ? 1u : 2u);
-    EXPECT_EQ(rig.tasks.size(), left ? 0u : 1u);
+    EXPECT_EQ(rig.tasks.requests().size(), left ? 0u : 1u);
     rig.owners.OnClosed(rig.now, rig.owner);
-    EXPECT_EQ(rig.tasks.size(), 0u);
+    EXPECT_EQ(rig.tasks.requests().size(), 0u);
   }
 }
 
@@ -55,7 +55,7 @@
     rig.Pass(100 * kMilli);
     rig.Up(conn);
     EXPECT_TRUE(rig.port.Machine(conn).empty());
-    EXPECT_EQ(rig.tasks.size(), 0u);
+    EXPECT_EQ(rig.tasks.requests().size(), 0u);
   }
 }
 
@@ -77,16 +77,16 @@
   ASSERT_FALSE(rig.port.closed.empty());
   EXPECT_EQ(rig.port.closed.at(0), conn);
   EXPECT_TRUE(rig.port.Machine(conn).empty());
-  EXPECT_EQ(rig.tasks.size(), 0u);
+  EXPECT_EQ(rig.tasks.requests().size(), 0u);
 }
 
 TEST(PlatformCrossings, SetUpsInLineGoOutInOrderOnceTheKernelTakesMore) {
   PlatformRig rig;
   rig.port.writes = false;
-  rig.links.SetUp(rig.now, 1, 11, "");
-  rig.links.Know(rig.now, 1, "10.0.0.1:1");
+  rig.links.Launch(rig.now, 1, 11, "");
+  rig.links.SetNodeAddress(rig.now, 1, "10.0.0.1:1");
   for (const RequestUid uid : {14u, 12u, 13u})
-    rig.links.SetUp(rig.now, 1, uid, MachineBytes(NodeMessageKind::kLaunch, uid));
+    rig.links.Launch(rig.now, 1, uid, MachineBytes(NodeMessageKind::kLaunch, uid));
   const ConnId conn = rig.port.ConnTo("10.0.0.1:1");
   rig.links.OnConnected(rig.now, conn);
   std::vector<RequestUid> order;
@@ -107,21 +107,21 @@
     FakePort port;
     NodeConnections links(NodeConnectionOptions{}, &port);
     const Micros now = kSec;
-    links.Know(now, 1, "10.0.0.1:1");
+    links.SetNodeAddress(now, 1, "10.0.0.1:1");
     port.writes = false;
     for (const RequestUid uid : {11u, 12u})
-      links.SetUp(now, 1, uid, MachineBytes(NodeMessageKind::kLaunch, uid));
+      links.Launch(now, 1, uid, MachineBytes(NodeMessageKind::kLaunch, uid));
     const ConnId conn = port.ConnTo("10.0.0.1:1");
     links.OnConnected(now, conn);
     links.OnBytes(now, conn, MachineBytes(kind, 12, kind == NodeMessageKind::kStop ? 34 : -1));
-    for (const NodeConnectionEvent& event : links.Take()) EXPECT_TRUE(event.standing);
+    for (const NodeConnectionEvent& event : links.TakeEvents()) EXPECT_TRUE(event.of_running_task);
     port.behind.clear();
     links.OnWritten(now, conn);
     const auto sent = port.Machine(conn);
     ASSERT_EQ(sent.size(), 2u);
     EXPECT_EQ(sent[1].uid, 12u);
     links.OnBytes(now, conn, MachineBytes(NodeMessageKind::kAnswer, 12));
-    EXPECT_EQ(links.Take().size(), 1u);
+    EXPECT_EQ(links.TakeEvents().size(), 1u);
   }
 }
 
@@ -132,7 +132,7 @@
   rig.port.writes = false;
   const ConnId conn = rig.Placing(kUid);
   rig.port.writes = true;
-  rig.Pass(kTestAfter);
+  rig.Pass(kHealthCheckInterval);
   ASSERT_EQ(rig.port.Machine(conn).at(0).kind, NodeMessageKind::kHealthCheck);
   rig.Ended(conn);
   const auto said = rig.port.Owner(rig.owner);
@@ -157,22 +157,22 @@
   rig.port.hung_up.insert(2);
   rig.Machine(rig.port.ConnTo("10.0.0.1:1"), Ends(kNext, 16));
   EXPECT_TRUE(rig.port.Owner(2).empty());
-  EXPECT_EQ(rig.owners.owed(), 1u);
-  EXPECT_TRUE(rig.owners.Owes());
+  EXPECT_EQ(rig.owners.undelivered_count(), 1u);
+  EXPECT_TRUE(rig.owners.HasUnfinishedWork());
   rig.owners.Accept(rig.now, 3, "10.9.0.1:7");
   rig.Say(PlatformRig::Launch(kNext + 1, "service", 0, ";at:m-2"), 3);
   EXPECT_EQ(rig.port.Owner(3).at(0).uid, kNext);
-  EXPECT_FALSE(rig.owners.Owes());
+  EXPECT_FALSE(rig.owners.HasUnfinishedWork());
 }
 
 TEST(PlatformCrossings, BytesNotTakenByTheKernelAreOwed) {
   PlatformRig rig;
-  EXPECT_FALSE(rig.owners.Owes());
+  EXPECT_FALSE(rig.owners.HasUnfinishedWork());
   rig.port.writes = false;
   rig.Say(PlatformRig::Launch(kUid, "nobody's class"));
-  EXPECT_TRUE(rig.owners.Owes());
+  EXPECT_TRUE(rig.owners.HasUnfinishedWork());
   rig.port.hung_up.insert(rig.owner);  // nobody is there to take them
-  EXPECT_FALSE(rig.owners.Owes());
+  EXPECT_FALSE(rig.owners.HasUnfinishedWork());
 }
 
 // The danger: the process of a machine is replaced by one of another machine at its address. A connection
@@ -199,13 +199,13 @@
       gone.nodes = {Listed(name, address)};
       gone.nodes[0].status = "gone";
       fresh.nodes = {Listed("m-9", address)};
-      if (told_gone_first) rig.tasks.Fleet(rig.now, gone);
-      rig.tasks.Fleet(rig.now, fresh);  // with or without word that the old one has gone
-      rig.owners.Deliver(rig.now);
+      if (told_gone_first) rig.tasks.ApplyNodeList(rig.now, gone);
+      rig.tasks.ApplyNodeList(rig.now, fresh);  // with or without word that the old one has gone
+      rig.owners.DeliverNotifications(rig.now);
       const auto said = rig.port.Owner(rig.owner);
       ASSERT_EQ(said.size(), 1u) << static_cast<int>(how) << told_gone_first;
       EXPECT_EQ(said[0].cause, kCauseFailed);
-      EXPECT_EQ(rig.tasks.size(), 0u);
+      EXPECT_EQ(rig.tasks.requests().size(), 0u);
     }
   }
 }
@@ -216,8 +216,8 @@
   const ConnId conn = rig.Standing(kUid);
   NodeListChange fresh;
   fresh.nodes = {Listed("m-9", rig.port.to.at(conn))};
-  rig.tasks.Fleet(rig.now, fresh);
-  EXPECT_EQ(rig.tasks.size(), 1u);
+  rig.tasks.ApplyNodeList(rig.now, fresh);
+  EXPECT_EQ(rig.tasks.requests().size(), 1u);
   rig.Machine(conn, Ends(kUid, 16));
   EXPECT_EQ(rig.port.Owner(rig.owner).at(0).cause, 16);
 }
@@ -237,8 +237,8 @@
     NodeListChange whole;
     whole.whole = true;
     whole.nodes = {Listed("m-2", "10.0.0.2:1", 1)};
-    rig.tasks.Fleet(rig.now, whole);
-    rig.owners.Deliver(rig.now);
+    rig.tasks.ApplyNodeList(rig.now, whole);
+    rig.owners.DeliverNotifications(rig.now);
     // While connected the machine still tells of its tasks itself; its end is theirs.
     if (connected) {
       EXPECT_TRUE(rig.port.Owner(rig.owner).empty());
@@ -247,7 +247,7 @@
     const auto said = rig.port.Owner(rig.owner);
     ASSERT_EQ(said.size(), 1u);
     EXPECT_EQ(said[0].uid, kUid);
-    EXPECT_EQ(rig.tasks.size(), 1u);
+    EXPECT_EQ(rig.tasks.requests().size(), 1u);
   }
 }
 
@@ -259,11 +259,11 @@
   constexpr unsigned kMachines = 400;
   FakePort port;
   NodeConnectionOptions options;
-  options.most_connections = 80;
+  options.max_connections = 80;
   NodeConnections links(options, &port);
   Micros now = 1'800'000'000 * kSec;
-  for (NodeId m = 1; m <= kMachines; ++m) links.Know(now, m, "10.1.0." + std::to_string(m) + ":1");
-  for (NodeId m = 1; m <= kMachines; ++m) links.Stand(now, m);
+  for (NodeId m = 1; m <= kMachines; ++m) links.SetNodeAddress(now, m, "10.1.0." + std::to_string(m) + ":1");
+  for (NodeId m = 1; m <= kMachines; ++m) links.AddRunningTask(now, m);
   std::map<ConnId, Micros> coming;  // connections on their way, and when they come up
   std::map<NodeId, Micros> last, worst;
   for (NodeId m = 1; m <= kMachines; ++m) last[m] = now;
@@ -297,8 +297,8 @@
       }
     }
     links.Tick(now);
-    for (const NodeConnectionEvent& event : links.Take())
-      EXPECT_NE(event.kind, NodeConnectionEvent::Kind::kMachineLost);
+    for (const NodeConnectionEvent& event : links.TakeEvents())
+      EXPECT_NE(event.kind, NodeConnectionEvent::Kind::kNodeLost);
     ASSERT_LE(port.to.size(), 80u);
   }
   Micros most = 0;
--- a/tests/platform/platform_search_test.cpp
+++ b/tests/platform/platform_search_test.cpp
@@ -155,7 +155,7 @@
       At(heard_at_, [this, n, life, change] {
         if (nodes_[n]->life != life || !nodes_[n]->tasks) return;
         nodes_[n]->knows.insert(change.nodes[0].name);
-        nodes_[n]->tasks->Fleet(now_, change);
+        nodes_[n]->tasks->ApplyNodeList(now_, change);
         Step(n);
       });
     }
@@ -178,7 +178,7 @@
     node.port = std::make_unique<FakePort>();
     node.port->digest = &digest;
     NodeConnectionOptions options;
-    if (group_ % 2 == 0) options.most_connections = 4;   // fewer than machines
+    if (group_ % 2 == 0) options.max_connections = 4;   // fewer than machines
     node.seen = node.port->next += 100'000 * node.life;  // no number comes again
     node.config = ReadPlatformConfig(text, nullptr, nullptr);
     ASSERT_TRUE(node.config.ok()) << node.config.errors[0];
@@ -238,8 +238,8 @@
   // After every call into a scheduler: what it sent, opened and closed; its next timer.
   void Step(unsigned n) {
     Node& node = *nodes_[n];
-    node.tasks->FromLinks(now_);
-    node.owners->Deliver(now_);
+    node.tasks->HandleNodeEvents(now_);
+    node.owners->DeliverNotifications(now_);
     const unsigned life = node.life;
     for (const ConnId conn : std::exchange(node.port->closed, {})) {
       if (const auto wire = wires_.find({n, conn}); wire != wires_.end()) {
@@ -451,7 +451,7 @@
     const unsigned life = node.life;
     const Micros read = now_ + 200 + (Chance(10) ? Draw(40'000) : Draw(600));
     At(read, [this, n, life, conn, uid, batch, left] {
-      if (nodes_[n]->life != life || !nodes_[n]->owners->Owns(conn)) return;
+      if (nodes_[n]->life != life || !nodes_[n]->owners->HasConnection(conn)) return;
       nodes_[n]->owners->OnBytes(now_, conn, PlatformRig::Launch(uid, batch ? "batch" : "service", left));
       Step(n);
     });
@@ -462,7 +462,7 @@
   }
   void Withdraw(unsigned n, unsigned life, ConnId conn, RequestUid uid) {
     Job& job = jobs_[uid];
-    if (nodes_[n]->life != life || !nodes_[n]->owners->Owns(conn) || job.over) return;
+    if (nodes_[n]->life != life || !nodes_[n]->owners->HasConnection(conn) || job.over) return;
     nodes_[n]->record.push_back({now_, What::kGone, uid});
     job.answered = job.over = true;
     job.running = false;
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -45,7 +45,7 @@
   ASSERT_EQ(over.size(), 1u);
   EXPECT_EQ(over[0].kind, ClientMessageKind::kStop);
   EXPECT_EQ(over[0].cause, 16);
-  EXPECT_EQ(rig.tasks.size(), 0u);
+  EXPECT_EQ(rig.tasks.requests().size(), 0u);
 }
 
 // The danger: a task that runs is handed over with no time left, as its owner waits for nothing, and a
@@ -56,7 +56,7 @@
     rig.Say(PlatformRig::Launch(kUid, "service", left, ";at:m-1"));
     rig.Say(PlatformRig::Launch(kUid, "service", left, ";at:m-1"));  // again: it is held
     EXPECT_TRUE(rig.port.Owner(rig.owner).empty());
-    ASSERT_EQ(rig.tasks.size(), 1u);
+    ASSERT_EQ(rig.tasks.requests().size(), 1u);
     const ConnId conn = rig.port.ConnTo("10.0.0.1:1");
     ASSERT_NE(conn, 0u);  // word of it must be able to come
     rig.Up(conn);
@@ -67,11 +67,11 @@
   }
   PlatformRig rig;  // one whose machine nobody knows ends, and leaves nothing behind
   rig.Say(PlatformRig::Launch(kUid, "service", 100, ";at:s-unknown"));
-  EXPECT_EQ(rig.tasks.size(), 1u);
-  rig.Pass(kSilentLost + kSec);
+  EXPECT_EQ(rig.tasks.requests().size(), 1u);
+  rig.Pass(kNodeLostTimeout + kSec);
   EXPECT_EQ(rig.port.Owner(rig.owner).at(0).cause, kCauseFailed);
-  EXPECT_EQ(rig.tasks.size(), 0u);
-  EXPECT_EQ(rig.links.machines(), 2u);
+  EXPECT_EQ(rig.tasks.requests().size(), 0u);
+  EXPECT_EQ(rig.links.node_count(), 2u);
 }
 
 TEST(PlatformTasks, ARefusalIsTriedElsewhereAndThenPassedOnAsOne) {
@@ -90,7 +90,7 @@
   rig.Machine(second, Ends(kUid, 34, {{kSaid, "no_memory"}}));
   const auto said = rig.port.Owner(rig.owner);
   ASSERT_EQ(said.size(), 1u);
-  EXPECT_EQ(said[0].cause, kCauseRefused);
+  EXPECT_EQ(said[0].cause, kCauseRejected);
   rig.Machine(second, Running(kUid));
   EXPECT_TRUE(rig.port.Owner(rig.owner).empty());
 }
@@ -109,7 +109,7 @@
     }
     EXPECT_EQ(open, 1u);  // it never ran: the other machine is asked
     rig.Ended(rig.port.to.begin()->first, true);
-    EXPECT_EQ(rig.port.Owner(rig.owner).at(0).cause, kCauseRefused);
+    EXPECT_EQ(rig.port.Owner(rig.owner).at(0).cause, kCauseRejected);
   }
 }
 
@@ -121,7 +121,7 @@
   ASSERT_EQ(rig.port.to.size(), 1u);
   EXPECT_NE(rig.port.to.begin()->second, first);
   rig.Pass(250 * kMilli);
-  EXPECT_EQ(rig.port.Owner(rig.owner).at(0).cause, kCauseRefused);
+  EXPECT_EQ(rig.port.Owner(rig.owner).at(0).cause, kCauseRejected);
 }
 
 // Noise, a message that does not end, a description that cannot be passed on: the connection goes, every
@@ -141,13 +141,13 @@
     const ConnId other = rig.port.Machine(conn).empty() ? rig.port.next : conn;
     if (other != conn) rig.Up(other);
     rig.Machine(other, spoilt);
-    rig.Pass(kMessageWait);
+    rig.Pass(kPartialNodeMessageTimeout);
     EXPECT_EQ(rig.port.closed.at(0), other) << spoilt.substr(0, 9);
     const auto said = rig.port.Owner(rig.owner);
     ASSERT_EQ(said.size(), 1u);
     EXPECT_EQ(said[0].uid, kUid);
     EXPECT_EQ(said[0].cause, kCauseFailed);  // it has been run
-    EXPECT_TRUE(rig.tasks.Holds(kUid + 5));
+    EXPECT_TRUE(rig.tasks.requests().Contains(kUid + 5));
   }
 }
 
@@ -156,7 +156,7 @@
   const ConnId conn = rig.Placing(kUid);
   rig.Machine(conn, Running(0x1234) + Running(kUid) + Running(kUid));
   EXPECT_EQ(rig.port.Owner(rig.owner).size(), 1u);
-  EXPECT_EQ(rig.tasks.size(), 1u);
+  EXPECT_EQ(rig.tasks.requests().size(), 1u);
 }
 
 // A reset cuts no task: it is told on the next connection, which is made at once. A refused connection says
@@ -178,7 +178,7 @@
   const auto said = rig.port.Owner(rig.owner);
   ASSERT_EQ(said.size(), 1u);
   EXPECT_EQ(said[0].cause, kCauseFailed);
-  EXPECT_EQ(rig.tasks.size(), 0u);
+  EXPECT_EQ(rig.tasks.requests().size(), 0u);
 }
 
 // A machine that vanished says nothing, and its connections stay open: only a test tells. Its tasks are
@@ -186,19 +186,19 @@
 TEST(PlatformLinks, ASilentMachineIsFoundByTestsAndItsTasksAreReleasedInTime) {
   PlatformRig rig;
   const ConnId conn = rig.Standing(kUid);
-  rig.Pass(kTestAfter);
+  rig.Pass(kHealthCheckInterval);
   ASSERT_EQ(rig.port.Machine(conn).at(0).kind, NodeMessageKind::kHealthCheck);
   rig.Machine(conn, MachineBytes(NodeMessageKind::kHealthCheckReply, 1, 1));
-  rig.Pass(kTestAfter + kTestWait);
+  rig.Pass(kHealthCheckInterval + kHealthCheckTimeout);
   EXPECT_EQ(rig.port.closed.at(0), conn);
   // Cut off for 6 s, as networks are: it comes back with its tasks, and calling them over would end them.
-  rig.Pass(7 * kSec - kTestAfter - kTestWait);
+  rig.Pass(7 * kSec - kHealthCheckInterval - kHealthCheckTimeout);
   EXPECT_TRUE(rig.port.Owner(rig.owner).empty());
-  EXPECT_EQ(rig.tasks.size(), 1u);
+  EXPECT_EQ(rig.tasks.requests().size(), 1u);
   // The release is owed 8 s after the end, which may be right after the machine's last word.
   rig.Pass(8 * kSec - 7 * kSec - 200 * kMilli);
   EXPECT_EQ(rig.port.Owner(rig.owner).at(0).cause, kCauseFailed);
-  EXPECT_EQ(rig.tasks.size(), 0u);
+  EXPECT_EQ(rig.tasks.requests().size(), 0u);
 }
 
 TEST(PlatformLinks, ANewMachineAtAnOldAddressInheritsNothing) {
@@ -210,11 +210,11 @@
   fresh.name = "m-9", fresh.address = address, fresh.zone = "left", fresh.kind = "big",
   fresh.status = "ready";
   change.nodes = {fresh};
-  rig.tasks.Fleet(rig.now, change);
+  rig.tasks.ApplyNodeList(rig.now, change);
   rig.Ended(conn);
   rig.Pass(kSec);
   EXPECT_EQ(rig.port.ConnTo(address), 0u);  // it would reach the new machine
-  rig.Pass(kSilentLost);
+  rig.Pass(kNodeLostTimeout);
   EXPECT_EQ(rig.port.Owner(rig.owner).at(0).cause, kCauseFailed);
 }
 
@@ -246,7 +246,7 @@
     }
     EXPECT_TRUE(given_up);
     EXPECT_EQ(rig.port.Owner(rig.owner).size(), withdrawn ? 0u : 1u);
-    EXPECT_EQ(rig.tasks.size(), 0u);
+    EXPECT_EQ(rig.tasks.requests().size(), 0u);
     rig.Machine(conn, Running(kUid));
     EXPECT_TRUE(rig.port.Owner(rig.owner).empty());
   }
@@ -260,8 +260,8 @@
     rig.Say(PlatformRig::Stop(kUid), 2);  // on another connection
     EXPECT_EQ(rig.port.Machine(conn).at(0).kind, NodeMessageKind::kStop);
     if (answers) rig.Machine(conn, Ends(kUid, 31));
-    rig.Pass(kReleaseWait);
-    EXPECT_EQ(rig.tasks.size(), 0u);
+    rig.Pass(kTerminationTimeout);
+    EXPECT_EQ(rig.tasks.requests().size(), 0u);
     EXPECT_TRUE(rig.port.Owner(rig.owner).empty());
     EXPECT_TRUE(rig.port.Owner(2).empty());
   }
@@ -289,7 +289,7 @@
   const ConnId conn = rig.Placing(kUid);
   rig.owners.OnClosed(rig.now, rig.owner);
   EXPECT_EQ(rig.port.Machine(conn).at(0).kind, NodeMessageKind::kStop);  // nobody waits for it any more
-  EXPECT_EQ(rig.tasks.size(), 0u);
+  EXPECT_EQ(rig.tasks.requests().size(), 0u);
 }
 
 // Each row of what bad owners send gets a refusal, a failure or a close, and nothing reaches a machine.
@@ -328,10 +328,10 @@
     const auto said = rig.port.Owner(rig.owner);
     ASSERT_EQ(said.size(), row.closed ? 0u : 1u) << row.name;
     if (!row.closed) {
-      EXPECT_EQ(said[0].cause, kCauseBad) << row.name;
+      EXPECT_EQ(said[0].cause, kCauseInvalidRequest) << row.name;
     }
     EXPECT_TRUE(rig.port.to.empty()) << row.name;
-    EXPECT_EQ(rig.tasks.size(), 0u);
+    EXPECT_EQ(rig.tasks.requests().size(), 0u);
   }
 }
 
@@ -342,20 +342,20 @@
   rig.owners.Accept(rig.now, 2, "10.9.0.7:1");
   rig.Say(PlatformRig::Launch(kUid, "service", 2000, "", "other"), 2);
   EXPECT_EQ(rig.port.closed, std::vector<ConnId>{2});
-  EXPECT_TRUE(rig.tasks.Holds(kUid));  // that of the first is open as before
+  EXPECT_TRUE(rig.tasks.requests().Contains(kUid));  // that of the first is open as before
   rig.Say(PlatformRig::Launch(kUid), rig.owner);
   EXPECT_EQ(rig.port.closed.back(), rig.owner);
-  EXPECT_EQ(rig.tasks.open(), 0u);
+  EXPECT_EQ(rig.tasks.requests().unanswered(), 0u);
 }
 
 TEST(PlatformOwners, SilentConnectionsGiveWay) {
   PlatformRig rig;
   rig.Standing(kUid);
   for (ConnId conn = 100; conn < 400; ++conn) rig.owners.Accept(rig.now, conn, "10.9.0.9:1");
-  EXPECT_EQ(rig.owners.connections(), 40u);
-  EXPECT_TRUE(rig.owners.Owns(rig.owner));  // it has spoken
-  rig.Pass(kFirstWait);
-  EXPECT_EQ(rig.owners.connections(), 1u);
+  EXPECT_EQ(rig.owners.connection_count(), 40u);
+  EXPECT_TRUE(rig.owners.HasConnection(rig.owner));  // it has spoken
+  rig.Pass(kFirstMessageTimeout);
+  EXPECT_EQ(rig.owners.connection_count(), 1u);
   // Those that ask once and stay for good keep nobody out, and none that waits for an answer is closed.
   rig.Placing(kUid + 0x100);
   for (ConnId conn = 1000; conn < 1100; ++conn) {
@@ -364,15 +364,15 @@
     rig.Say("{\"kind\":\"check\",\"uid\":\"0000000000000001\",\"meta\":{},\"reason\":0}\n", conn);
     EXPECT_EQ(rig.port.Owner(conn).size(), 1u);
   }
-  EXPECT_EQ(rig.owners.connections(), 40u);
-  EXPECT_TRUE(rig.owners.Owns(rig.owner));
-  EXPECT_FALSE(rig.owners.Owns(1000));
+  EXPECT_EQ(rig.owners.connection_count(), 40u);
+  EXPECT_TRUE(rig.owners.HasConnection(rig.owner));
+  EXPECT_FALSE(rig.owners.HasConnection(1000));
   for (ConnId conn = 1000; conn < 1100; ++conn) rig.owners.OnClosed(rig.now, conn);
   rig.owners.Accept(rig.now, 500, "10.9.0.9:1");
   rig.Say("{\"kind\":\"check\",\"uid\":\"0000000000000001\",\"meta\":{},\"reason\":0}\n{\"kind\":", 500);
   EXPECT_EQ(rig.port.Owner(500).at(0).cause, 1);
-  rig.Pass(kLineWait);
-  EXPECT_FALSE(rig.owners.Owns(500));  // half a message
+  rig.Pass(kPartialMessageTimeout);
+  EXPECT_FALSE(rig.owners.HasConnection(500));  // half a message
 }
 
 TEST(PlatformOwners, ATestFailsOnceTheSchedulerLeaves) {
@@ -395,14 +395,14 @@
     rig.owners.Accept(rig.now, other, "10.9.0.9:1");
     rig.Say("{\"kind\":\"check\",\"uid\":\"0000000000000001\",\"meta\":{},\"reason\":0}\n", other);
   }
-  EXPECT_EQ(rig.owners.connections(), 40u);
-  ASSERT_TRUE(rig.owners.Owns(rig.owner));
+  EXPECT_EQ(rig.owners.connection_count(), 40u);
+  ASSERT_TRUE(rig.owners.HasConnection(rig.owner));
   rig.Machine(conn, Ends(kUid, 16));
   EXPECT_EQ(rig.port.Owner(rig.owner).size(), 1u);
-  EXPECT_EQ(rig.tasks.standing_on(rig.owner), 0u);
+  EXPECT_EQ(rig.tasks.requests().running_on(rig.owner), 0u);
   rig.now += kMilli;
   rig.owners.Accept(rig.now, 900, "10.9.0.9:1");
-  EXPECT_FALSE(rig.owners.Owns(rig.owner));  // now it is the one unused for longest
+  EXPECT_FALSE(rig.owners.HasConnection(rig.owner));  // now it is the one unused for longest
 }
 
 // The danger: descriptions alone, 2,048 of 16 KiB, would fill the smallest memory limit.
@@ -410,12 +410,12 @@
   PlatformRig rig;
   for (RequestUid uid = 1; uid <= 300; ++uid) {
     rig.Say(PlatformRig::Launch(0x100 * uid, "service", 2000, "", std::string(15 << 10, 'x')));
-    ASSERT_LE(rig.tasks.held(), 100u << 10);
+    ASSERT_LE(rig.tasks.requests().description_bytes(), 100u << 10);
   }
-  EXPECT_GT(rig.tasks.held(), 50u << 10);
+  EXPECT_GT(rig.tasks.requests().description_bytes(), 50u << 10);
   rig.owners.OnClosed(rig.now, rig.owner);
-  EXPECT_EQ(rig.tasks.held(), 0u);
-  EXPECT_EQ(rig.tasks.size(), 0u);
+  EXPECT_EQ(rig.tasks.requests().description_bytes(), 0u);
+  EXPECT_EQ(rig.tasks.requests().size(), 0u);
 }
 
 // One connection's flood waits its turn, and more than its part is refused.
@@ -423,18 +423,18 @@
   PlatformRig rig;
   std::string flood;
   std::size_t answered = 0;
-  for (RequestUid uid = 1; uid <= 2 * kMessagesTurn; ++uid) flood += PlatformRig::Launch(0x100 * uid);
+  for (RequestUid uid = 1; uid <= 2 * kMaxMessagesPerTurn; ++uid) flood += PlatformRig::Launch(0x100 * uid);
   const auto taken = [&] {
     answered += rig.port.Owner(rig.owner).size();
-    return answered + rig.tasks.open();
+    return answered + rig.tasks.requests().unanswered();
   };
   rig.Say(flood);
-  EXPECT_EQ(taken(), kMessagesTurn);
-  EXPECT_TRUE(rig.owners.Full(rig.owner));
-  rig.owners.Work(rig.now);
-  EXPECT_EQ(taken(), 2 * kMessagesTurn);
-  rig.owners.Work(rig.now);
-  EXPECT_FALSE(rig.owners.Full(rig.owner));
+  EXPECT_EQ(taken(), kMaxMessagesPerTurn);
+  EXPECT_TRUE(rig.owners.HasBacklog(rig.owner));
+  EXPECT_TRUE(rig.owners.ProcessBacklog(rig.now).empty());
+  EXPECT_EQ(taken(), 2 * kMaxMessagesPerTurn);
+  EXPECT_EQ(rig.owners.ProcessBacklog(rig.now), std::vector<ConnId>{rig.owner});
+  EXPECT_FALSE(rig.owners.HasBacklog(rig.owner));
 }
 
 // A day of ever new ids: owners' connections, tasks and machines. No table and no memory grows with the past.
@@ -460,8 +460,8 @@
       fresh.free_cores = 32, fresh.free_memory = 64;
       names[which] = fresh.name;
       change.nodes = {gone, fresh};
-      rig.tasks.Fleet(rig.now, change);
-      rig.owners.Deliver(rig.now);
+      rig.tasks.ApplyNodeList(rig.now, change);
+      rig.owners.DeliverNotifications(rig.now);
     }
     if (step % 3 == 0) {
       rig.owners.OnClosed(rig.now, owner);
@@ -485,20 +485,20 @@
         if (at <= rig.now && rig.port.to.count(conn) > 0) rig.Machine(conn, Ends(uid, 16));
       }
       std::erase_if(ends[address],
-                    [&](const auto& end) { return end.first <= rig.now && !rig.tasks.Holds(end.second); });
+                    [&](const auto& end) { return end.first <= rig.now && !rig.tasks.requests().Contains(end.second); });
     }
     rig.port.closed.clear();
     rig.port.log.clear();
     for (auto it = rig.port.sent.begin(); it != rig.port.sent.end();) {
       it = rig.port.to.count(it->first) == 0 ? rig.port.sent.erase(it) : std::next(it);
     }
-    most = std::max(most, rig.tasks.size());
-    ASSERT_LE(rig.links.machines(), 12u) << step;
-    ASSERT_LE(rig.links.connections(), 12u);
-    ASSERT_LE(rig.tasks.alarms(), 2u);
-    ASSERT_LE(rig.owners.connections(), 1u);
-    ASSERT_LE(rig.owners.owed(), 400u);
-    rig.tasks.TakeLog();
+    most = std::max(most, rig.tasks.requests().size());
+    ASSERT_LE(rig.links.node_count(), 12u) << step;
+    ASSERT_LE(rig.links.connection_count(), 12u);
+    ASSERT_LE(rig.tasks.scheduler_timers(), 2u);
+    ASSERT_LE(rig.owners.connection_count(), 1u);
+    ASSERT_LE(rig.owners.undelivered_count(), 400u);
+    static_cast<void>(rig.tasks.TakeLogLines());
 #ifndef __SANITIZE_ADDRESS__
     if (step == kSteps / 2) early = mallinfo2().uordblks;
     if (step == kSteps - 1) {
--- a/tests/support/platform_fixture.hpp
+++ b/tests/support/platform_fixture.hpp
@@ -131,22 +131,22 @@
   }
   void Say(const std::string& bytes, ConnId conn = 1) {
     owners.OnBytes(now, conn, bytes);
-    owners.Deliver(now);
+    owners.DeliverNotifications(now);
   }
   void Up(ConnId conn) {
     links.OnConnected(now, conn);
-    tasks.FromLinks(now);
+    tasks.HandleNodeEvents(now);
   }
   void Machine(ConnId conn, const std::string& bytes) {
     links.OnBytes(now, conn, bytes);
-    tasks.FromLinks(now);
-    owners.Deliver(now);
+    tasks.HandleNodeEvents(now);
+    owners.DeliverNotifications(now);
   }
   void Ended(ConnId conn, bool refused = false) {
     port.to.erase(conn);
     links.OnClosed(now, conn, refused);
-    tasks.FromLinks(now);
-    owners.Deliver(now);
+    tasks.HandleNodeEvents(now);
+    owners.DeliverNotifications(now);
   }
   // To `until`, with every timer on the way.
   void Pass(Micros length) {
@@ -157,9 +157,9 @@
       now = std::max(now, due);
       tasks.Tick(now);
       links.Tick(now);
-      tasks.FromLinks(now);
+      tasks.HandleNodeEvents(now);
       owners.Tick(now);
-      owners.Deliver(now);
+      owners.DeliverNotifications(now);
     }
     now = until;
   }
