--- /dev/null
+++ b/tests/platform/graceful_shutdown_test.cpp
@@ -0,0 +1,148 @@
+// The state machine of a graceful shutdown.
+#include "platform/graceful_shutdown.hpp"
+
+#include <gtest/gtest.h>
+
+#include "platform/transport.hpp"
+
+namespace mountflow::platform {
+namespace {
+
+using State = GracefulShutdown::State;
+using Input = GracefulShutdown::Input;
+using Work = GracefulShutdown::Work;
+
+constexpr Micros kStart = 1'000'000'000;
+constexpr Micros kLongDeadline = 60'000'000;
+constexpr Micros kStopBy = kStart + kMaxRequestDeadline + kStopMargin;
+
+// In its final turn, with nothing left to do.
+GracefulShutdown InFinalTurn() {
+  GracefulShutdown shutdown(kLongDeadline);
+  shutdown.Begin(kStart);
+  EXPECT_TRUE(shutdown.CheckWork(kStart + kDrainTime, {}));
+  shutdown.FinishTurn(kStart + kDrainTime, false);
+  EXPECT_EQ(shutdown.state(), State::kFinalTurn);
+  return shutdown;
+}
+
+TEST(GracefulShutdown, FollowsItsTableOfTransitions) {
+  struct Row {
+    State from;
+    Input input;
+    State to;
+  };
+  const Row rows[] = {
+      {State::kServing, Input::kSignal, State::kDraining},
+      {State::kServing, Input::kBusy, State::kServing},
+      {State::kServing, Input::kFlushing, State::kServing},
+      {State::kServing, Input::kIdle, State::kServing},
+      {State::kDraining, Input::kSignal, State::kDraining},
+      {State::kDraining, Input::kBusy, State::kDraining},
+      {State::kDraining, Input::kFlushing, State::kDraining},
+      {State::kDraining, Input::kIdle, State::kFinalTurn},
+      {State::kFinalTurn, Input::kSignal, State::kFinalTurn},
+      {State::kFinalTurn, Input::kBusy, State::kDraining},
+      {State::kFinalTurn, Input::kFlushing, State::kFinalTurn},
+      {State::kFinalTurn, Input::kIdle, State::kStopped},
+      {State::kStopped, Input::kSignal, State::kStopped},
+      {State::kStopped, Input::kBusy, State::kStopped},
+      {State::kStopped, Input::kFlushing, State::kStopped},
+      {State::kStopped, Input::kIdle, State::kStopped},
+  };
+  for (const Row& row : rows) {
+    EXPECT_EQ(GracefulShutdown::Next(row.from, row.input), row.to)
+        << static_cast<int>(row.from) << " " << static_cast<int>(row.input);
+  }
+}
+
+TEST(GracefulShutdown, AsksForNothingWhileItServes) {
+  GracefulShutdown shutdown(kLongDeadline);
+  EXPECT_EQ(shutdown.state(), State::kServing);
+  EXPECT_EQ(shutdown.NextCheck(kStart), kNever);
+  EXPECT_FALSE(shutdown.CheckWork(kStart, {}));
+}
+
+TEST(GracefulShutdown, IgnoresASecondSignal) {
+  GracefulShutdown shutdown(kLongDeadline);
+  EXPECT_TRUE(shutdown.Begin(kStart));
+  EXPECT_FALSE(shutdown.Begin(kStart + 1));
+  EXPECT_TRUE(shutdown.CheckWork(kStart + kDrainTime, {}));  // counted from the first
+}
+
+TEST(GracefulShutdown, ServesUntilTheLoadBalancerHasSeenAFailingHealthCheck) {
+  GracefulShutdown shutdown(kLongDeadline);
+  shutdown.Begin(kStart);
+  EXPECT_EQ(shutdown.state(), State::kDraining);
+  EXPECT_EQ(shutdown.NextCheck(kStart), kStart + kShutdownCheckInterval);
+  EXPECT_FALSE(shutdown.CheckWork(kStart + kDrainTime - 1, {}));
+  EXPECT_TRUE(shutdown.CheckWork(kStart + kDrainTime, {}));
+}
+
+TEST(GracefulShutdown, WaitsForEachKindOfUnfinishedWork) {
+  const Micros now = kStart + kDrainTime;
+  GracefulShutdown shutdown(kLongDeadline);
+  shutdown.Begin(kStart);
+  EXPECT_FALSE(shutdown.CheckWork(now, {.unanswered_requests = true}));
+  EXPECT_FALSE(shutdown.CheckWork(now, {.unfinished_clients = true}));
+  EXPECT_FALSE(shutdown.CheckWork(now, {.last_arrival_at = now - kQuietTime + 1}));
+  EXPECT_TRUE(shutdown.CheckWork(now, {.last_arrival_at = now - kQuietTime}));
+}
+
+TEST(GracefulShutdown, FailsWhatIsUnansweredInTimeBeforeTheKill) {
+  GracefulShutdown shutdown(kLongDeadline);
+  shutdown.Begin(kStart);
+  const Work busy{true, true, kStopBy};
+  EXPECT_FALSE(shutdown.CheckWork(kStopBy - 1, busy));
+  EXPECT_TRUE(shutdown.CheckWork(kStopBy, busy));
+}
+
+TEST(GracefulShutdown, WaitsNoLongerThanTheLongestDeadline) {
+  constexpr Micros kShortDeadline = 1'000'000;
+  GracefulShutdown shutdown(kShortDeadline);
+  shutdown.Begin(kStart);
+  const Work busy{true, false, 0};
+  EXPECT_FALSE(shutdown.CheckWork(kStart + kShortDeadline + kStopMargin - 1, busy));
+  EXPECT_TRUE(shutdown.CheckWork(kStart + kShortDeadline + kStopMargin, busy));
+}
+
+// The danger: a turn that a timer began has read nothing, and a request that lay in the kernel got no answer.
+TEST(GracefulShutdown, StopsOnlyAfterOneMoreTurnThatBringsNothing) {
+  GracefulShutdown shutdown = InFinalTurn();
+  const Micros now = kStart + kDrainTime + 1;
+  EXPECT_EQ(shutdown.NextCheck(now), now);  // at once
+  EXPECT_TRUE(shutdown.CheckWork(now, {}));
+  shutdown.FinishTurn(now, false);
+  EXPECT_EQ(shutdown.state(), State::kStopped);
+  EXPECT_EQ(shutdown.NextCheck(now), kNever);
+  EXPECT_FALSE(shutdown.CheckWork(now, {}));
+}
+
+TEST(GracefulShutdown, DrainsAgainWhenTheFinalTurnReadsARequest) {
+  GracefulShutdown shutdown = InFinalTurn();
+  const Micros now = kStart + kDrainTime + 1;
+  EXPECT_FALSE(shutdown.CheckWork(now, {.unanswered_requests = true}));
+  EXPECT_EQ(shutdown.state(), State::kDraining);
+  EXPECT_TRUE(shutdown.CheckWork(now + kQuietTime, {}));
+  shutdown.FinishTurn(now + kQuietTime, false);
+  EXPECT_EQ(shutdown.state(), State::kFinalTurn);
+}
+
+TEST(GracefulShutdown, WaitsForUnsentAnswersButNotForEver) {
+  GracefulShutdown shutdown(kLongDeadline);
+  shutdown.Begin(kStart);
+  EXPECT_TRUE(shutdown.CheckWork(kStopBy, {}));
+  shutdown.FinishTurn(kStopBy + kFlushTime - 1, true);
+  EXPECT_EQ(shutdown.state(), State::kDraining);
+  shutdown.FinishTurn(kStopBy + kFlushTime, true);
+  EXPECT_EQ(shutdown.state(), State::kFinalTurn);
+}
+
+TEST(GracefulShutdown, StaysInItsFinalTurnWhileAnswersAreUnsent) {
+  GracefulShutdown shutdown = InFinalTurn();
+  shutdown.FinishTurn(kStart + kDrainTime + 1, true);
+  EXPECT_EQ(shutdown.state(), State::kFinalTurn);
+}
+
+}  // namespace
+}  // namespace mountflow::platform
