--- a/src/platform/client_connections.hpp
+++ b/src/platform/client_connections.hpp
@@ -32,8 +32,8 @@
 inline constexpr Micros kPartialMessageTimeout = 2'000'000;
 // Of one connection, so that a flood on one does not hold up the others.
 inline constexpr std::size_t kMaxMessagesPerTurn = 32;
-// Notifications whose client has no connection wait for its next one: this many, this long. A client is owed
-// the end of its task within 8 s.
+// Notifications whose client has no connection wait for its next one: this many, this long. A client must be
+// told the end of its task within 8 s.
 inline constexpr std::size_t kMaxUndelivered = 4096;
 inline constexpr Micros kUndeliveredTimeout = 8'000'000;
 
--- a/tests/platform/platform_codec_test.cpp
+++ b/tests/platform/platform_codec_test.cpp
@@ -94,7 +94,7 @@
 
 TEST(MachineWire, WritesAsThePagesSay) {
   const std::string bytes =
-      MachineBytes(NodeMessageKind::kStop, 0x9b1f03aa5c7e2d41u, 16, {{kClass, "batch"}});
+      NodeMessageBytes(NodeMessageKind::kStop, 0x9b1f03aa5c7e2d41u, 16, {{kClass, "batch"}});
   EXPECT_EQ(bytes, std::string("\x00\x15\x0c\x9b\x1f\x03\xaa\x5c\x7e\x2d\x41\x81\x00\x05"
                                "batch\xab\x00\x01\x10",
                                23));
@@ -106,7 +106,7 @@
 };
 
 TEST(MachineWire, WhatCannotBeReadIsBrokenAtOnce) {
-  const std::string good = MachineBytes(NodeMessageKind::kAnswer, 7, -1, {{kDescription, "yes"}});
+  const std::string good = NodeMessageBytes(NodeMessageKind::kAnswer, 7, -1, {{kDescription, "yes"}});
   const auto changed = [&](std::size_t at, char to) {
     std::string bytes = good;
     bytes[at] = to;
@@ -132,7 +132,8 @@
     reader.Feed(good);
     EXPECT_EQ(reader.Next(&message), MState::kBroken) << row.name << ": and stays so";
   }
-  EXPECT_EQ(MachineBytes(NodeMessageKind::kLaunch, 1, -1, {{kDescription, std::string(16 << 10, 'x')}}), "");
+  EXPECT_EQ(NodeMessageBytes(NodeMessageKind::kLaunch, 1, -1, {{kDescription, std::string(16 << 10, 'x')}}),
+            "");
 }
 
 TEST(OwnerWire, BadInputIsAValue) {
@@ -254,7 +255,7 @@
 }
 
 struct LogRig {
-  FakePort port;
+  FakeTransport port;
   Micros now = kSec;
   NodeWatch log{"a:1", 4, &port};
   ConnId Up(const std::string& address = "a:1") {
@@ -279,7 +280,7 @@
     rig.log.OnBytes(rig.now, conn, std::string_view(reply).substr(0, cut));
     auto taken = rig.log.Take();
     EXPECT_EQ(taken.size(), cut == reply.size() ? 2u : 0u) << cut;
-    rig.port.to.erase(conn);
+    rig.port.outgoing.erase(conn);
     rig.log.OnClosed(rig.now, conn);
     conn = rig.Up();  // asked again at once
     ASSERT_NE(conn, 0u) << cut;
@@ -345,7 +346,7 @@
     const ConnId conn = rig.Up();
     ASSERT_NE(conn, 0u);
     rig.log.OnBytes(rig.now, conn, bad);
-    EXPECT_TRUE(rig.port.to.empty());
+    EXPECT_TRUE(rig.port.outgoing.empty());
     EXPECT_LE(rig.log.NextDue(), rig.now + kAskMost);
     rig.now = rig.log.NextDue();
   }
--- a/tests/platform/platform_shutdown_test.cpp
+++ b/tests/platform/platform_shutdown_test.cpp
@@ -1,5 +1,5 @@
-// The platform's program on loopback: each end is made to meet something that is still owed. The program is
-// halted, what shall cross is put into the kernel, and it goes on.
+// The platform's program on loopback: each way in which something ends meets work that is unfinished. The
+// program is halted, what shall cross is put into the kernel, and the program goes on.
 #include <sys/resource.h>
 #include <sys/stat.h>
 
@@ -8,18 +8,18 @@
 namespace mountflow::testing {
 namespace {
 
-class PlatformEndings : public PlatformWhole {
+class PlatformShutdown : public PlatformProcess {
  protected:
-  // Nothing happens but time: what is crossed is a time of the program itself.
-  void TimePasses(Micros until) {
+  // Lets time pass: what is crossed is a time of the program itself.
+  void WaitUntilTime(Micros until) {
     bool due = false;
     loop.At(until, [&due] { due = true; });
-    Until([&due] { return due; });
+    RunUntil([&due] { return due; });
   }
-  std::size_t SentOn(const std::set<RequestUid>& uids) const {
+  std::size_t AttemptsOf(const std::set<RequestUid>& uids) const {
     std::size_t sent = 0;
-    for (const auto& m : machines) {
-      for (const NodeMessage& s : m->set_ups) sent += uids.count(s.uid);
+    for (const auto& node : nodes) {
+      for (const NodeMessage& launch : node->launches) sent += uids.count(launch.uid);
     }
     return sent;
   }
@@ -27,298 +27,308 @@
 
 // ---- SIGTERM ----
 
-// The danger: the timers of a turn come before what is read in it. The last look fell before a set-up that
-// was taken in the same turn, went to a machine, and got no answer.
-TEST_F(PlatformEndings, ASetUpInTheTurnOfTheLastLookIsAnswered) {
+// The danger: the timers of a turn come before what is read in it. The last check fell before a request
+// that was read in the same turn, went to a node, and got no answer.
+TEST_F(PlatformShutdown, AnswersRequestReadDuringFinalShutdownTurn) {
   Start();
-  StandOwner& owner = Owner();
-  owner.Test();
+  FakeClient& client = NewClient();
+  client.CheckHealth();
   daemon->Signal(SIGTERM);
-  const Micros from = loop.Now();
-  Until([&] {
-    if (!owner.tested.empty() && owner.tested.back() == 1) owner.Test(), owner.tested.clear();
-    return !owner.tested.empty() && owner.tested.back() == 0;
+  const Micros began_at = loop.Now();
+  RunUntil([&] {
+    if (!client.health_replies.empty() && client.health_replies.back() == 1) {
+      client.CheckHealth();
+      client.health_replies.clear();
+    }
+    return !client.health_replies.empty() && client.health_replies.back() == 0;
   });
   daemon->Halt();
-  owner.Ask(1, "service", 2000);
-  TimePasses(from + 1'500'000);
+  client.Launch(1, "service", 2000);
+  WaitUntilTime(began_at + 1'500'000);
   daemon->Signal(SIGCONT);
-  Until([&] { return owner.closed || owner.final.count(1) > 0; });
-  EXPECT_EQ(owner.final.count(1), 1u);
+  RunUntil([&] { return client.closed || client.final_answers.count(1) > 0; });
+  EXPECT_EQ(client.final_answers.count(1), 1u);
   EXPECT_EQ(daemon->Wait(), 0);
-  Kept();
+  ExpectInvariantsKept();
 }
 
-// The danger: the end of the program is the end of its sockets, and answers that a slow owner had not taken
-// were gone.
-TEST_F(PlatformEndings, AnswersThatASlowOwnerHasNotTakenAreWaitedFor) {
+// The danger: the end of the program is the end of its sockets, and answers that a slow client had not read
+// were lost.
+TEST_F(PlatformShutdown, WaitsForAnswersThatASlowClientHasNotRead) {
   memory_mb = 8192;  // what may wait unsent goes with it: 16 MiB
   cores = 512;
-  log.events.clear();
+  change_log.events.clear();
   std::string entries;
-  for (const auto& m : machines) entries += (entries.empty() ? "" : ",") + Entry(*m);
-  log.Add(entries, true);
+  for (const auto& node : nodes) entries += (entries.empty() ? "" : ",") + EntryOf(*node);
+  change_log.AddEvent(entries, true);
   Start();
   std::size_t answered = 0;
-  for (auto& m : machines) {
-    StandMachine* machine = m.get();
-    machine->reply = [machine, &answered](const NodeMessage& s) {
+  for (auto& owned_node : nodes) {
+    FakeNode* node = owned_node.get();
+    node->reply = [node, &answered](const NodeMessage& launch) {
       ++answered;
-      machine->Yes(s.uid);
-      NodeMessage yes;
-      yes.kind = NodeMessageKind::kAnswer;
-      yes.uid = s.uid;
-      yes.params[kDescription] = std::string(15'000, 'y');
-      return EncodeNodeMessage(yes);
+      node->Accept(launch.uid);
+      NodeMessage answer;
+      answer.kind = NodeMessageKind::kAnswer;
+      answer.uid = launch.uid;
+      answer.params[kDescription] = std::string(15'000, 'y');
+      return EncodeNodeMessage(answer);
     };
   }
-  constexpr std::size_t kAsks = 500;  // 7.5 MB: more than the kernel takes for one that does not read
-  StandOwner& owner = Owner();
-  loop.PauseReading(owner.conn, true);
-  for (RequestUid uid = 1; uid <= kAsks; ++uid) {
-    owner.Ask(uid, "service", 3000, WriteHex(uid));
-    if (uid % 100 == 0) Until([&] { return answered == uid; });
+  constexpr std::size_t kRequests = 500;  // 7.5 MB: more than the kernel takes for one that does not read
+  FakeClient& client = NewClient();
+  loop.PauseReading(client.conn, true);
+  for (RequestUid uid = 1; uid <= kRequests; ++uid) {
+    client.Launch(uid, "service", 3000, WriteHex(uid));
+    if (uid % 100 == 0) RunUntil([&] { return answered == uid; });
   }
   daemon->Signal(SIGTERM);
-  TimePasses(loop.Now() + 1'500'000);
-  loop.PauseReading(owner.conn, false);
-  Until([&] { return owner.closed || owner.final.size() == kAsks; });
-  EXPECT_EQ(owner.final.size(), kAsks);
-  for (const auto& [uid, m] : owner.final) ASSERT_EQ(m.description.size(), 15'000u);
+  WaitUntilTime(loop.Now() + 1'500'000);
+  loop.PauseReading(client.conn, false);
+  RunUntil([&] { return client.closed || client.final_answers.size() == kRequests; });
+  EXPECT_EQ(client.final_answers.size(), kRequests);
+  for (const auto& [uid, message] : client.final_answers) ASSERT_EQ(message.description.size(), 15'000u);
   EXPECT_EQ(daemon->Wait(), 0);
 }
 
-// The danger: owners of tasks that stand go on to send what ends them, and tests. A program that waits until
-// nothing at all comes is there until it is killed, with whatever it owes then.
-TEST_F(PlatformEndings, WhatWantsNoAnswerDoesNotKeepTheProgram) {
+// The danger: clients of running tasks go on to stop them, and to check health. A program that waits until
+// nothing at all comes runs until it is killed, with whatever is unanswered then.
+TEST_F(PlatformShutdown, StopsThoughMessagesWithoutAnswerKeepComing) {
   Start();
-  StandOwner& owner = Owner();
-  owner.Test();
+  FakeClient& client = NewClient();
+  client.CheckHealth();
   daemon->Signal(SIGTERM);
-  const Micros from = loop.Now();
+  const Micros began_at = loop.Now();
   std::size_t seen = 0;
-  Until([&] {
-    if (owner.tested.size() > seen) {
-      seen = owner.tested.size();
-      owner.Test();
-      owner.Stop(77);  // of a task that is over
+  RunUntil([&] {
+    if (client.health_replies.size() > seen) {
+      seen = client.health_replies.size();
+      client.CheckHealth();
+      client.Stop(77);  // of a task that has ended
     }
-    return owner.closed;
+    return client.closed;
   });
-  EXPECT_GT(loop.Now(), from + 800'000);
-  EXPECT_LT(loop.Now(), from + 2'500'000);
+  EXPECT_GT(loop.Now(), began_at + 800'000);
+  EXPECT_LT(loop.Now(), began_at + 2'500'000);
   EXPECT_EQ(daemon->Wait(), 0);
 }
 
-// SIGKILL comes 3.7 s after SIGTERM where deadlines are longer than 3 s: what is still open is answered
+// SIGKILL comes 3.7 s after SIGTERM where deadlines are longer than 3 s: what is unanswered is answered
 // before.
-TEST_F(PlatformEndings, WhatIsOpenIsAnsweredBeforeTheKillThatDoesNotWaitForIt) {
+TEST_F(PlatformShutdown, AnswersLongRequestsBeforeTheKill) {
   Start();
-  for (auto& m : machines) {
-    m->reply = [](const NodeMessage&) { return std::string(); };
+  for (auto& node : nodes) {
+    node->reply = [](const NodeMessage&) { return std::string(); };
   }
-  StandOwner& owner = Owner();
-  owner.Test();
-  Until([&] { return !owner.tested.empty(); });
+  FakeClient& client = NewClient();
+  client.CheckHealth();
+  RunUntil([&] { return !client.health_replies.empty(); });
   daemon->Signal(SIGTERM);
-  const Micros from = loop.Now();
-  TimePasses(from + 550'000);
-  owner.Ask(1, "batch", 3200);  // due 3.75 s after SIGTERM
-  Until([&] { return owner.closed || owner.final.count(1) > 0; });
-  EXPECT_EQ(owner.final.count(1), 1u);
-  EXPECT_LT(loop.Now(), from + 3'700'000);
+  const Micros began_at = loop.Now();
+  WaitUntilTime(began_at + 550'000);
+  client.Launch(1, "batch", 3200);  // due 3.75 s after SIGTERM
+  RunUntil([&] { return client.closed || client.final_answers.count(1) > 0; });
+  EXPECT_EQ(client.final_answers.count(1), 1u);
+  EXPECT_LT(loop.Now(), began_at + 3'700'000);
   EXPECT_EQ(daemon->Wait(), 0);
 }
 
-// The configuration is a pipe: the program stands in its first line when the signals come.
-TEST_F(PlatformEndings, SignalsBeforeItIsReadyAreHeardOnceItIs) {
+// The configuration is a pipe: the program waits for its first line when the signals come.
+TEST_F(PlatformShutdown, HandlesSignalsThatCameBeforeItWasReady) {
   for (const int signal : {SIGTERM, SIGHUP}) {
     const std::string file = folder_ + "/config.json";
     std::filesystem::remove(file);
     ASSERT_EQ(mkfifo(file.c_str(), 0600), 0);
     Spawn();
-    const int to = open(file.c_str(), O_WRONLY);  // until the program reads
+    const int to = open(file.c_str(), O_WRONLY);  // blocks until the program reads
     ASSERT_GE(to, 0);
-    Configure(log.address);  // lies in its place from now on
+    Configure(change_log.address);  // the file that a reload reads
     daemon->Signal(signal);
-    const std::string text = Configuration(log.address);
+    const std::string text = Configuration(change_log.address);
     ASSERT_EQ(write(to, text.data(), text.size()), static_cast<ssize_t>(text.size()));
     close(to);
     if (signal == SIGTERM) {
       EXPECT_EQ(daemon->Wait(), 0);
     } else {
-      Ready();
-      StandOwner& owner = Owner();
-      owner.Ask(1, "service", 2000);
-      Until([&] { return owner.final.count(1) > 0; });
-      Kept();
+      WaitUntilReady();
+      FakeClient& client = NewClient();
+      client.Launch(1, "service", 2000);
+      RunUntil([&] { return client.final_answers.count(1) > 0; });
+      ExpectInvariantsKept();
       daemon->Kill();
     }
-    owners.clear();
+    clients.clear();
   }
 }
 
 // A new configuration, a drain in the new change log, and the end, all at once.
-TEST_F(PlatformEndings, AReloadADrainAndTheEndTogether) {
+TEST_F(PlatformShutdown, HandlesReloadDrainAndShutdownTogether) {
   Start();
-  StandChangeLog other(&loop);
-  other.first = 2;
-  other.Add(Entry(*machines[0], "draining"));
-  StandOwner& owner = Owner();
-  for (RequestUid uid = 1; uid <= 20; ++uid) owner.Ask(uid, "service", 2000, WriteHex(uid));
-  Until([&] { return owner.final.size() == 20; });
+  FakeChangeLog other(&loop);
+  other.first_number = 2;
+  other.AddEvent(EntryOf(*nodes[0], "draining"));
+  FakeClient& client = NewClient();
+  for (RequestUid uid = 1; uid <= 20; ++uid) client.Launch(uid, "service", 2000, WriteHex(uid));
+  RunUntil([&] { return client.final_answers.size() == 20; });
   daemon->Halt();
   Configure(other.address);
   daemon->Signal(SIGHUP);
   daemon->Signal(SIGTERM);
   daemon->Signal(SIGCONT);
-  Until([&] { return !other.asked.empty() && other.asked.back() == 2; });
-  Told(*machines[0], 1);
-  const std::size_t before = machines[0]->set_ups.size();
-  for (RequestUid uid = 101; uid <= 140; ++uid) owner.Ask(uid, "service", 2000, WriteHex(uid));
-  Until([&] { return owner.final.size() == 60; });
-  EXPECT_EQ(machines[0]->set_ups.size(), before);
+  RunUntil([&] { return !other.requested_since.empty() && other.requested_since.back() == 2; });
+  LogNodeListed(*nodes[0], 1);
+  const std::size_t before = nodes[0]->launches.size();
+  for (RequestUid uid = 101; uid <= 140; ++uid) client.Launch(uid, "service", 2000, WriteHex(uid));
+  RunUntil([&] { return client.final_answers.size() == 60; });
+  EXPECT_EQ(nodes[0]->launches.size(), before);
   EXPECT_EQ(daemon->Wait(), 0);
-  Kept();
+  ExpectInvariantsKept();
 }
 
-// ---- Owners who leave ----
+// ---- Clients that leave ----
 
-// More than one read and one turn take: the close lies behind set-ups that nobody has read yet.
-TEST_F(PlatformEndings, NothingOfAnOwnerWhoLeftIsSentOnWhenItIsRead) {
+// More than one read and one turn take: the close lies behind requests that were not read yet.
+TEST_F(PlatformShutdown, SendsNothingOfAClientThatLeftBeforeItWasRead) {
   Start();
-  StandOwner& gone = Owner();
-  gone.Test();
-  Until([&] { return !gone.tested.empty(); });
+  FakeClient& gone = NewClient();
+  gone.CheckHealth();
+  RunUntil([&] { return !gone.health_replies.empty(); });
   daemon->Halt();
-  for (RequestUid uid = 1; uid <= 150; ++uid) gone.Ask(uid, "service", 3000, WriteHex(uid));
+  for (RequestUid uid = 1; uid <= 150; ++uid) gone.Launch(uid, "service", 3000, WriteHex(uid));
   gone.Leave();
-  TimePasses(loop.Now() + 150'000);
+  WaitUntilTime(loop.Now() + 150'000);
   daemon->Signal(SIGCONT);
-  StandOwner& usual = Owner();
-  usual.Ask(1001, "service", 2000);
-  Until([&] { return usual.final.count(1001) > 0; });
-  EXPECT_EQ(SentOn(gone.mine), 0u);
-  Kept();
+  FakeClient& other_client = NewClient();
+  other_client.Launch(1001, "service", 2000);
+  RunUntil([&] { return other_client.final_answers.count(1001) > 0; });
+  EXPECT_EQ(AttemptsOf(gone.launched), 0u);
+  ExpectInvariantsKept();
 }
 
-// The close and the refusal of a machine come in one turn: there is no next attempt.
-TEST_F(PlatformEndings, NoNextAttemptForAnOwnerWhoLeftBeforeTheRefusal) {
+// The close and a node's rejection come in one turn: there is no next attempt.
+TEST_F(PlatformShutdown, RetriesNothingForAClientThatLeftBeforeTheRejection) {
   Start();
-  std::vector<std::pair<StandMachine*, RequestUid>> held;
-  for (auto& m : machines) {
-    StandMachine* machine = m.get();
-    machine->reply = [machine, &held](const NodeMessage& s) {
-      held.emplace_back(machine, s.uid);
+  std::vector<std::pair<FakeNode*, RequestUid>> held;
+  for (auto& owned_node : nodes) {
+    FakeNode* node = owned_node.get();
+    node->reply = [node, &held](const NodeMessage& launch) {
+      held.emplace_back(node, launch.uid);
       return std::string();
     };
   }
-  StandOwner& owner = Owner();
-  for (RequestUid uid = 1; uid <= 20; ++uid) owner.Ask(uid, "service", 3000, WriteHex(uid));
-  Until([&] { return held.size() == 20; });
+  FakeClient& client = NewClient();
+  for (RequestUid uid = 1; uid <= 20; ++uid) client.Launch(uid, "service", 3000, WriteHex(uid));
+  RunUntil([&] { return held.size() == 20; });
   daemon->Halt();
-  owner.Leave();
-  for (const auto& [machine, uid] : std::vector<std::pair<StandMachine*, RequestUid>>(held)) {
-    machine->Say(machine->No(uid, 34, "no_cores"));
+  client.Leave();
+  for (const auto& [node, uid] : std::vector<std::pair<FakeNode*, RequestUid>>(held)) {
+    node->Send(node->Reject(uid, 34, "no_cores"));
   }
-  TimePasses(loop.Now() + 150'000);
+  WaitUntilTime(loop.Now() + 150'000);
   daemon->Signal(SIGCONT);
-  StandOwner& usual = Owner();
-  usual.Test();
-  Until([&] { return !usual.tested.empty(); });
-  usual.Ask(1001, "service", 2000);
-  Until([&] { return held.size() > 20; });
+  FakeClient& other_client = NewClient();
+  other_client.CheckHealth();
+  RunUntil([&] { return !other_client.health_replies.empty(); });
+  other_client.Launch(1001, "service", 2000);
+  RunUntil([&] { return held.size() > 20; });
   EXPECT_EQ(held.back().second, 1001u);
-  held.back().first->Say(held.back().first->Yes(1001));
-  Until([&] { return usual.final.count(1001) > 0; });
-  EXPECT_EQ(SentOn(owner.mine), 20u);
-  Kept();
+  held.back().first->Send(held.back().first->Accept(1001));
+  RunUntil([&] { return other_client.final_answers.count(1001) > 0; });
+  EXPECT_EQ(AttemptsOf(client.launched), 20u);
+  ExpectInvariantsKept();
 }
 
-// Word of a task whose owner closed that connection in the same turn, before or after it, goes to the owner's
-// other one.
-TEST_F(PlatformEndings, WordFindsTheOtherConnectionWhenTheFirstClosesInTheSameTurn) {
+// A notification whose client closes the connection in the same turn, before or after it, goes on the
+// client's other connection.
+TEST_F(PlatformShutdown, NotifiesOnTheOtherConnectionWhenTheFirstClosesInTheSameTurn) {
   Start();
-  StandOwner& other = Owner();
-  other.Ask(100, "service", 2000);
+  FakeClient& other = NewClient();
+  other.Launch(100, "service", 2000);
   for (RequestUid uid = 1; uid <= 6; ++uid) {
-    StandOwner& first = Owner();
-    first.Ask(uid, "service", 2000, WriteHex(uid));
-    Until([&] { return first.final.count(uid) > 0 && other.final.count(100) > 0; });
-    StandMachine* at = nullptr;
-    for (auto& m : machines) {
-      if (m->standing.count(uid) > 0) at = m.get();
+    FakeClient& first = NewClient();
+    first.Launch(uid, "service", 2000, WriteHex(uid));
+    RunUntil([&] { return first.final_answers.count(uid) > 0 && other.final_answers.count(100) > 0; });
+    FakeNode* running_at = nullptr;
+    for (auto& node : nodes) {
+      if (node->running.count(uid) > 0) running_at = node.get();
     }
-    ASSERT_NE(at, nullptr);
-    other.final[uid] = first.final[uid];  // one owner: what was told to one is known to the other
+    ASSERT_NE(running_at, nullptr);
+    other.final_answers[uid] =
+        first.final_answers[uid];  // it is one client: what one connection was told, the other knows
     daemon->Halt();
     if (uid % 2 == 0) loop.Close(first.conn, true);
-    at->End(uid, 16);
+    running_at->EndTask(uid, 16);
     if (uid % 2 != 0) loop.Close(first.conn, true);
     daemon->Signal(SIGCONT);
-    Until([&] { return other.released.count(uid) > 0; });
+    RunUntil([&] { return other.notifications.count(uid) > 0; });
   }
-  Kept();
+  ExpectInvariantsKept();
 }
 
 // ---- Many at once ----
 
-TEST_F(PlatformEndings, SetUpsThatComeByteByByteOnManyConnections) {
+TEST_F(PlatformShutdown, AnswersRequestsThatComeByteByByteOnManyConnections) {
   Start();
-  std::vector<StandOwner*> slow;
+  std::vector<FakeClient*> slow;
   std::vector<std::string> lines;
   for (RequestUid uid = 1; uid <= 40; ++uid) {
-    slow.push_back(&Owner());
+    slow.push_back(&NewClient());
     lines.push_back(R"({"kind":"launch","uid":")" + WriteHex(uid) +
                     R"(","meta":{"class":"batch","left":"2500","tenant":"acme","key":")" +
                     WriteHex(uid + 99) + R"(","extras":"cores:1;memory:2;service:)" + WriteHex(uid) +
                     R"("},"body":"x"})" + "\n");
   }
   for (std::size_t i = 0; i < lines[0].size(); ++i) {
-    for (std::size_t o = 0; o < slow.size(); ++o) slow[o]->Raw(lines[o].substr(i, 1));
-    Until([] { return true; });  // a turn
+    for (std::size_t client = 0; client < slow.size(); ++client)
+      slow[client]->SendRaw(lines[client].substr(i, 1));
+    RunUntil([] { return true; });  // a turn
   }
-  Until([&] {
-    return std::all_of(slow.begin(), slow.end(), [](const StandOwner* o) { return !o->final.empty(); });
+  RunUntil([&] {
+    return std::all_of(slow.begin(), slow.end(),
+                       [](const FakeClient* client) { return !client->final_answers.empty(); });
   });
-  for (std::size_t o = 0; o < slow.size(); ++o) {
-    EXPECT_EQ(slow[o]->final.count(o + 1), 1u);
-    EXPECT_FALSE(slow[o]->closed);
+  for (std::size_t i = 0; i < slow.size(); ++i) {
+    EXPECT_EQ(slow[i]->final_answers.count(i + 1), 1u);
+    EXPECT_FALSE(slow[i]->closed);
   }
 }
 
-// Idle ones take every descriptor that owners may have while the change log is down: it comes back without a
-// restart, and so do machines that have no connection yet.
-TEST_F(PlatformEndings, IdleOwnersAndADeadChangeLogTakeNothingFromTheOthers) {
+// Idle clients take every descriptor that clients may have while the change log is down: it is reached again
+// without a restart, and so are nodes that have no connection yet.
+TEST_F(PlatformShutdown, ServesOthersWhileIdleClientsFillTheirDescriptors) {
   sockets = 64;
   Start();
   const rlimit limit{64, 64};
   ASSERT_EQ(prlimit(daemon->pid(), RLIMIT_NOFILE, &limit, nullptr), 0);
-  Until([&] { return !log.asked.empty(); });
-  log.Listen(false);
-  std::vector<StandOwner*> idle;
-  for (int i = 0; i < 200; ++i) idle.push_back(&Owner());
-  Until([&] {
-    return std::count_if(idle.begin(), idle.end(), [](const StandOwner* o) { return o->closed; }) >= 160;
+  RunUntil([&] { return !change_log.requested_since.empty(); });
+  change_log.SetListening(false);
+  std::vector<FakeClient*> idle;
+  for (int i = 0; i < 200; ++i) idle.push_back(&NewClient());
+  RunUntil([&] {
+    return std::count_if(idle.begin(), idle.end(), [](const FakeClient* client) { return client->closed; }) >=
+           160;
+  });
+  const std::size_t requested = change_log.requested_since.size();
+  change_log.AddEvent(EntryOf(*nodes[0], "gone"));
+  change_log.SetListening(true);
+  RunUntil([&] {
+    return change_log.requested_since.size() > requested && change_log.requested_since.back() == 2;
   });
-  const std::size_t asked = log.asked.size();
-  log.Add(Entry(*machines[0], "gone"));
-  log.Listen(true);
-  Until([&] { return log.asked.size() > asked && log.asked.back() == 2; });
-  Told(*machines[0], 2);
-  StandOwner& usual = Owner();
-  for (RequestUid uid = 1; uid <= 30; ++uid) usual.Ask(uid, "service", 2000, WriteHex(uid));
-  Until([&] { return usual.final.size() == 30; });
-  std::size_t placed = 0;
-  for (const auto& [uid, m] : usual.final) placed += m.kind == ClientMessageKind::kAnswer;
-  EXPECT_EQ(placed, 30u);
-  EXPECT_TRUE(machines[0]->set_ups.empty());
-  Kept();
+  LogNodeListed(*nodes[0], 2);
+  FakeClient& other_client = NewClient();
+  for (RequestUid uid = 1; uid <= 30; ++uid) other_client.Launch(uid, "service", 2000, WriteHex(uid));
+  RunUntil([&] { return other_client.final_answers.size() == 30; });
+  std::size_t started = 0;
+  for (const auto& [uid, message] : other_client.final_answers)
+    started += message.kind == ClientMessageKind::kAnswer;
+  EXPECT_EQ(started, 30u);
+  EXPECT_TRUE(nodes[0]->launches.empty());
+  ExpectInvariantsKept();
 }
 
-// The danger: who closes a connection counts it no more, and a peer that does not read kept its descriptor
-// for 10 s.
-TEST(LoopEndings, ConnectionsThatFlushAreBounded) {
+// The danger: a connection that is closed is counted no more, and one whose peer does not read kept its
+// descriptor for 10 s.
+TEST(EventLoopShutdown, BoundsConnectionsThatFlush) {
   struct Accepting : event_loop::Handler {
     void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) override {
       conns.push_back(conn);
--- a/tests/support/platform_fakes.hpp
+++ b/tests/support/platform_fakes.hpp
@@ -1,5 +1,5 @@
-// Stand-ins for what surrounds the platform's program, on loopback, written from the protocol's pages; a
-// record of what passed on their sockets; and a judge of the five rules over that record alone.
+// Fakes of what surrounds the platform's program, on loopback, written from the protocol's pages: nodes, the
+// change log of the node list, clients. They log what passes on their sockets.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_FAKES_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_FAKES_HPP_
 
@@ -8,286 +8,177 @@
 #include <memory>
 #include <set>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "event_loop/event_loop.hpp"
 #include "http/message.hpp"
 #include "platform/client_codec.hpp"
 #include "platform/node_codec.hpp"
+#include "tests/support/platform_invariants.hpp"
 
 namespace mountflow::testing {
 
-using namespace platform;
-
-struct Passed {
-  enum class What { kAsked, kGivenUp, kGone, kFinal, kOut, kBack, kTold, kLeft, kReleased };
-  Micros at = 0;
-  What what = What::kAsked;
-  RequestUid uid = 0;
-  std::string machine{};     // kOut, kBack, kTold
-  int cause = -1;            // kFinal: 0 placed, else the cause. kBack: 0 stands, 41 it may have run
-  Micros left = 0;           // kAsked
-  std::string task_class{};  // kAsked, kOut
-  std::string service{};     // kAsked
-  unsigned cell = 0;         // kTold: the machine's cell; `cause` 0 ready, 1 draining, 2 gone
-  Micros started_at = 0;     // kTold
-};
-using Record = std::vector<Passed>;
-
-struct JudgeRules {
-  Micros slack = 55'000, drain_grace_period = 2'050'000, window = 5'000'000, cold = 17'000'000,
-         cold_window = 3'000'000, gone = 100'000, release = 8'000'000;
-  std::size_t cold_bears = 12, max_per_domain = 3;
-  std::string keyed = "service", spread = "batch";
-};
-
-// What the judge knows of a set-up and of an attempt. (Inside the function GCC 12 fails on them.)
-struct JudgedSetUp {
-  Micros at, left;
-  std::string service, task_class;
-  bool over = false;
-  Micros gone_at = 0;  // its owner closed the connection then
-};
-struct JudgedAttempt {
-  std::string machine;
-  Micros at;
-  bool may_have_run;
-};
-
-// One line for each breach; empty: the rules were kept.
-inline std::vector<std::string> JudgePlatform(const Record& record, const JudgeRules& rules = {}) {
-  using What = Passed::What;
-  std::vector<std::string> breaches;
-  std::map<RequestUid, JudgedSetUp> asked;
-  std::map<RequestUid, std::string> out;                   // where an attempt is out
-  std::map<RequestUid, std::vector<JudgedAttempt>> tries;  // that are no longer out
-  std::map<RequestUid, std::string> held;  // attempts and tasks of the class that is kept spread
-  std::map<std::string, Passed> told;
-  std::map<std::string, std::vector<Micros>> cold;
-  std::map<RequestUid, Micros> ended;  // tasks that are over, and whose owner was not told yet
-  std::set<RequestUid> placed;         // whose owner was told that they stand
-  const auto breach = [&](int rule, RequestUid uid, const std::string& what) {
-    breaches.push_back("rule " + std::to_string(rule) + ": " + WriteHex(uid) + ": " + what);
-  };
-  for (const Passed& p : record) {
-    switch (p.what) {
-      case What::kAsked:
-        asked[p.uid] = {p.at, p.left, p.service, p.task_class};
-        break;
-      case What::kGivenUp:
-        asked[p.uid].over = true;
-        break;
-      case What::kGone:  // no answer is owed, and no attempt may begin more than an instant later
-        if (JudgedSetUp& a = asked[p.uid]; a.gone_at == 0) a.gone_at = p.at;
-        break;
-      case What::kReleased:
-        if (ended.erase(p.uid) == 0) breach(1, p.uid, "released twice, or while it stands");
-        break;
-      case What::kFinal: {
-        const auto it = asked.find(p.uid);
-        if (it == asked.end() || it->second.over) {
-          breach(1, p.uid, "a second answer, or one nobody asked for");
-          break;
-        }
-        it->second.over = true;
-        if (p.cause == 0) placed.insert(p.uid);
-        if (p.at > it->second.at + it->second.left + rules.slack) breach(1, p.uid, "answered late");
-        bool ran = false;
-        for (const JudgedAttempt& a : tries[p.uid]) ran |= a.may_have_run;
-        if ((p.cause == 34 || p.cause == 42 || p.cause == 102) && ran && it->second.task_class == rules.keyed)
-          breach(2, p.uid, "refused, and may have run");
-        break;
-      }
-      case What::kTold:
-        told[p.machine] = p;
-        break;
-      case What::kOut: {
-        if (out.count(p.uid) > 0) breach(2, p.uid, "two attempts out together");
-        const auto a = asked.find(p.uid);
-        if (a == asked.end() || a->second.over) breach(1, p.uid, "sent after its end");
-        if (a != asked.end() && a->second.gone_at != 0 && p.at > a->second.gone_at + rules.gone)
-          breach(1, p.uid, "begun after its owner left");
-        const Passed& machine = told[p.machine];
-        for (const JudgedAttempt& earlier : tries[p.uid]) {
-          if (!earlier.may_have_run || p.task_class != rules.keyed) continue;
-          if (told[earlier.machine].cell != machine.cell || p.at > earlier.at + rules.window) {
-            breach(2, p.uid, "sent to machines that do not discard repeats");
-          }
-        }
-        if (machine.cause > 0 && p.at > machine.at + rules.drain_grace_period)
-          breach(3, p.uid, "sent to " + p.machine);
-        if (machine.started_at != 0 && p.at < machine.started_at + rules.cold) {
-          std::vector<Micros>& sent = cold[p.machine];
-          sent.push_back(p.at);
-          std::size_t in_window = 0;
-          for (const Micros at : sent) in_window += at + rules.cold_window > p.at;
-          if (in_window > rules.cold_bears) breach(4, p.uid, "pushes over " + p.machine);
-        }
-        if (p.task_class == rules.spread && a != asked.end()) {
-          std::size_t together = 1;
-          for (const auto& [uid, where] : held) {
-            together += asked[uid].service == a->second.service && told[where].cell == machine.cell;
-          }
-          if (together > rules.max_per_domain) breach(5, p.uid, "too many of its service in one cell");
-          held[p.uid] = p.machine;
-        }
-        out[p.uid] = p.machine;
-        break;
-      }
-      case What::kBack:
-        if (out.count(p.uid) > 0 && out[p.uid] == p.machine) {
-          if (p.cause != 0) tries[p.uid].push_back({p.machine, p.at, p.cause != 34 && p.cause != 102});
-          out.erase(p.uid);
-        }
-        if (p.cause != 0) held.erase(p.uid);
-        break;
-      case What::kLeft:
-        held.erase(p.uid);
-        if (p.cause != 31) ended[p.uid] = p.at;
-        break;
-    }
-  }
-  for (const auto& [uid, a] : asked) {
-    if (!a.over && a.gone_at == 0) breach(1, uid, "no answer");
-  }
-  for (const auto& [uid, at] : ended) {
-    if (record.back().at > at + rules.release && asked[uid].gone_at == 0 && placed.count(uid) > 0)
-      breach(1, uid, "over, and its owner was not told");
-  }
-  return breaches;
-}
-
-// A machine: listens, and answers each set-up as `reply` says. Without one it says yes.
-class StandMachine : public event_loop::Handler {
+// A node: listens, and answers each attempt as `reply` says. Without one it accepts.
+class FakeNode : public event_loop::Handler {
  public:
-  StandMachine(event_loop::Loop* loop, std::string name, unsigned cell, Record* record)
-      : name(std::move(name)), cell(cell), loop_(loop), record_(record) {
+  FakeNode(event_loop::Loop* loop, std::string name, unsigned rack, MessageLog* log)
+      : name(std::move(name)), rack(rack), loop_(loop), log_(log) {
     std::string error;
     listener_ = loop_->Listen("127.0.0.1:0", this, &error);
     address = "127.0.0.1:" + std::to_string(loop_->PortOf(listener_));
   }
-  void Die() {  // the process: connections are reset, new ones refused
+
+  // The process ends: connections are reset, new ones refused.
+  void Kill() {
     if (listener_ != 0) loop_->CloseListener(std::exchange(listener_, 0));
-    for (const auto& [conn, reader] : conns) loop_->Abort(conn);
-    conns.clear();
+    for (const auto& [conn, reader] : connections) loop_->Abort(conn);
+    connections.clear();
   }
-  void Say(const std::string& bytes) {
-    if (!conns.empty()) loop_->Send(conns.rbegin()->first, bytes);
+  // On the newest connection.
+  void Send(const std::string& bytes) {
+    if (!connections.empty()) loop_->Send(connections.rbegin()->first, bytes);
   }
-  void End(RequestUid uid, int cause) {
-    standing.erase(uid);
-    Note(Passed::What::kLeft, uid, cause);
+  void EndTask(RequestUid uid, int cause) {
+    running.erase(uid);
+    Log(LoggedMessage::Kind::kTaskEnded, uid, cause);
     NodeMessage stop;
     stop.kind = NodeMessageKind::kStop;
     stop.uid = uid;
     stop.cause = static_cast<std::uint8_t>(cause);
-    Say(EncodeNodeMessage(stop));
+    Send(EncodeNodeMessage(stop));
   }
-  std::string Yes(RequestUid uid) {
-    standing.insert(uid);
-    Note(Passed::What::kBack, uid, 0);
-    NodeMessage yes;
-    yes.kind = NodeMessageKind::kAnswer;
-    yes.uid = uid;
-    yes.params[kDescription] = "yes from " + name;
-    return EncodeNodeMessage(yes);
+  // The bytes of an answer: the task runs.
+  std::string Accept(RequestUid uid) {
+    running.insert(uid);
+    Log(LoggedMessage::Kind::kAttemptEnded, uid, 0);
+    NodeMessage answer;
+    answer.kind = NodeMessageKind::kAnswer;
+    answer.uid = uid;
+    answer.params[kDescription] = "accepted by " + name;
+    return EncodeNodeMessage(answer);
   }
-  std::string No(RequestUid uid, int cause, const std::string& said = "") {
-    Note(Passed::What::kBack, uid, cause);
-    NodeMessage no;
-    no.kind = NodeMessageKind::kStop;
-    no.uid = uid;
-    no.cause = static_cast<std::uint8_t>(cause);
-    if (!said.empty()) no.params[kSaid] = said;
-    return EncodeNodeMessage(no);
+  // The bytes of an answer: the attempt ended.
+  std::string Reject(RequestUid uid, int cause, const std::string& reason = "") {
+    Log(LoggedMessage::Kind::kAttemptEnded, uid, cause);
+    NodeMessage stop;
+    stop.kind = NodeMessageKind::kStop;
+    stop.uid = uid;
+    stop.cause = static_cast<std::uint8_t>(cause);
+    if (!reason.empty()) stop.params[kSaid] = reason;
+    return EncodeNodeMessage(stop);
   }
 
   void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) override {
     ++accepted;
-    conns[conn];
-    if (reset_new > 0) {
-      --reset_new;
-      conns.erase(conn);
+    connections[conn];
+    if (connections_to_reset > 0) {
+      --connections_to_reset;
+      connections.erase(conn);
       loop_->Abort(conn);
     }
   }
   void OnReceived(event_loop::ConnId conn, std::string_view bytes) override {
     if (silent) return;
-    NodeMessageReader& reader = conns[conn];
+    NodeMessageReader& reader = connections[conn];
     reader.Feed(bytes);
-    NodeMessage m;
-    while (conns.count(conn) > 0 && reader.Next(&m) == NodeMessageReader::State::kMessage) {
-      if (m.kind == NodeMessageKind::kHealthCheck) {
-        m.kind = NodeMessageKind::kHealthCheckReply;
-        m.cause = 1;
-        loop_->Send(conn, EncodeNodeMessage(m));
-      } else if (m.kind == NodeMessageKind::kLaunch) {
-        Passed out{loop_->Now(), Passed::What::kOut, m.uid, name};
-        out.task_class = m.Text(kClass);
-        record_->push_back(out);
-        set_ups.push_back(m);
-        const std::string answer = reply ? reply(m) : Yes(m.uid);
-        if (answer == "reset") {
-          Note(Passed::What::kBack, m.uid, 41);
-          conns.erase(conn);
-          loop_->Abort(conn);
-          return;
-        }
-        loop_->Send(conn, answer);
-      } else if (m.kind == NodeMessageKind::kStop) {
-        stops.push_back(m.uid);
-        if (standing.erase(m.uid) > 0) {
-          Note(Passed::What::kLeft, m.uid, 31);
-          loop_->Send(conn, No(m.uid, 31));
-        } else {
-          Note(Passed::What::kBack, m.uid, 41);  // given up: it may have run
-        }
-      }
+    NodeMessage message;
+    while (connections.count(conn) > 0 && reader.Next(&message) == NodeMessageReader::State::kMessage) {
+      HandleMessage(conn, message);
     }
   }
-  void OnClosed(event_loop::ConnId conn, const std::string&) override { conns.erase(conn); }
+  void OnClosed(event_loop::ConnId conn, const std::string&) override { connections.erase(conn); }
 
-  std::string name, address;
-  unsigned cell;
+  std::string name;
+  std::string address;
+  unsigned rack;
+  // The bytes to answer an attempt with; "reset": the connection is reset.
   std::function<std::string(const NodeMessage&)> reply;
   bool silent = false;
-  int reset_new = 0, accepted = 0;
-  std::map<event_loop::ConnId, NodeMessageReader> conns;
-  std::vector<NodeMessage> set_ups;
+  int connections_to_reset = 0;
+  int accepted = 0;
+  std::map<event_loop::ConnId, NodeMessageReader> connections;
+  std::vector<NodeMessage> launches;
   std::vector<RequestUid> stops;
-  std::set<RequestUid> standing;
+  std::set<RequestUid> running;
 
  private:
-  void Note(Passed::What what, RequestUid uid, int cause) {
-    Passed passed{loop_->Now(), what, uid, name};
-    passed.cause = cause;
-    record_->push_back(passed);
+  void HandleMessage(event_loop::ConnId conn, NodeMessage message) {
+    if (message.kind == NodeMessageKind::kHealthCheck) {
+      message.kind = NodeMessageKind::kHealthCheckReply;
+      message.cause = 1;
+      loop_->Send(conn, EncodeNodeMessage(message));
+    } else if (message.kind == NodeMessageKind::kLaunch) {
+      HandleLaunch(conn, message);
+    } else if (message.kind == NodeMessageKind::kStop) {
+      HandleStop(conn, message.uid);
+    }
+  }
+  void HandleLaunch(event_loop::ConnId conn, const NodeMessage& message) {
+    LoggedMessage attempt{loop_->Now(), LoggedMessage::Kind::kAttempt, message.uid, name};
+    attempt.task_class = message.Text(kClass);
+    log_->push_back(attempt);
+    launches.push_back(message);
+    const std::string answer = reply ? reply(message) : Accept(message.uid);
+    if (answer == "reset") {
+      Log(LoggedMessage::Kind::kAttemptEnded, message.uid, 41);
+      connections.erase(conn);
+      loop_->Abort(conn);
+      return;
+    }
+    loop_->Send(conn, answer);
   }
+  void HandleStop(event_loop::ConnId conn, RequestUid uid) {
+    stops.push_back(uid);
+    if (running.erase(uid) > 0) {
+      Log(LoggedMessage::Kind::kTaskEnded, uid, 31);
+      loop_->Send(conn, Reject(uid, 31));
+    } else {
+      Log(LoggedMessage::Kind::kAttemptEnded, uid, 41);  // cancelled: it may have run
+    }
+  }
+  void Log(LoggedMessage::Kind kind, RequestUid uid, int cause) {
+    LoggedMessage message{loop_->Now(), kind, uid, name};
+    message.cause = cause;
+    log_->push_back(message);
+  }
+
   event_loop::Loop* loop_;
-  Record* record_;
+  MessageLog* log_;
   event_loop::ListenerId listener_ = 0;
 };
 
-// The change log: numbered events, long poll.
-class StandChangeLog : public event_loop::Handler {
+// The change log of the node list: numbered events, long poll.
+class FakeChangeLog : public event_loop::Handler {
  public:
-  explicit StandChangeLog(event_loop::Loop* loop) : loop_(loop) {
+  explicit FakeChangeLog(event_loop::Loop* loop) : loop_(loop) {
     std::string error;
     listener_ = loop_->Listen("127.0.0.1:0", this, &error);
     address = "127.0.0.1:" + std::to_string(loop_->PortOf(listener_));
   }
-  void Add(const std::string& entry, bool whole = false) {
-    events.push_back(R"({"seq":)" + std::to_string(first + events.size()) +
-                     R"(,"fleet":{"index":1,"snapshot":)" + (whole ? "true" : "false") + R"(,"endpoints":[)" +
-                     entry + "]}}");
+
+  void AddEvent(const std::string& entries, bool snapshot = false) {
+    events.push_back(R"({"seq":)" + std::to_string(first_number + events.size()) +
+                     R"(,"fleet":{"index":1,"snapshot":)" + (snapshot ? "true" : "false") +
+                     R"(,"endpoints":[)" + entries + "]}}");
     const auto waiting = std::exchange(waiting_, {});
     for (const auto& [conn, since] : waiting) Answer(conn, since);
   }
-  std::string Known() const {
-    std::string all;
-    for (const std::string& e : events) all += (all.empty() ? "" : ",") + e;
-    return R"({"seq":)" + std::to_string(first + events.size() - 1) + R"(,"results":[)" + all + "]}";
+  // All events, as a configuration holds them.
+  std::string AllEvents() const { return ReplyBody(0); }
+  // Whether anybody listens there; what is open is closed.
+  void SetListening(bool listening) {
+    std::string error;
+    if (listening) {
+      listener_ = loop_->Listen(address, this, &error);
+    } else {
+      loop_->CloseListener(listener_);
+      const auto readers = std::exchange(readers_, {});
+      for (const auto& [conn, reader] : readers) loop_->Abort(conn);
+      waiting_.clear();
+    }
   }
+
   void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) override {
     readers_.emplace(conn, std::make_unique<http::Reader>(http::Reader::Side::kRequests, 1 << 10));
   }
@@ -297,8 +188,8 @@
     while (!reader.messages().empty()) {
       const std::uint64_t since = std::stoull(reader.messages().front().Query("since", "0"));
       reader.messages().pop_front();
-      asked.push_back(since);
-      if (since + 1 < first + events.size()) {
+      requested_since.push_back(since);
+      if (since + 1 < first_number + events.size()) {
         Answer(conn, since);
       } else {
         waiting_[conn] = since;
@@ -313,36 +204,25 @@
     readers_.erase(conn);
   }
 
-  // Nobody listens there any more, or again; what is open is closed.
-  void Listen(bool up) {
-    std::string error;
-    if (up) {
-      listener_ = loop_->Listen(address, this, &error);
-    } else {
-      loop_->CloseListener(listener_);
-      const auto readers = std::exchange(readers_, {});
-      for (const auto& [conn, reader] : readers) loop_->Abort(conn);
-      waiting_.clear();
-    }
-  }
-
   std::string address;
-  std::uint64_t first = 1;
+  std::uint64_t first_number = 1;
   std::vector<std::string> events;
-  std::vector<std::uint64_t> asked;
-  int cut_next = 0;  // so many replies are cut in the middle
+  std::vector<std::uint64_t> requested_since;
+  int replies_to_cut = 0;  // in the middle
 
  private:
-  void Answer(event_loop::ConnId conn, std::uint64_t since) {
-    std::string all;
-    for (std::size_t i = since + 1 > first ? since + 1 - first : 0; i < events.size(); ++i) {
-      all += (all.empty() ? "" : ",") + events[i];
+  std::string ReplyBody(std::uint64_t since) const {
+    std::string results;
+    for (std::size_t i = since + 1 > first_number ? since + 1 - first_number : 0; i < events.size(); ++i) {
+      results += (results.empty() ? "" : ",") + events[i];
     }
-    const std::string body =
-        R"({"seq":)" + std::to_string(first + events.size() - 1) + R"(,"results":[)" + all + "]}";
-    const std::string bytes = http::WriteReply(200, {}, body, true);
-    if (cut_next > 0) {
-      --cut_next;
+    return R"({"seq":)" + std::to_string(first_number + events.size() - 1) + R"(,"results":[)" + results +
+           "]}";
+  }
+  void Answer(event_loop::ConnId conn, std::uint64_t since) {
+    const std::string bytes = http::WriteReply(200, {}, ReplyBody(since), true);
+    if (replies_to_cut > 0) {
+      --replies_to_cut;
       loop_->Send(conn, bytes.substr(0, bytes.size() - 9));
       loop_->Close(conn, true);
       OnClosed(conn, "");
@@ -350,80 +230,89 @@
     }
     loop_->Send(conn, bytes);
   }
+
   event_loop::Loop* loop_;
   event_loop::ListenerId listener_ = 0;
   std::map<event_loop::ConnId, std::unique_ptr<http::Reader>> readers_;
   std::map<event_loop::ConnId, std::uint64_t> waiting_;
 };
 
-// Owners: one connection, what was said on it.
-class StandOwner : public event_loop::Handler {
+// A client with one connection, and what it was told there.
+class FakeClient : public event_loop::Handler {
  public:
-  StandOwner(event_loop::Loop* loop, const std::string& to, Record* record) : loop_(loop), record_(record) {
+  FakeClient(event_loop::Loop* loop, const std::string& to, MessageLog* log) : loop_(loop), log_(log) {
     conn = loop_->Connect(to, this);
   }
-  ~StandOwner() override { loop_->Close(conn); }
-  void Ask(RequestUid uid, const std::string& task_class, int left,
-           const std::string& service = "00000000b4d65521", const std::string& more = "") {
-    ClientMessage m;
-    m.uid = uid;
-    m.fields = {{"class", task_class},
-                {"left", std::to_string(left)},
-                {"tenant", "acme"},
-                {"key", WriteHex(uid ^ 0xff)},
-                {"idem", WriteHex(uid) + WriteHex(uid)},
-                {"extras", "cores:1;memory:2;service:" + service + more}};
-    m.description = "asked by " + WriteHex(uid);
-    mine.insert(uid);
+  ~FakeClient() override { loop_->Close(conn); }
+
+  // `time_left` in milliseconds. With `more` extras the request is not logged.
+  void Launch(RequestUid uid, const std::string& task_class, int time_left,
+              const std::string& service = "00000000b4d65521", const std::string& more = "") {
+    ClientMessage message;
+    message.uid = uid;
+    message.fields = {{"class", task_class},
+                      {"left", std::to_string(time_left)},
+                      {"tenant", "acme"},
+                      {"key", WriteHex(uid ^ 0xff)},
+                      {"idem", WriteHex(uid) + WriteHex(uid)},
+                      {"extras", "cores:1;memory:2;service:" + service + more}};
+    message.description = "requested by " + WriteHex(uid);
+    launched.insert(uid);
     if (more.empty()) {
-      Passed p{loop_->Now(), Passed::What::kAsked, uid};
-      p.left = static_cast<Micros>(left) * 1000;
-      p.service = service;
-      p.task_class = task_class;
-      record_->push_back(p);
+      LoggedMessage request{loop_->Now(), LoggedMessage::Kind::kRequested, uid};
+      request.time_left = static_cast<Micros>(time_left) * 1000;
+      request.service = service;
+      request.task_class = task_class;
+      log_->push_back(request);
     }
-    loop_->Send(conn, EncodeClientMessage(m));
+    loop_->Send(conn, EncodeClientMessage(message));
   }
   void Stop(RequestUid uid) {
-    if (final.count(uid) == 0) record_->push_back({loop_->Now(), Passed::What::kGivenUp, uid});
-    ClientMessage m;
-    m.kind = ClientMessageKind::kStop;
-    m.uid = uid;
-    m.cause = 16;
-    loop_->Send(conn, EncodeClientMessage(m));
+    if (final_answers.count(uid) == 0) {
+      log_->push_back({loop_->Now(), LoggedMessage::Kind::kCancelled, uid});
+    }
+    ClientMessage message;
+    message.kind = ClientMessageKind::kStop;
+    message.uid = uid;
+    message.cause = 16;
+    loop_->Send(conn, EncodeClientMessage(message));
   }
-  void Test() {
-    ClientMessage m;
-    m.kind = ClientMessageKind::kHealthCheck;
-    m.uid = 1;
-    m.cause = 0;
-    loop_->Send(conn, EncodeClientMessage(m));
+  void CheckHealth() {
+    ClientMessage message;
+    message.kind = ClientMessageKind::kHealthCheck;
+    message.uid = 1;
+    message.cause = 0;
+    loop_->Send(conn, EncodeClientMessage(message));
   }
-  void Raw(const std::string& bytes) { loop_->Send(conn, bytes); }
+  void SendRaw(const std::string& bytes) { loop_->Send(conn, bytes); }
   // What was sent is with the kernel, and the connection is closed.
   void Leave() {
-    for (const Passed& p : Record(*record_)) {
-      if (p.what == Passed::What::kAsked && mine.count(p.uid) > 0 && final.count(p.uid) == 0)
-        record_->push_back({loop_->Now(), Passed::What::kGone, p.uid});
+    for (const LoggedMessage& message : MessageLog(*log_)) {
+      const bool own_request =
+          message.kind == LoggedMessage::Kind::kRequested && launched.count(message.uid) > 0;
+      if (own_request && final_answers.count(message.uid) == 0) {
+        log_->push_back({loop_->Now(), LoggedMessage::Kind::kClientLeft, message.uid});
+      }
     }
     loop_->Close(conn, true);
   }
 
   void OnReceived(event_loop::ConnId, std::string_view bytes) override {
     reader_.Feed(bytes);
-    ClientMessage m;
-    while (reader_.Next(&m) == ClientMessageReader::State::kMessage) {
-      if (m.kind == ClientMessageKind::kHealthCheckReply) {
-        tested.push_back(m.cause.value_or(-1));
-      } else if (final.count(m.uid) == 0) {
-        final[m.uid] = m;
-        Passed p{loop_->Now(), Passed::What::kFinal, m.uid};
-        p.cause = m.kind == ClientMessageKind::kAnswer ? 0 : m.cause.value_or(-1);
-        record_->push_back(p);
+    ClientMessage message;
+    while (reader_.Next(&message) == ClientMessageReader::State::kMessage) {
+      if (message.kind == ClientMessageKind::kHealthCheckReply) {
+        health_replies.push_back(message.cause.value_or(-1));
+      } else if (final_answers.count(message.uid) == 0) {
+        final_answers[message.uid] = message;
+        LoggedMessage answer{loop_->Now(), LoggedMessage::Kind::kAnswered, message.uid};
+        answer.cause = message.kind == ClientMessageKind::kAnswer ? 0 : message.cause.value_or(-1);
+        log_->push_back(answer);
       } else {
-        released[m.uid].push_back(m);
-        if (m.kind == ClientMessageKind::kStop)
-          record_->push_back({loop_->Now(), Passed::What::kReleased, m.uid});
+        notifications[message.uid].push_back(message);
+        if (message.kind == ClientMessageKind::kStop) {
+          log_->push_back({loop_->Now(), LoggedMessage::Kind::kNotified, message.uid});
+        }
       }
     }
   }
@@ -431,14 +320,14 @@
 
   event_loop::ConnId conn = 0;
   bool closed = false;
-  std::set<RequestUid> mine;
-  std::map<RequestUid, ClientMessage> final;
-  std::map<RequestUid, std::vector<ClientMessage>> released;
-  std::vector<int> tested;
+  std::set<RequestUid> launched;
+  std::map<RequestUid, ClientMessage> final_answers;
+  std::map<RequestUid, std::vector<ClientMessage>> notifications;
+  std::vector<int> health_replies;
 
  private:
   event_loop::Loop* loop_;
-  Record* record_;
+  MessageLog* log_;
   ClientMessageReader reader_;
 };
 
--- a/tests/support/platform_fixture.hpp
+++ b/tests/support/platform_fixture.hpp
@@ -1,9 +1,11 @@
-// A script in place of the sockets, for tests of platform/ under a controlled clock.
+// The parts of the platform's program under a controlled clock, with a fake transport in place of the
+// sockets.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_FIXTURE_HPP_
 
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <map>
 #include <set>
 #include <string>
@@ -20,65 +22,76 @@
 
 inline constexpr Micros kMilli = 1000;
 inline constexpr Micros kSec = 1'000'000;
+inline constexpr RequestUid kUid = 0x9b1f03aa5c7e2d41u;  // of the request that a test is about
 
-class FakePort : public Transport {
+class FakeTransport : public Transport {
  public:
   ConnId Connect(const std::string& address) override {
-    to[++next] = address;
-    return next;
+    outgoing[++last_conn] = address;
+    return last_conn;
   }
-  // While the kernel takes nothing, what is sent stays behind; the next send that it takes takes all along.
+  // While the kernel accepts nothing, what is sent stays unwritten; the next send that it accepts takes all
+  // along.
   void Send(ConnId conn, std::string_view bytes) override {
     if (digest != nullptr) {
-      if (conn != digested) digest->Add(conn);
-      digested = conn;
+      if (conn != last_digested) digest->Add(conn);
+      last_digested = conn;
       digest->AddUnframed(bytes);
     }
     sent[conn].append(bytes);
-    writes ? static_cast<void>(behind.erase(conn)) : static_cast<void>(behind.insert(conn));
+    if (kernel_accepts) {
+      unwritten.erase(conn);
+    } else {
+      unwritten.insert(conn);
+    }
   }
-  bool AllWritten(ConnId conn) const override { return behind.count(conn) == 0; }
+  bool AllWritten(ConnId conn) const override { return unwritten.count(conn) == 0; }
   bool HungUp(ConnId conn) const override { return hung_up.count(conn) > 0; }
   void Close(ConnId conn, bool) override {
-    to.erase(conn);
+    outgoing.erase(conn);
     closed.push_back(conn);
   }
   void Log(const std::string& line) override { log.push_back(line); }
 
-  // What was sent on a connection and not yet looked at.
+  // What was sent on a connection since the last look.
   std::string Sent(ConnId conn) { return std::exchange(sent[conn], {}); }
-  template <typename Reader, typename Message>
-  std::vector<Message> Read(ConnId conn) {
-    Reader reader;
-    reader.Feed(Sent(conn));
-    std::vector<Message> all;
-    Message one;
-    while (reader.Next(&one) == Reader::State::kMessage) all.push_back(one);
-    return all;
+  std::vector<NodeMessage> SentToNode(ConnId conn) { return ReadSent<NodeMessageReader, NodeMessage>(conn); }
+  std::vector<ClientMessage> SentToClient(ConnId conn) {
+    return ReadSent<ClientMessageReader, ClientMessage>(conn);
   }
-  std::vector<NodeMessage> Machine(ConnId conn) { return Read<NodeMessageReader, NodeMessage>(conn); }
-  std::vector<ClientMessage> Owner(ConnId conn) { return Read<ClientMessageReader, ClientMessage>(conn); }
+  // The open connection to an address; 0: there is none.
   ConnId ConnTo(const std::string& address) const {
-    for (const auto& [conn, one] : to) {
-      if (one == address) return conn;
+    for (const auto& [conn, connected_address] : outgoing) {
+      if (connected_address == address) return conn;
     }
     return 0;
   }
 
   Digest* digest = nullptr;  // of all bytes sent, where it is wanted
-  ConnId digested = 0;       // whose bytes came last
-  ConnId next = 1000;
-  bool writes = true;
-  std::set<ConnId> behind;
-  std::set<ConnId> hung_up;          // closed by their other end, and nothing was read of that yet
-  std::map<ConnId, std::string> to;  // open connections that we asked for
+  ConnId last_digested = 0;  // whose bytes came last
+  ConnId last_conn = 1000;
+  bool kernel_accepts = true;
+  std::set<ConnId> unwritten;
+  std::set<ConnId> hung_up;                // closed by their other end, and nothing was read of that yet
+  std::map<ConnId, std::string> outgoing;  // open connections that the parts asked for, with their addresses
   std::map<ConnId, std::string> sent;
   std::vector<ConnId> closed;
   std::vector<std::string> log;
+
+ private:
+  template <typename Reader, typename Message>
+  std::vector<Message> ReadSent(ConnId conn) {
+    Reader reader;
+    reader.Feed(Sent(conn));
+    std::vector<Message> messages;
+    Message message;
+    while (reader.Next(&message) == Reader::State::kMessage) messages.push_back(message);
+    return messages;
+  }
 };
 
-inline std::string MachineBytes(NodeMessageKind kind, RequestUid uid, int cause = -1,
-                                std::map<std::uint8_t, std::string> params = {}) {
+inline std::string NodeMessageBytes(NodeMessageKind kind, RequestUid uid, int cause = -1,
+                                    std::map<std::uint8_t, std::string> params = {}) {
   NodeMessage message;
   message.kind = kind;
   message.uid = uid;
@@ -87,6 +100,15 @@
   return EncodeNodeMessage(message);
 }
 
+// A node says that the task of an attempt runs.
+inline std::string StartedBytes(RequestUid uid) {
+  return NodeMessageBytes(NodeMessageKind::kAnswer, uid, -1, {{kDescription, "yes"}});
+}
+// A node says that an attempt or a running task ended.
+inline std::string EndedBytes(RequestUid uid, int cause, std::map<std::uint8_t, std::string> params = {}) {
+  return NodeMessageBytes(NodeMessageKind::kStop, uid, cause, std::move(params));
+}
+
 inline const char* kPlatformConfig = R"({"name":"n0","listen":"127.0.0.1:0","seed":"00000000000007e9",
  "limits":{"cores":0.5,"memory_mb":32,"sockets":256},"changelog":"127.0.0.1:4222",
  "known":{"seq":1,"results":[{"seq":1,"fleet":{"index":1,"snapshot":true,"endpoints":[
@@ -102,85 +124,90 @@
    {"name":"batch","effect":"safe","hard_limit_us":3200000,"aim_us":1500000,"worth":1.0}],
   "safety":{"answer_slack_us":5000,"drain_grace_us":2000000},"stats":{"names":["x0","x1","pending","cpu_share"]}}})";
 
-// Owners, tasks and links joined as the shell joins them, with the sockets as a script.
-struct PlatformRig {
-  FakePort port;
+// A launch line of a client. `time_left` in milliseconds; `more` extras; `body` as JSON text.
+inline std::string LaunchLine(RequestUid uid, const std::string& task_class = "service", int time_left = 2000,
+                              const std::string& more = "", const std::string& body = "a\\r\\nb") {
+  return R"({"kind":"launch","uid":")" + WriteHex(uid) + R"(","meta":{"class":")" + task_class +
+         R"(","left":")" + std::to_string(time_left) + R"(","tenant":"acme","key":")" + WriteHex(uid + 1) +
+         R"(","idem":")" + WriteHex(uid) + WriteHex(uid) +
+         R"(","extras":"cores:1;memory:2;service:00000000b4d65521)" + more + R"("},"body":")" + body +
+         "\"}\n";
+}
+inline std::string StopLine(RequestUid uid, int cause = 16) {
+  return R"({"kind":"stop","uid":")" + WriteHex(uid) + R"(","meta":{},"reason":)" + std::to_string(cause) +
+         "}\n";
+}
+
+// The parts joined as the program joins them.
+struct PlatformFixture {
+  FakeTransport transport;
   PlatformConfig config = ReadPlatformConfig(kPlatformConfig, nullptr, nullptr);
-  NodeConnections links{NodeConnectionOptions{}, &port};
-  Dispatcher tasks{config.wire, config.seed, &links, 100 << 10};
-  ClientConnections owners{40, &tasks, &port};
+  NodeConnections node_connections{NodeConnectionOptions{}, &transport};
+  Dispatcher dispatcher{config.wire, config.seed, &node_connections, 100 << 10};
+  ClientConnections client_connections{40, &dispatcher, &transport};
   Micros now = 1'800'000'000 * kSec;
-  ConnId owner = 1;
+  ConnId client = 1;
 
-  PlatformRig() {
+  PlatformFixture() {
     EXPECT_TRUE(config.ok()) << (config.errors.empty() ? "" : config.errors[0]);
-    tasks.Start(now, config.known);
-    owners.Accept(now, owner, "10.9.0.1:5");
-  }
-  static std::string Launch(RequestUid uid, const std::string& task_class = "service", int left = 2000,
-                            const std::string& more = "", const std::string& body = "a\\r\\nb") {
-    return R"({"kind":"launch","uid":")" + WriteHex(uid) + R"(","meta":{"class":")" + task_class +
-           R"(","left":")" + std::to_string(left) + R"(","tenant":"acme","key":")" + WriteHex(uid + 1) +
-           R"(","idem":")" + WriteHex(uid) + WriteHex(uid) +
-           R"(","extras":"cores:1;memory:2;service:00000000b4d65521)" + more + R"("},"body":")" + body +
-           "\"}\n";
-  }
-  static std::string Stop(RequestUid uid, int cause = 16) {
-    return R"({"kind":"stop","uid":")" + WriteHex(uid) + R"(","meta":{},"reason":)" + std::to_string(cause) +
-           "}\n";
+    dispatcher.Start(now, config.known);
+    client_connections.Accept(now, client, "10.9.0.1:5");
   }
-  void Say(const std::string& bytes, ConnId conn = 1) {
-    owners.OnBytes(now, conn, bytes);
-    owners.DeliverNotifications(now);
+  void ClientSends(const std::string& bytes, ConnId conn = 1) {
+    client_connections.OnBytes(now, conn, bytes);
+    client_connections.DeliverNotifications(now);
   }
-  void Up(ConnId conn) {
-    links.OnConnected(now, conn);
-    tasks.HandleNodeEvents(now);
+  void Establish(ConnId conn) {
+    node_connections.OnConnected(now, conn);
+    dispatcher.HandleNodeEvents(now);
   }
-  void Machine(ConnId conn, const std::string& bytes) {
-    links.OnBytes(now, conn, bytes);
-    tasks.HandleNodeEvents(now);
-    owners.DeliverNotifications(now);
+  void NodeSends(ConnId conn, const std::string& bytes) {
+    node_connections.OnBytes(now, conn, bytes);
+    dispatcher.HandleNodeEvents(now);
+    client_connections.DeliverNotifications(now);
   }
-  void Ended(ConnId conn, bool refused = false) {
-    port.to.erase(conn);
-    links.OnClosed(now, conn, refused);
-    tasks.HandleNodeEvents(now);
-    owners.DeliverNotifications(now);
+  void EndNodeConnection(ConnId conn, bool refused = false) {
+    transport.outgoing.erase(conn);
+    node_connections.OnClosed(now, conn, refused);
+    dispatcher.HandleNodeEvents(now);
+    client_connections.DeliverNotifications(now);
   }
-  // To `until`, with every timer on the way.
-  void Pass(Micros length) {
+  // With every timer on the way.
+  void AdvanceTime(Micros length) {
     const Micros until = now + length;
     for (;;) {
-      const Micros due = std::min({tasks.NextDue(), links.NextDue(), owners.NextDue()});
+      const Micros due =
+          std::min({dispatcher.NextDue(), node_connections.NextDue(), client_connections.NextDue()});
       if (due > until) break;
       now = std::max(now, due);
-      tasks.Tick(now);
-      links.Tick(now);
-      tasks.HandleNodeEvents(now);
-      owners.Tick(now);
-      owners.DeliverNotifications(now);
+      dispatcher.Tick(now);
+      node_connections.Tick(now);
+      dispatcher.HandleNodeEvents(now);
+      client_connections.Tick(now);
+      client_connections.DeliverNotifications(now);
     }
     now = until;
   }
-  // A set-up on its way: to which connection, with its message seen there.
-  ConnId Placing(RequestUid uid, const std::string& task_class = "service") {
-    Say(Launch(uid, task_class));
-    for (const auto& [conn, address] : std::map<ConnId, std::string>(port.to)) {
-      Up(conn);
-      for (const NodeMessage& m : port.Machine(conn)) {
-        if (m.kind == NodeMessageKind::kLaunch && m.uid == uid) return conn;
+  // A request whose attempt is in flight. Returns the connection that it was sent on, with its message read.
+  ConnId LaunchAttempt(RequestUid uid, const std::string& task_class = "service") {
+    ClientSends(LaunchLine(uid, task_class));
+    for (const auto& [conn, address] : std::map<ConnId, std::string>(transport.outgoing)) {
+      Establish(conn);
+      for (const NodeMessage& message : transport.SentToNode(conn)) {
+        if (message.kind == NodeMessageKind::kLaunch && message.uid == uid) return conn;
       }
     }
-    ADD_FAILURE() << "no machine got the set-up";
+    ADD_FAILURE() << "no node got the attempt";
     return 0;
   }
-  ConnId Standing(RequestUid uid, const std::string& task_class = "service") {
-    const ConnId conn = Placing(uid, task_class);
-    Machine(conn, MachineBytes(NodeMessageKind::kAnswer, uid, -1, {{kDescription, "yes"}}));
-    const auto said = port.Owner(owner);
-    EXPECT_EQ(said.size(), 1u);
-    EXPECT_TRUE(!said.empty() && said[0].kind == ClientMessageKind::kAnswer && said[0].description == "yes");
+  // A running task, of which its client was told. Returns the connection of its node.
+  ConnId StartTask(RequestUid uid, const std::string& task_class = "service") {
+    const ConnId conn = LaunchAttempt(uid, task_class);
+    NodeSends(conn, StartedBytes(uid));
+    const std::vector<ClientMessage> answers = transport.SentToClient(client);
+    EXPECT_EQ(answers.size(), 1u);
+    EXPECT_TRUE(!answers.empty() && answers[0].kind == ClientMessageKind::kAnswer &&
+                answers[0].description == "yes");
     return conn;
   }
 };
--- /dev/null
+++ b/tests/support/platform_invariants.hpp
@@ -0,0 +1,238 @@
+// A log of the messages that passed on the sockets of the platform's program, and a checker that judges the
+// five rules by that log alone.
+#ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_INVARIANTS_HPP_
+#define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_INVARIANTS_HPP_
+
+#include <map>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "platform/client_codec.hpp"
+#include "platform/transport.hpp"
+
+namespace mountflow::testing {
+
+using namespace platform;
+
+struct LoggedMessage {
+  enum class Kind {
+    kRequested,     // a client asked for a task
+    kCancelled,     // its client cancelled it
+    kClientLeft,    // its client closed the connection
+    kAnswered,      // the final answer
+    kAttempt,       // a node got an attempt
+    kAttemptEnded,  // the node accepted it, or it ended otherwise
+    kNodeListed,    // the node list told of a node
+    kTaskEnded,     // a running task ended
+    kNotified       // its client was told so
+  };
+  Micros at = 0;
+  Kind kind = Kind::kRequested;
+  RequestUid uid = 0;
+  std::string node{};  // kAttempt, kAttemptEnded, kNodeListed
+  // kAnswered: 0 started, else the cause. kAttemptEnded: 0 it runs, 41 it may have run. kNodeListed: 0 ready,
+  // 1 draining, 2 gone.
+  int cause = -1;
+  Micros time_left = 0;      // kRequested: until the final answer is due
+  std::string task_class{};  // kRequested, kAttempt
+  std::string service{};     // kRequested
+  unsigned rack = 0;         // kNodeListed
+  Micros started_at = 0;     // kNodeListed
+};
+using MessageLog = std::vector<LoggedMessage>;
+
+struct InvariantLimits {
+  Micros answer_slack = 55'000;
+  Micros drain_grace_period = 2'050'000;
+  Micros deduplication_window = 5'000'000;
+  Micros slow_start_duration = 17'000'000;
+  Micros slow_start_window = 3'000'000;
+  std::size_t slow_start_budget = 12;
+  Micros client_left_slack = 100'000;
+  Micros notification_limit = 8'000'000;
+  std::size_t max_per_rack = 3;
+  std::string class_with_key = "service";
+  std::string spread_class = "batch";
+};
+
+class InvariantChecker {
+ public:
+  explicit InvariantChecker(const InvariantLimits& limits) : limits_(limits) {}
+
+  void Check(const LoggedMessage& message) {
+    switch (message.kind) {
+      case LoggedMessage::Kind::kRequested:
+        requests_[message.uid] = {message.at, message.time_left, message.service, message.task_class};
+        break;
+      case LoggedMessage::Kind::kCancelled:
+        requests_[message.uid].closed = true;
+        break;
+      case LoggedMessage::Kind::kClientLeft:
+        if (Request& request = requests_[message.uid]; request.client_left_at == 0) {
+          request.client_left_at = message.at;
+        }
+        break;
+      case LoggedMessage::Kind::kNotified:
+        if (not_notified_.erase(message.uid) == 0) {
+          AddViolation(1, message.uid, "notified twice, or while the task runs");
+        }
+        break;
+      case LoggedMessage::Kind::kAnswered:
+        CheckAnswer(message);
+        break;
+      case LoggedMessage::Kind::kNodeListed:
+        nodes_[message.node] = message;
+        break;
+      case LoggedMessage::Kind::kAttempt:
+        CheckAttempt(message);
+        break;
+      case LoggedMessage::Kind::kAttemptEnded:
+        TakeAttemptEnd(message);
+        break;
+      case LoggedMessage::Kind::kTaskEnded:
+        spread_tasks_.erase(message.uid);
+        if (message.cause != 31) not_notified_[message.uid] = message.at;
+        break;
+    }
+  }
+
+  // What was due by `end`. One line for each violation of the whole log.
+  std::vector<std::string> Finish(Micros end) {
+    for (const auto& [uid, request] : requests_) {
+      if (!request.closed && request.client_left_at == 0) AddViolation(1, uid, "no answer");
+    }
+    for (const auto& [uid, at] : not_notified_) {
+      const bool due = end > at + limits_.notification_limit;
+      if (due && requests_[uid].client_left_at == 0 && started_.count(uid) > 0) {
+        AddViolation(1, uid, "the task ended, and its client was not notified");
+      }
+    }
+    return violations_;
+  }
+
+ private:
+  struct Request {
+    Micros at = 0;
+    Micros time_left = 0;
+    std::string service;
+    std::string task_class;
+    bool closed = false;
+    Micros client_left_at = 0;
+  };
+  struct EndedAttempt {
+    std::string node;
+    Micros at;
+    bool may_have_run;
+  };
+
+  void AddViolation(int rule, RequestUid uid, const std::string& what) {
+    violations_.push_back("rule " + std::to_string(rule) + ": " + WriteHex(uid) + ": " + what);
+  }
+
+  // Rule 1: one final answer in time. Rule 2: what may have run is not rejected.
+  void CheckAnswer(const LoggedMessage& message) {
+    const auto found = requests_.find(message.uid);
+    if (found == requests_.end() || found->second.closed) {
+      AddViolation(1, message.uid, "a second answer, or one that nobody asked for");
+      return;
+    }
+    Request& request = found->second;
+    request.closed = true;
+    if (message.cause == 0) started_.insert(message.uid);
+    if (message.at > request.at + request.time_left + limits_.answer_slack) {
+      AddViolation(1, message.uid, "answered late");
+    }
+    bool may_have_run = false;
+    for (const EndedAttempt& attempt : ended_attempts_[message.uid]) may_have_run |= attempt.may_have_run;
+    const bool rejected = message.cause == 34 || message.cause == 42 || message.cause == 102;
+    if (rejected && may_have_run && request.task_class == limits_.class_with_key) {
+      AddViolation(2, message.uid, "rejected, and may have run");
+    }
+  }
+
+  void CheckAttempt(const LoggedMessage& message) {
+    if (in_flight_.count(message.uid) > 0) AddViolation(2, message.uid, "two attempts in flight");
+    const auto found = requests_.find(message.uid);
+    const Request* request = found == requests_.end() ? nullptr : &found->second;
+    if (request == nullptr || request->closed) AddViolation(1, message.uid, "sent after its end");
+    if (request != nullptr && request->client_left_at != 0 &&
+        message.at > request->client_left_at + limits_.client_left_slack) {
+      AddViolation(1, message.uid, "begun after its client left");
+    }
+    const LoggedMessage& node = nodes_[message.node];
+    CheckRepeat(message, node);
+    if (node.cause > 0 && message.at > node.at + limits_.drain_grace_period) {
+      AddViolation(3, message.uid, "sent to " + message.node);
+    }
+    CheckSlowStart(message, node);
+    if (message.task_class == limits_.spread_class && request != nullptr) {
+      CheckSpread(message, request->service, node);
+    }
+    in_flight_[message.uid] = message.node;
+  }
+
+  // Rule 2: a request that may have run goes only to nodes that recognise its key.
+  void CheckRepeat(const LoggedMessage& message, const LoggedMessage& node) {
+    for (const EndedAttempt& earlier : ended_attempts_[message.uid]) {
+      if (!earlier.may_have_run || message.task_class != limits_.class_with_key) continue;
+      if (nodes_[earlier.node].rack != node.rack || message.at > earlier.at + limits_.deduplication_window) {
+        AddViolation(2, message.uid, "sent to nodes that do not discard repeats");
+      }
+    }
+  }
+
+  // Rule 4: nodes that are warming up get no more than their slow-start budget.
+  void CheckSlowStart(const LoggedMessage& message, const LoggedMessage& node) {
+    if (node.started_at == 0 || message.at >= node.started_at + limits_.slow_start_duration) return;
+    std::vector<Micros>& sent = sent_while_warming_up_[message.node];
+    sent.push_back(message.at);
+    std::size_t in_window = 0;
+    for (const Micros at : sent) in_window += at + limits_.slow_start_window > message.at;
+    if (in_window > limits_.slow_start_budget) AddViolation(4, message.uid, "overloads " + message.node);
+  }
+
+  // Rule 5: tasks of one service stay spread over the racks.
+  void CheckSpread(const LoggedMessage& message, const std::string& service, const LoggedMessage& node) {
+    std::size_t together = 1;
+    for (const auto& [uid, where] : spread_tasks_) {
+      together += requests_[uid].service == service && nodes_[where].rack == node.rack;
+    }
+    if (together > limits_.max_per_rack) AddViolation(5, message.uid, "too many of its service in one rack");
+    spread_tasks_[message.uid] = message.node;
+  }
+
+  void TakeAttemptEnd(const LoggedMessage& message) {
+    const auto attempt = in_flight_.find(message.uid);
+    if (attempt != in_flight_.end() && attempt->second == message.node) {
+      const bool may_have_run = message.cause != 34 && message.cause != 102;
+      if (message.cause != 0) {
+        ended_attempts_[message.uid].push_back({message.node, message.at, may_have_run});
+      }
+      in_flight_.erase(attempt);
+    }
+    if (message.cause != 0) spread_tasks_.erase(message.uid);
+  }
+
+  InvariantLimits limits_;
+  std::vector<std::string> violations_;
+  std::map<RequestUid, Request> requests_;
+  std::map<RequestUid, std::string> in_flight_;  // the node of the attempt
+  std::map<RequestUid, std::vector<EndedAttempt>> ended_attempts_;
+  std::map<RequestUid, std::string> spread_tasks_;  // attempts and running tasks of the class that is spread
+  std::map<std::string, LoggedMessage> nodes_;
+  std::map<std::string, std::vector<Micros>> sent_while_warming_up_;
+  std::map<RequestUid, Micros> not_notified_;  // when tasks ended whose clients were not notified yet
+  std::set<RequestUid> started_;               // whose client was told that they run
+};
+
+// One line for each violation; empty: the rules were kept.
+inline std::vector<std::string> CheckInvariants(const MessageLog& log, const InvariantLimits& limits = {}) {
+  InvariantChecker checker(limits);
+  for (const LoggedMessage& message : log) checker.Check(message);
+  return checker.Finish(log.empty() ? 0 : log.back().at);
+}
+
+}  // namespace mountflow::testing
+
+#endif  // MOUNTFLOW_TESTS_SUPPORT_PLATFORM_INVARIANTS_HPP_
--- a/tests/support/platform_process_fixture.hpp
+++ b/tests/support/platform_process_fixture.hpp
@@ -1,4 +1,4 @@
-// The platform's program itself, on loopback among stand-ins: waits on events, never on sleeps.
+// The platform's program itself, on loopback among fakes: waits on events, never on sleeps.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_PROCESS_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_PROCESS_FIXTURE_HPP_
 
@@ -14,58 +14,56 @@
 
 namespace mountflow::testing {
 
-class PlatformWhole : public ::testing::Test {
+class PlatformProcess : public ::testing::Test {
  protected:
-  static constexpr std::size_t kMachines = 4;
+  static constexpr std::size_t kNodes = 4;
 
   void SetUp() override {
     char folder[] = "/tmp/mountflow-platform-XXXXXX";
     ASSERT_NE(mkdtemp(folder), nullptr);
     folder_ = folder;
     std::string entries;
-    for (std::size_t i = 0; i < kMachines; ++i) {
-      machines.push_back(std::make_unique<StandMachine>(&loop, "m-" + std::to_string(i),
-                                                        static_cast<unsigned>(i / 2), &record));
-      entries += (i == 0 ? "" : ",") + Entry(*machines[i]);
-      Told(*machines[i], 0);
+    for (std::size_t i = 0; i < kNodes; ++i) {
+      nodes.push_back(std::make_unique<FakeNode>(&loop, "m-" + std::to_string(i),
+                                                 static_cast<unsigned>(i / 2), &message_log));
+      entries += (i == 0 ? "" : ",") + EntryOf(*nodes[i]);
+      LogNodeListed(*nodes[i], 0);
     }
-    log.Add(entries, true);
+    change_log.AddEvent(entries, true);
   }
   void TearDown() override {
-    owners.clear();
+    clients.clear();
     daemon.reset();
     std::filesystem::remove_all(folder_);
   }
-  void Told(const StandMachine& m, int state) {
-    Passed p{loop.Now(), Passed::What::kTold, 0, m.name};
-    p.cause = state;
-    p.cell = m.cell;
-    record.push_back(p);
+  void LogNodeListed(const FakeNode& node, int state) {
+    LoggedMessage message{loop.Now(), LoggedMessage::Kind::kNodeListed, 0, node.name};
+    message.cause = state;
+    message.rack = node.rack;
+    message_log.push_back(message);
   }
-  std::string Entry(const StandMachine& m, const char* status = "ready") const {
-    return R"({"name":")" + m.name + R"(","address":")" + m.address +
-           R"(","zone":"left","type":"big","group":)" + std::to_string(m.cell) + R"(,"status":")" + status +
-           R"(","weight":1,"since_ms":0,"free":[)" + std::to_string(cores) + "," + std::to_string(2 * cores) +
-           "]}";
+  std::string EntryOf(const FakeNode& node, const char* status = "ready") const {
+    return R"({"name":")" + node.name + R"(","address":")" + node.address +
+           R"(","zone":"left","type":"big","group":)" + std::to_string(node.rack) + R"(,"status":")" +
+           status + R"(","weight":1,"since_ms":0,"free":[)" + std::to_string(cores) + "," +
+           std::to_string(2 * cores) + "]}";
   }
-  void Configure(const std::string& change_log) {
-    std::ofstream(folder_ + "/config.json.new") << Configuration(change_log);
+  void Configure(const std::string& change_log_address) {
+    std::ofstream(folder_ + "/config.json.new") << Configuration(change_log_address);
     std::filesystem::rename(folder_ + "/config.json.new", folder_ + "/config.json");
   }
-  std::string Configuration(const std::string& change_log) const {
+  std::string Configuration(const std::string& change_log_address) const {
     std::string text = kConfig;
-    const std::pair<const char*, std::string> parts[] = {{"KNOWN", log.Known()},
-                                                         {"LOG", change_log},
-                                                         {"MEMORY", std::to_string(memory_mb)},
-                                                         {"SOCKETS", std::to_string(sockets)},
-                                                         {"CORES", std::to_string(cores)},
-                                                         {"ROOM", std::to_string(2 * cores)}};
+    const std::pair<const char*, std::string> parts[] = {
+        {"KNOWN", change_log.AllEvents()},     {"LOG", change_log_address},
+        {"MEMORY", std::to_string(memory_mb)}, {"SOCKETS", std::to_string(sockets)},
+        {"CORES", std::to_string(cores)},      {"ROOM", std::to_string(2 * cores)}};
     for (const auto& [name, value] : parts) text.replace(text.find(name), std::strlen(name), value);
     return text;
   }
   // The program, with the configuration file as it is.
   void Spawn() {
-    // A port that is free: bound once by the loop, and given back.
+    // A free port: bound once by the loop, and given back.
     std::string error;
     const auto probe = loop.Listen("127.0.0.1:0", &nobody, &error);
     listen = "127.0.0.1:" + std::to_string(loop.PortOf(probe));
@@ -76,27 +74,28 @@
             {"LB_NAME", "n0"}, {"LB_LISTEN", listen}, {"LB_CONFIG", folder_ + "/config.json"}});
   }
   void Start() {
-    Configure(log.address);
+    Configure(change_log.address);
     Spawn();
-    Ready();
+    WaitUntilReady();
   }
-  void Ready() {
-    Until([&] {
-      if (owners.empty() || owners[0]->closed) {
-        owners.clear();
-        Owner().Test();
+  void WaitUntilReady() {
+    RunUntil([&] {
+      if (clients.empty() || clients[0]->closed) {
+        clients.clear();
+        NewClient().CheckHealth();
       }
-      return !owners[0]->tested.empty();
+      return !clients[0]->health_replies.empty();
     });
-    ASSERT_EQ(owners[0]->tested[0], 1);
+    ASSERT_EQ(clients[0]->health_replies[0], 1);
   }
-  StandOwner& Owner() {
-    owners.push_back(std::make_unique<StandOwner>(&loop, listen, &record));
-    return *owners.back();
+  FakeClient& NewClient() {
+    clients.push_back(std::make_unique<FakeClient>(&loop, listen, &message_log));
+    return *clients.back();
   }
-  // Runs the loop until it holds; a failure takes kLimit.
-  void Until(const std::function<bool()>& holds) {
-    bool held = false, late = false;
+  // Runs the loop until `holds` is true; fails after kLimit.
+  void RunUntil(const std::function<bool()>& holds) {
+    bool held = false;
+    bool late = false;
     const auto limit = loop.At(loop.Now() + kLimit, [&] {
       late = true;
       loop.Stop();
@@ -110,11 +109,10 @@
     loop.Run();
     loop.CancelTimer(limit);
     loop.SetAfterTurn({});
-    ASSERT_FALSE(late) << "waited in vain";
+    ASSERT_FALSE(late) << "the condition was not met in time";
   }
-  bool Answered(StandOwner& owner, RequestUid uid) { return owner.final.count(uid) > 0; }
-  void Kept() {
-    for (const std::string& breach : JudgePlatform(record)) ADD_FAILURE() << breach;
+  void ExpectInvariantsKept() {
+    for (const std::string& violation : CheckInvariants(message_log)) ADD_FAILURE() << violation;
   }
 
   static constexpr const char* kConfig = R"({"name":"x","listen":"127.0.0.1:1","seed":"00000000000007e9",
@@ -129,13 +127,15 @@
   "safety":{"answer_slack_us":5000,"drain_grace_us":2000000,"cold_us":17000000,"cold_from":0.26,"tip_after_us":3000000,
    "fall_multiple":2.0},"stats":{"names":["x0","x1","pending","cpu_share"]}}})";
 
-  int memory_mb = 32, sockets = 256, cores = 32;
+  int memory_mb = 32;
+  int sockets = 256;
+  int cores = 32;
   event_loop::Loop loop;
   event_loop::Handler nobody;
-  Record record;
-  StandChangeLog log{&loop};
-  std::vector<std::unique_ptr<StandMachine>> machines;
-  std::vector<std::unique_ptr<StandOwner>> owners;
+  MessageLog message_log;
+  FakeChangeLog change_log{&loop};
+  std::vector<std::unique_ptr<FakeNode>> nodes;
+  std::vector<std::unique_ptr<FakeClient>> clients;
   std::unique_ptr<Process> daemon;
   std::string listen;
   std::string folder_;
