--- a/src/platform/dispatcher.cpp
+++ b/src/platform/dispatcher.cpp
@@ -105,23 +105,22 @@
 
 SubmitResult Dispatcher::Submit(Micros now, ConnId conn, ClientHost host, const ClientMessage& message) {
   now_ = now;
-  Task task;
-  std::string node_name;  // of the node that runs it already
-  const char* problem = ReadSetUp(message, wire_, now_, &task, &node_name);
-  const bool runs_already = !node_name.empty();
+  const auto request = ReadLaunchRequest(message, wire_, now_);
+  const std::string& running_at = request ? request->running_at : request.error().running_at;
+  const bool runs_already = !running_at.empty();
   if (!runs_already) last_submitted_at_ = now_;
   if (Request* known = requests_.FindByUid(message.uid); known != nullptr) {
-    if (problem != nullptr || !runs_already) return SubmitResult::kDuplicateUid;
+    if (!request || !runs_already) return SubmitResult::kDuplicateUid;
     MoveToConnection(*known, conn, host);
     return SubmitResult::kAlreadyRunning;
   }
-  if (problem != nullptr) {
-    AddLogLine(std::string("request rejected, it cannot be read: ") + problem);
+  if (!request) {
+    AddLogLine("request rejected, it cannot be read: " + Describe(request.error()));
     notifications_.AddFinalAnswer(conn, MakeNegativeAnswer(message.uid, kCauseInvalidRequest));
     return SubmitResult::kSubmitted;
   }
-  if (runs_already) return Recover(task, node_name, message.uid, conn, host);
-  return SubmitNew(task, message, conn, host);
+  if (runs_already) return Recover(request->task, running_at, message.uid, conn, host);
+  return SubmitNew(request->task, message, conn, host);
 }
 
 // Its client speaks of a running task on another connection: notifications go there from now on.
@@ -333,21 +332,24 @@
 
 void Dispatcher::OnEnded(Request& request, const NodeMessage& message) {
   const int cause = message.cause.value_or(kCauseFailed);
-  const AttemptResult result = EndingOf(cause, request.IsRunning());
+  const AttemptResult result = ResultOfCause(cause, request.IsRunning());
   // A client that ended its task, or is asked to migrate it, is told nothing more.
   if (request.state == RequestState::kRunning && result != AttemptResult::kCancelled) {
     NotifyClient(request, ClientMessageKind::kStop, cause);
   }
-  EndAttempt(request, {result, request.IsRunning(), CauseOf(message.Text(kSaid)), ReadReport(message)});
+  EndAttempt(request,
+             {result, request.IsRunning(), ReadRejectionReason(message.Text(kSaid)), ReadReport(message)});
 }
 
 void Dispatcher::OnProgress(const Request& request, const NodeMessage& message) {
+  const auto kind = ReadProgressKind(message.Text(kSaid));
+  if (!kind.has_value()) return;
   TaskProgress progress;
+  progress.kind = *kind;
   progress.request = request.id;
   progress.attempt = request.attempt;
   progress.node = request.node;
-  if (!ReadNoteKind(message.Text(kSaid), &progress.kind)) return;
-  ReadReported(message.Text(kFigure), &progress.value);
+  ReadReportedNumber(message.Text(kFigure), &progress.value);
   pending_events_.push_back(progress);
   RunScheduler();
 }
@@ -404,7 +406,7 @@
   std::string text = Describe(event);
   if (const auto* recovered = std::get_if<TaskRecovered>(&event)) {
     const Request* request = requests_.Find(recovered->task.request);
-    if (request != nullptr) text += " uid " + WriteHex(request->uid);
+    if (request != nullptr) text += " uid=" + WriteHex(request->uid);
   }
   if (!text.empty()) trace_(now_, text);
   for (const Action& action : actions) {
--- a/src/platform/node_directory.cpp
+++ b/src/platform/node_directory.cpp
@@ -1,6 +1,5 @@
 #include "platform/node_directory.hpp"
 
-#include <algorithm>
 #include <cstdint>
 
 #include "platform/message_mapping.hpp"
@@ -30,8 +29,8 @@
   NodeEntry entry;
   entry.node = id;
   entry.rack = node.rack;
-  entry.zone = static_cast<unsigned>(std::max(0, IndexOf(wire.zone_names, node.zone)));
-  entry.kind = static_cast<unsigned>(std::max(0, IndexOf(wire.kind_names, node.kind)));
+  entry.zone = IndexOf(wire.zone_names, node.zone).value_or(0);
+  entry.kind = IndexOf(wire.kind_names, node.kind).value_or(0);
   entry.started_at = node.started_at;
   entry.state = StateOf(node.status);
   entry.free_cores = node.free_cores;
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -28,7 +28,7 @@
 
 platform::NodeConnectionOptions MakeNodeConnectionOptions(const platform::PlatformConfig& config) {
   platform::NodeConnectionOptions options;
-  options.max_connections = platform::SplitDescriptors(config.sockets).machines;
+  options.max_connections = platform::SplitDescriptors(config.sockets).nodes;
   if (config.wire.connect_timeout > 0) options.connect_timeout = config.wire.connect_timeout;
   // Well before the node closes it: an attempt that crosses the node's close may have run.
   if (config.wire.conn_idle > 0) options.idle_timeout = config.wire.conn_idle / 3 * 2;
@@ -61,7 +61,7 @@
       node_connections_(MakeNodeConnectionOptions(config), this),
       dispatcher_(config.wire, config.seed, &node_connections_,
                   config.memory_mb * kBytesPerMegabyte / kDescriptionShare),
-      client_connections_(platform::SplitDescriptors(config.sockets).owners, &dispatcher_, this),
+      client_connections_(platform::SplitDescriptors(config.sockets).clients, &dispatcher_, this),
       node_watch_(config.change_log, config.known_last, this),
       shutdown_(config.wire.longest_deadline) {}
 
@@ -184,14 +184,16 @@
 void PlatformServer::Reload() {
   const std::optional<std::string> text = ReadFile(config_file_);
   std::string error = "expected a file that can be read";
-  std::string address;
-  if (text.has_value()) address = platform::ReadChangeLogAddress(*text, &error);
-  if (address.empty()) {
-    Log("reload: the configuration stays as it was: " + config_file_ + ": " + error);
-    return;
+  if (text.has_value()) {
+    const auto address = platform::ReadChangeLogAddress(*text);
+    if (address) {
+      Log("reload: the change log is at " + *address);
+      node_watch_.Follow(loop_->Now(), *address);
+      return;
+    }
+    error = Describe(address.error());
   }
-  Log("reload: the change log is at " + address);
-  node_watch_.Follow(loop_->Now(), address);
+  Log("reload: the configuration stays as it was: " + config_file_ + ": " + error);
 }
 
 void PlatformServer::Shutdown() {
@@ -243,7 +245,9 @@
   }
   platform::PlatformConfig config =
       platform::ReadPlatformConfig(*text, std::getenv("LB_NAME"), std::getenv("LB_LISTEN"));
-  for (const std::string& error : config.errors) std::fprintf(stderr, "mountflowd: %s\n", error.c_str());
+  for (const platform::ConfigError& error : config.errors) {
+    std::fprintf(stderr, "mountflowd: %s\n", Describe(error).c_str());
+  }
   if (!config.ok()) return std::nullopt;
   return config;
 }
--- a/tests/support/platform_fixture.hpp
+++ b/tests/support/platform_fixture.hpp
@@ -149,7 +149,7 @@
   ConnId client = 1;
 
   PlatformFixture() {
-    EXPECT_TRUE(config.ok()) << (config.errors.empty() ? "" : config.errors[0]);
+    EXPECT_TRUE(config.ok()) << (config.errors.empty() ? "" : Describe(config.errors[0]));
     dispatcher.Start(now, config.known);
     client_connections.Accept(now, client, "10.9.0.1:5");
   }
--- a/tests/support/platform_world.hpp
+++ b/tests/support/platform_world.hpp
@@ -82,7 +82,7 @@
     scheduler.transport->last_conn += 100'000 * scheduler.incarnation;  // no number comes again
     scheduler.last_seen_conn = scheduler.transport->last_conn;
     scheduler.config = ReadPlatformConfig(ConfigurationOf(index), nullptr, nullptr);
-    ASSERT_TRUE(scheduler.config.ok()) << scheduler.config.errors[0];
+    ASSERT_TRUE(scheduler.config.ok()) << Describe(scheduler.config.errors[0]);
     scheduler.node_connections = std::make_unique<NodeConnections>(options, scheduler.transport.get());
     scheduler.dispatcher =
         std::make_unique<Dispatcher>(scheduler.config.wire, random_(), scheduler.node_connections.get());
