--- a/tests/platform/node_codec_test.cpp
+++ b/tests/platform/node_codec_test.cpp
@@ -41,13 +41,15 @@
 
 TEST(NodeCodec, WritesTheDocumentedBytes) {
   const std::string bytes =
-      MachineBytes(NodeMessageKind::kStop, 0x9b1f03aa5c7e2d41u, 16, {{kClass, "batch"}});
+      NodeMessageBytes(NodeMessageKind::kStop, 0x9b1f03aa5c7e2d41u, 16, {{kClass, "batch"}});
   EXPECT_EQ(bytes, std::string("\x00\x15\x0c\x9b\x1f\x03\xaa\x5c\x7e\x2d\x41\x81\x00\x05"
                                "batch\xab\x00\x01\x10",
                                23));
 }
 
-std::string GoodMessage() { return MachineBytes(NodeMessageKind::kAnswer, 7, -1, {{kDescription, "yes"}}); }
+std::string GoodMessage() {
+  return NodeMessageBytes(NodeMessageKind::kAnswer, 7, -1, {{kDescription, "yes"}});
+}
 
 std::string GoodMessageWith(std::size_t at, char changed) {
   std::string bytes = GoodMessage();
@@ -102,12 +104,13 @@
                          [](const auto& info) { return std::string(info.param.name); });
 
 TEST(NodeCodec, WritesNothingForAMessageThatIsTooLong) {
-  EXPECT_EQ(MachineBytes(NodeMessageKind::kLaunch, 1, -1, {{kDescription, std::string(16 << 10, 'x')}}), "");
+  EXPECT_EQ(NodeMessageBytes(NodeMessageKind::kLaunch, 1, -1, {{kDescription, std::string(16 << 10, 'x')}}),
+            "");
   // The longest description that fits: a header of 11 bytes and one of 3 stand before it.
   const std::string longest((16 << 10) - 14, 'x');
-  EXPECT_EQ(MachineBytes(NodeMessageKind::kLaunch, 1, -1, {{kDescription, longest}}).size(),
+  EXPECT_EQ(NodeMessageBytes(NodeMessageKind::kLaunch, 1, -1, {{kDescription, longest}}).size(),
             kMaxMessageBytes);
-  EXPECT_EQ(MachineBytes(NodeMessageKind::kLaunch, 1, -1, {{kDescription, longest + "x"}}), "");
+  EXPECT_EQ(NodeMessageBytes(NodeMessageKind::kLaunch, 1, -1, {{kDescription, longest + "x"}}), "");
 }
 
 TEST(NodeCodec, GivesAnEmptyTextForAnAbsentParameter) {
--- a/tests/platform/node_watch_test.cpp
+++ b/tests/platform/node_watch_test.cpp
@@ -37,7 +37,7 @@
     return sent.substr(0, sent.find(' ', 5));
   }
 
-  FakePort transport;
+  FakeTransport transport;
   Micros now = kSec;
   NodeWatch watch{"a:1", 4, &transport};
 };
@@ -53,7 +53,7 @@
     EXPECT_EQ(fixture.Request(conn), "GET /changes?since=4&timeout=1000");
     fixture.watch.OnBytes(fixture.now, conn, std::string_view(reply).substr(0, cut));
     EXPECT_EQ(fixture.watch.Take().size(), cut == reply.size() ? 2u : 0u) << cut;
-    fixture.transport.to.erase(conn);
+    fixture.transport.outgoing.erase(conn);
     fixture.watch.OnClosed(fixture.now, conn);
     conn = fixture.Connect();  // at once
     ASSERT_NE(conn, 0u) << cut;
@@ -125,7 +125,7 @@
     const ConnId conn = Connect();
     ASSERT_NE(conn, 0u);
     watch.OnBytes(now, conn, unusable);
-    EXPECT_TRUE(transport.to.empty());
+    EXPECT_TRUE(transport.outgoing.empty());
     EXPECT_LE(watch.NextDue(), now + kMaxPollDelay);
     now = watch.NextDue();
   }
