--- a/src/node_agent/host.cpp
+++ b/src/node_agent/host.cpp
@@ -70,7 +70,7 @@
     input_.append(bytes);
     for (;;) {
       pbs_protocol::Reply reply;
-      const pbs_protocol::Parsed parsed = pbs_protocol::Decode(input_, &reply);
+      const pbs_protocol::DecodeResult parsed = pbs_protocol::Decode(input_, &reply);
       if (parsed.state == pbs_protocol::DisState::kMore) return;
       if (parsed.state == pbs_protocol::DisState::kBad || sent_ == 0) return Fail();
       input_.erase(0, parsed.used);
--- a/src/node_agent/server.cpp
+++ b/src/node_agent/server.cpp
@@ -72,15 +72,17 @@
     const std::string_view left = std::string_view(s.input).substr(s.read);
     if (left.size() < s.needs) break;
     pbs_protocol::Request request;
-    const pbs_protocol::Parsed parsed = pbs_protocol::Decode(left, &request);
+    const pbs_protocol::DecodeResult parsed = pbs_protocol::Decode(left, &request);
     if (parsed.state == pbs_protocol::DisState::kMore) {
       s.needs = parsed.needs;
       break;
     }
     if (parsed.state == pbs_protocol::DisState::kBad) {
       Send(id, s,
-           Of(parsed.unknown ? pbs_protocol::Code::kUnknownRequest : pbs_protocol::Code::kProtocol,
-              "expected " + parsed.expected));
+           Of(parsed.error.code == pbs_protocol::DecodeErrorCode::kUnknownRequestType
+                  ? pbs_protocol::Code::kUnknownRequest
+                  : pbs_protocol::Code::kProtocol,
+              "expected " + pbs_protocol::Describe(parsed.error)));
       s.closing = true;
       break;
     }
--- a/src/node_sessions/reply_reader.cpp
+++ b/src/node_sessions/reply_reader.cpp
@@ -9,7 +9,7 @@
     DropConsumed();
     return ReadResult::kIncomplete;
   }
-  const pbs_protocol::Parsed parsed = pbs_protocol::Decode(rest, reply);
+  const pbs_protocol::DecodeResult parsed = pbs_protocol::Decode(rest, reply);
   if (parsed.state == pbs_protocol::DisState::kMore) {
     needed_ = parsed.needs;
     DropConsumed();
--- a/src/pbs_client/pbs_client.cpp
+++ b/src/pbs_client/pbs_client.cpp
@@ -133,13 +133,13 @@
   std::size_t needs = 1;
   for (;;) {
     if (input_.size() >= needs) {
-      const pbs_protocol::Parsed parsed = pbs_protocol::Decode(input_, reply);
+      const pbs_protocol::DecodeResult parsed = pbs_protocol::Decode(input_, reply);
       if (parsed.state == pbs_protocol::DisState::kOk) {
         input_.erase(0, parsed.used);
         return true;
       }
       if (parsed.state == pbs_protocol::DisState::kBad) {
-        *error = "reply: expected " + parsed.expected;
+        *error = "reply: expected " + pbs_protocol::Describe(parsed.error);
         Close();
         return false;
       }
--- a/src/pbs_protocol/dis.cpp
+++ b/src/pbs_protocol/dis.cpp
@@ -6,7 +6,10 @@
 namespace mountflow::pbs_protocol {
 namespace {
 
-constexpr std::uint64_t kMostDigits = 20;  // of a 64-bit number
+constexpr std::uint64_t kMaxDigits = 20;  // of a 64-bit number
+constexpr int kMaxCountLevels = 2;        // of a number with kMaxDigits digits
+
+bool IsDigit(char byte) { return byte >= '0' && byte <= '9'; }
 
 }  // namespace
 
@@ -40,65 +43,72 @@
   out_->append(bytes);
 }
 
-void DisReader::Fail(const char* what) {
+void DisReader::Fail(const char* expected) {
   if (state_ == DisState::kBad) return;
   state_ = DisState::kBad;
-  what_ = what;
+  expected_ = expected;
 }
 
 bool DisReader::Need(std::size_t total) {
   if (bytes_.size() >= total) return true;
   state_ = DisState::kMore;
-  need_ = total;
+  needs_ = total;
   return false;
 }
 
-bool DisReader::Number(bool* negative, std::uint64_t* magnitude) {
-  if (!ok()) return false;
-  std::uint64_t count = 1;  // digits of what comes next
-  // Danger: counts of counts could go on for ever; a 64-bit number needs two levels, a third is refused.
-  for (int level = 0;; ++level) {
-    if (!Need(at_ + 1)) return false;
-    const char c = bytes_[at_];
-    if (c == '+' || c == '-') {
-      *negative = c == '-';
-      ++at_;
-      break;
-    }
-    if (level == 2) return Fail("a sign after two counts"), false;
-    if (c < '0' || c > '9') return Fail("a digit or a sign"), false;
-    if (c == '0') return Fail("a count without a leading zero"), false;
-    if (!Need(at_ + count)) return false;
-    std::uint64_t next = 0;
-    for (std::uint64_t i = 0; i < count; ++i, ++at_) {
-      const char d = bytes_[at_];
-      if (d < '0' || d > '9') return Fail("a digit of a count"), false;
-      next = next * 10 + static_cast<std::uint64_t>(d - '0');
-    }
-    if (next < 2) return Fail("a count of two or more"), false;
-    if (next > kMostDigits) return Fail("a count of at most 20 digits"), false;
-    count = next;
-  }
-  if (!Need(at_ + count)) return false;
-  if (count > 1 && bytes_[at_] == '0') return Fail("a number without a leading zero"), false;
-  std::uint64_t value = 0;
+bool DisReader::ReadDigits(std::uint64_t count, const char* expected, std::uint64_t* value) {
+  *value = 0;
   for (std::uint64_t i = 0; i < count; ++i, ++at_) {
-    const char d = bytes_[at_];
-    if (d < '0' || d > '9') return Fail("a digit"), false;
-    const auto digit = static_cast<std::uint64_t>(d - '0');
-    if (value > (std::numeric_limits<std::uint64_t>::max() - digit) / 10) {
+    const char next = bytes_[at_];
+    if (!IsDigit(next)) return Fail(expected), false;
+    const auto digit = static_cast<std::uint64_t>(next - '0');
+    if (*value > (std::numeric_limits<std::uint64_t>::max() - digit) / 10) {
       return Fail("a number of at most 64 bits"), false;
     }
-    value = value * 10 + digit;
+    *value = *value * 10 + digit;
   }
-  *magnitude = value;
   return true;
 }
 
+bool DisReader::ReadCount(std::uint64_t* count) {
+  const char first = bytes_[at_];
+  if (!IsDigit(first)) return Fail("a digit or a sign"), false;
+  if (first == '0') return Fail("a count without a leading zero"), false;
+  if (!Need(at_ + *count)) return false;
+  if (!ReadDigits(*count, "a digit of a count", count)) return false;
+  if (*count < 2) return Fail("a count of two or more"), false;
+  if (*count > kMaxDigits) return Fail("a count of at most 20 digits"), false;
+  return true;
+}
+
+// Counts of counts could go on for ever; a 64-bit number needs two levels, and a third is rejected.
+bool DisReader::ReadSign(bool* negative, std::uint64_t* digits) {
+  *digits = 1;
+  for (int level = 0;; ++level) {
+    if (!Need(at_ + 1)) return false;
+    const char next = bytes_[at_];
+    if (next == '+' || next == '-') {
+      *negative = next == '-';
+      ++at_;
+      return true;
+    }
+    if (level == kMaxCountLevels) return Fail("a sign after two counts"), false;
+    if (!ReadCount(digits)) return false;
+  }
+}
+
+bool DisReader::ReadNumber(bool* negative, std::uint64_t* magnitude) {
+  if (!ok()) return false;
+  std::uint64_t digits = 0;
+  if (!ReadSign(negative, &digits) || !Need(at_ + digits)) return false;
+  if (digits > 1 && bytes_[at_] == '0') return Fail("a number without a leading zero"), false;
+  return ReadDigits(digits, "a digit", magnitude);
+}
+
 std::uint64_t DisReader::Unsigned() {
   bool negative = false;
   std::uint64_t value = 0;
-  if (!Number(&negative, &value)) return 0;
+  if (!ReadNumber(&negative, &value)) return 0;
   if (negative) return Fail("an unsigned number"), 0;
   return value;
 }
@@ -106,16 +116,16 @@
 std::int64_t DisReader::Signed() {
   bool negative = false;
   std::uint64_t value = 0;
-  if (!Number(&negative, &value)) return 0;
-  constexpr auto kMost = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
-  if (value > kMost + (negative ? 1 : 0)) return Fail("a signed number of at most 64 bits"), 0;
+  if (!ReadNumber(&negative, &value)) return 0;
+  constexpr auto kMaxSigned = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
+  if (value > kMaxSigned + (negative ? 1 : 0)) return Fail("a signed number of at most 64 bits"), 0;
   return static_cast<std::int64_t>(negative ? ~value + 1 : value);
 }
 
-std::string_view DisReader::Text(std::size_t most) {
+std::string_view DisReader::Text(std::size_t max_bytes) {
   const std::uint64_t length = Unsigned();
   if (!ok()) return {};
-  if (length > most) return Fail("a string within its stated length"), std::string_view{};
+  if (length > max_bytes) return Fail("a string within its stated length"), std::string_view{};
   if (!Need(at_ + length)) return {};
   const std::string_view text = bytes_.substr(at_, length);
   at_ += length;
--- a/src/pbs_protocol/dis.hpp
+++ b/src/pbs_protocol/dis.hpp
@@ -4,8 +4,8 @@
 // preceded by its digit count, and that by its own count, until a count is one
 // digit. Strings are their length and their bytes.
 //
-// The Reader works on what has arrived so far and tells three things apart:
-// read, more is needed (and how much at least), and never valid.
+// The reader works on what has arrived so far and distinguishes three results: a value, more bytes needed
+// (and how many at least), and input that no further byte can make valid.
 #ifndef MOUNTFLOW_PBS_PROTOCOL_DIS_HPP_
 #define MOUNTFLOW_PBS_PROTOCOL_DIS_HPP_
 
@@ -16,6 +16,7 @@
 
 namespace mountflow::pbs_protocol {
 
+// Appends values to `out`, which must outlive it.
 class DisWriter {
  public:
   explicit DisWriter(std::string* out) : out_(out) {}
@@ -25,6 +26,7 @@
 
  private:
   void Digits(char sign, std::uint64_t magnitude);
+
   std::string* out_;
 };
 
@@ -34,7 +36,7 @@
   kBad    // no further byte can make it valid
 };
 
-// Reads values one after the other. After the first that is not kOk every
+// Reads values one after the other from bytes that must outlive it. After the first that is not kOk every
 // further read returns a zero value and the state stays.
 class DisReader {
  public:
@@ -42,27 +44,31 @@
 
   std::uint64_t Unsigned();
   std::int64_t Signed();
-  // A string of more than `most` bytes is kBad before any of them is awaited.
-  std::string_view Text(std::size_t most);
+  // A string of more than `max_bytes` is kBad before any of them is awaited.
+  std::string_view Text(std::size_t max_bytes);
 
-  // Marks the input as invalid for a reason that the caller found.
-  void Fail(const char* what);
+  // Marks the input as invalid for a reason that the caller found; the first one stays.
+  void Fail(const char* expected);
 
-  DisState state() const { return state_; }
-  bool ok() const { return state_ == DisState::kOk; }
-  std::size_t at() const { return at_; }       // bytes consumed
-  std::size_t needs() const { return need_; }  // for kMore: least total length worth trying again
-  const char* what() const { return what_; }   // for kBad: what was expected
+  [[nodiscard]] DisState state() const { return state_; }
+  [[nodiscard]] bool ok() const { return state_ == DisState::kOk; }
+  [[nodiscard]] std::size_t at() const { return at_; }        // bytes consumed
+  [[nodiscard]] std::size_t needs() const { return needs_; }  // kMore: least total length worth trying again
+  [[nodiscard]] const char* expected() const { return expected_; }  // kBad: what was expected
 
  private:
-  // Reads sign and digits; false when not complete or not valid.
-  bool Number(bool* negative, std::uint64_t* magnitude);
+  // These are false when the input is not complete or not valid.
+  bool ReadNumber(bool* negative, std::uint64_t* magnitude);
+  bool ReadSign(bool* negative, std::uint64_t* digits);  // and the digit count before it
+  bool ReadCount(std::uint64_t* count);                  // of so many digits, which it replaces
+  bool ReadDigits(std::uint64_t count, const char* expected, std::uint64_t* value);
   bool Need(std::size_t total);
 
   std::string_view bytes_;
-  std::size_t at_ = 0, need_ = 0;
+  std::size_t at_ = 0;
+  std::size_t needs_ = 0;
   DisState state_ = DisState::kOk;
-  const char* what_ = "";
+  const char* expected_ = "";
 };
 
 }  // namespace mountflow::pbs_protocol
--- a/src/pbs_protocol/protocol.hpp
+++ b/src/pbs_protocol/protocol.hpp
@@ -14,14 +14,14 @@
 
 namespace mountflow::pbs_protocol {
 
-// Bounds of one request or reply; what goes beyond is a protocol error.
-inline constexpr std::size_t kMostName = 256;          // bytes of a name, id, user or destination
-inline constexpr std::size_t kMostValue = 64 << 10;    // bytes of an attribute's value or a text
-inline constexpr std::size_t kMostAttributes = 256;    // in one list
-inline constexpr std::size_t kMostPiece = 1 << 20;     // bytes of one piece of a script
-inline constexpr std::size_t kMostObjects = 1 << 20;   // in a status or select reply
-inline constexpr std::size_t kMostRequest = 4 << 20;   // bytes of a whole request
-inline constexpr std::size_t kMostReply = 512u << 20;  // bytes of a whole reply
+// Bounds of one request or reply; whatever exceeds them is malformed.
+inline constexpr std::size_t kMaxName = 256;          // bytes of a name, id, user or destination
+inline constexpr std::size_t kMaxValue = 64 << 10;    // bytes of an attribute's value or a text
+inline constexpr std::size_t kMaxAttributes = 256;    // in one list
+inline constexpr std::size_t kMaxPiece = 1 << 20;     // bytes of one piece of a script
+inline constexpr std::size_t kMaxObjects = 1 << 20;   // in a status or select reply
+inline constexpr std::size_t kMaxRequest = 4 << 20;   // bytes of a whole request
+inline constexpr std::size_t kMaxReply = 512u << 20;  // bytes of a whole reply
 
 enum class RequestType : unsigned {
   kConnect = 0,
@@ -93,11 +93,11 @@
   kBadState = 15016,
   kUnknownQueue = 15018,
   kProtocol = 15031,
-  kNoRoom = 15046  // resources temporarily not available: a node's no
+  kNoRoom = 15046  // resources temporarily not available: a node rejects an attempt
 };
 
 // A short text for the user; empty for kNone.
-const char* Describe(Code code);
+[[nodiscard]] const char* Describe(Code code);
 
 enum class Choice : unsigned {
   kNull = 1,
@@ -127,20 +127,37 @@
   bool operator==(const Reply&) const = default;
 };
 
+// Append one message to `out`.
 void Encode(const Request& request, std::string* out);
 void Encode(const Reply& reply, std::string* out);
 
-struct Parsed {
+enum class DecodeErrorCode : std::uint8_t {
+  kMalformed,           // `expected` was expected at byte `offset`
+  kTooLarge,            // it states more than `max_bytes`
+  kUnknownRequestType,  // well-formed up to its type, `request_type`
+};
+
+struct DecodeError {
+  DecodeErrorCode code = DecodeErrorCode::kMalformed;
+  std::string expected;
+  std::size_t offset = 0;
+  std::size_t max_bytes = 0;
+  std::uint64_t request_type = 0;
+};
+
+// What was expected, to be put behind the word "expected".
+[[nodiscard]] std::string Describe(const DecodeError& error);
+
+struct DecodeResult {
   DisState state = DisState::kMore;
   std::size_t used = 0;   // kOk: bytes of this message
   std::size_t needs = 1;  // kMore: least length worth trying again
-  std::string expected;   // kBad: what was expected, and at which byte
-  bool unknown = false;   // kBad: well-formed so far, but no request type that we know
+  DecodeError error;      // kBad
 };
 
-// Reads one message from the front of `bytes`.
-Parsed Decode(std::string_view bytes, Request* request);
-Parsed Decode(std::string_view bytes, Reply* reply);
+// Read one message from the front of `bytes`. The message is set for kOk alone.
+[[nodiscard]] DecodeResult Decode(std::string_view bytes, Request* request);
+[[nodiscard]] DecodeResult Decode(std::string_view bytes, Reply* reply);
 
 }  // namespace mountflow::pbs_protocol
 
--- a/src/pbs_server/pbs_server.cpp
+++ b/src/pbs_server/pbs_server.cpp
@@ -77,16 +77,18 @@
       const std::string_view left = std::string_view(input_).substr(read_);
       if (left.size() < needs_) break;
       pbs_protocol::Request request;
-      const pbs_protocol::Parsed parsed = pbs_protocol::Decode(left, &request);
+      const pbs_protocol::DecodeResult parsed = pbs_protocol::Decode(left, &request);
       if (parsed.state == pbs_protocol::DisState::kMore) {
         needs_ = parsed.needs;
         break;
       }
       if (parsed.state == pbs_protocol::DisState::kBad) {
-        front_->complaints_.Add(now, "expected " + parsed.expected, peer_.address,
-                                "expected " + parsed.expected);
-        Send(Text(parsed.unknown ? pbs_protocol::Code::kUnknownRequest : pbs_protocol::Code::kProtocol,
-                  "expected " + parsed.expected));
+        front_->complaints_.Add(now, "expected " + pbs_protocol::Describe(parsed.error), peer_.address,
+                                "expected " + pbs_protocol::Describe(parsed.error));
+        Send(Text(parsed.error.code == pbs_protocol::DecodeErrorCode::kUnknownRequestType
+                      ? pbs_protocol::Code::kUnknownRequest
+                      : pbs_protocol::Code::kProtocol,
+                  "expected " + pbs_protocol::Describe(parsed.error)));
         closing = true;
         break;
       }
@@ -411,7 +413,7 @@
       const bool fits = std::all_of(r.attributes.begin(), r.attributes.end(),
                                     [&shown](const pbs_protocol::Attribute& a) { return Matches(shown, a); });
       if (fits) reply.ids.push_back(core().IdOf(job.number));
-      return reply.ids.size() < pbs_protocol::kMostObjects;
+      return reply.ids.size() < pbs_protocol::kMaxObjects;
     });
     Send(reply);
   }
@@ -434,7 +436,7 @@
       if (!r.id.empty() && job.spec->queue != r.id) return true;
       if (!history && job.state == job_manager::JobState::kComplete) return true;
       reply.objects.push_back(ObjectOf(job, r.attributes));
-      return reply.objects.size() < pbs_protocol::kMostObjects;
+      return reply.objects.size() < pbs_protocol::kMaxObjects;
     });
     Send(reply);
   }
--- a/tests/node_sessions/node_sessions_test.cpp
+++ b/tests/node_sessions/node_sessions_test.cpp
@@ -85,7 +85,7 @@
   void Decode(ConnId id, std::string_view bytes) {
     while (!bytes.empty()) {
       pbs_protocol::Request request;
-      const pbs_protocol::Parsed parsed = pbs_protocol::Decode(bytes, &request);
+      const pbs_protocol::DecodeResult parsed = pbs_protocol::Decode(bytes, &request);
       ASSERT_EQ(parsed.state, pbs_protocol::DisState::kOk);
       bytes.remove_prefix(parsed.used);
       requests_[id].push_back(std::move(request));
--- a/tests/pbs_protocol/pbs_protocol_test.cpp
+++ b/tests/pbs_protocol/pbs_protocol_test.cpp
@@ -13,7 +13,7 @@
   return out;
 }
 
-TEST(Dis, NumbersAsPublished) {
+TEST(Dis, WritesNumbersAsPublished) {
   EXPECT_EQ(Number(0), "+0");
   EXPECT_EQ(Number(5), "+5");
   EXPECT_EQ(Number(12), "2+12");
@@ -28,7 +28,7 @@
   EXPECT_EQ(out, "5-15001+5hello+02+12twelve bytes");
 }
 
-TEST(Dis, EveryNumberComesBack) {
+TEST(Dis, RoundTripsEveryNumber) {
   const std::uint64_t cases[] = {0, 9, 10, 99, 100, 4294967296u, 9999999999u, ~std::uint64_t{0}};
   for (const std::uint64_t value : cases) {
     const std::string text = Number(value);
@@ -46,7 +46,7 @@
   }
 }
 
-TEST(Dis, BadNumbersAreToldFromUnfinishedOnes) {
+TEST(Dis, DistinguishesMalformedNumbersFromIncompleteOnes) {
   const auto state = [](const char* text) {
     DisReader from(text);
     from.Unsigned();
@@ -66,7 +66,7 @@
   EXPECT_EQ(state("222222222222222222222222222222222"), DisState::kBad);
 }
 
-TEST(Dis, AStringBeyondItsBoundIsRefusedBeforeItArrives) {
+TEST(Dis, RejectsStringBeyondItsBoundBeforeItArrives) {
   DisReader from("6+999999");
   from.Text(1000);
   EXPECT_EQ(from.state(), DisState::kBad);
@@ -130,67 +130,108 @@
   return r;
 }
 
-TEST(Protocol, EveryRequestComesBackAndEveryCutOfItWaits) {
-  for (unsigned type : {0u, 1u, 3u, 4u, 5u, 6u, 7u, 11u, 12u, 13u, 14u, 16u, 18u, 19u, 20u, 21u, 22u, 59u}) {
-    Request sent = Sample(static_cast<RequestType>(type));
-    for (const char* extension : {"", "wait=answer"}) {
-      sent.extension = extension;
-      std::string bytes;
-      Encode(sent, &bytes);
-      Request read;
-      const Parsed whole = Decode(bytes + "+2+1", &read);
-      ASSERT_EQ(whole.state, DisState::kOk) << type << " " << whole.expected;
-      EXPECT_EQ(whole.used, bytes.size());
-      EXPECT_EQ(read, sent) << type;
-      for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-        Request part;
-        const Parsed parsed = Decode(std::string_view(bytes).substr(0, cut), &part);
-        ASSERT_EQ(parsed.state, DisState::kMore) << type << " cut at " << cut << ": " << parsed.expected;
-        EXPECT_GT(parsed.needs, cut);
-        EXPECT_LE(parsed.needs, bytes.size());
-      }
+class EachRequest : public ::testing::TestWithParam<unsigned> {};
+
+TEST_P(EachRequest, RoundTripsAndWaitsForMoreWhereverItIsCut) {
+  const unsigned type = GetParam();
+  Request sent = Sample(static_cast<RequestType>(type));
+  for (const char* extension : {"", "wait=answer"}) {
+    sent.extension = extension;
+    std::string bytes;
+    Encode(sent, &bytes);
+    Request read;
+    const DecodeResult whole = Decode(bytes + "+2+1", &read);
+    ASSERT_EQ(whole.state, DisState::kOk) << type << " " << Describe(whole.error);
+    EXPECT_EQ(whole.used, bytes.size());
+    EXPECT_EQ(read, sent) << type;
+    for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
+      Request part;
+      const DecodeResult result = Decode(std::string_view(bytes).substr(0, cut), &part);
+      ASSERT_EQ(result.state, DisState::kMore) << type << " cut at " << cut << ": " << Describe(result.error);
+      EXPECT_GT(result.needs, cut);
+      EXPECT_LE(result.needs, bytes.size());
     }
   }
 }
 
-TEST(Protocol, EveryReplyComesBackAndEveryCutOfItWaits) {
+INSTANTIATE_TEST_SUITE_P(Types, EachRequest,
+                         ::testing::Values(0u, 1u, 3u, 4u, 5u, 6u, 7u, 11u, 12u, 13u, 14u, 16u, 18u, 19u, 20u,
+                                           21u, 22u, 59u));
+
+std::vector<Reply> SampleReplies() {
   std::vector<Reply> replies(8);
   replies[0].code = Code::kUnknownJob;
   replies[0].auxiliary = -2;
-  replies[1].choice = Choice::kQueued, replies[1].text = "1.d0";
-  replies[2].choice = Choice::kReady, replies[2].text = "1.d0";
-  replies[3].choice = Choice::kCommitted, replies[3].text = "1.d0";
-  replies[4].choice = Choice::kSelected, replies[4].ids = {"1.d0", "2.d0"};
+  replies[1].choice = Choice::kQueued;
+  replies[1].text = "1.d0";
+  replies[2].choice = Choice::kReady;
+  replies[2].text = "1.d0";
+  replies[3].choice = Choice::kCommitted;
+  replies[3].text = "1.d0";
+  replies[4].choice = Choice::kSelected;
+  replies[4].ids = {"1.d0", "2.d0"};
   replies[5].choice = Choice::kStatus;
   replies[5].objects = {{ObjectType::kJob, "1.d0", {{"job_state", "", "R", Op::kSet}}},
                         {ObjectType::kServer, "d0", {}}};
-  replies[6].choice = Choice::kText, replies[6].text = "no memory";
-  replies[7].choice = Choice::kLocate, replies[7].text = "d1";
-  for (const Reply& sent : replies) {
-    std::string bytes;
-    Encode(sent, &bytes);
-    Reply read;
-    const Parsed whole = Decode(bytes, &read);
-    ASSERT_EQ(whole.state, DisState::kOk) << whole.expected;
-    EXPECT_EQ(read, sent);
-    for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-      Reply part;
-      ASSERT_EQ(Decode(std::string_view(bytes).substr(0, cut), &part).state, DisState::kMore);
-    }
+  replies[6].choice = Choice::kText;
+  replies[6].text = "no memory";
+  replies[7].choice = Choice::kLocate;
+  replies[7].text = "d1";
+  return replies;
+}
+
+class EachReply : public ::testing::TestWithParam<Reply> {};
+
+TEST_P(EachReply, RoundTripsAndWaitsForMoreWhereverItIsCut) {
+  const Reply& sent = GetParam();
+  std::string bytes;
+  Encode(sent, &bytes);
+  Reply read;
+  const DecodeResult whole = Decode(bytes, &read);
+  ASSERT_EQ(whole.state, DisState::kOk) << Describe(whole.error);
+  EXPECT_EQ(whole.used, bytes.size());
+  EXPECT_EQ(read, sent);
+  for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
+    Reply part;
+    ASSERT_EQ(Decode(std::string_view(bytes).substr(0, cut), &part).state, DisState::kMore);
   }
 }
 
-TEST(Protocol, WhatGoesBeyondItsBoundsIsNamed) {
+INSTANTIATE_TEST_SUITE_P(Choices, EachReply, ::testing::ValuesIn(SampleReplies()));
+
+TEST(Protocol, ErrorsAreTyped) {
+  Request request;
+  const DecodeError malformed = Decode("+3+1+0", &request).error;
+  EXPECT_EQ(malformed.code, DecodeErrorCode::kMalformed);
+  EXPECT_EQ(malformed.offset, 2u);
+  EXPECT_EQ(Describe(malformed), "protocol type 2 at byte 2");
+  const DecodeError unknown = Decode("+2+12+77+0", &request).error;
+  EXPECT_EQ(unknown.code, DecodeErrorCode::kUnknownRequestType);
+  EXPECT_EQ(unknown.request_type, 77u);
+  EXPECT_EQ(Describe(unknown), "a known request type, got 77");
+  // 99 attributes of the largest size are within each bound but for that of the whole request.
+  Request large;
+  large.type = RequestType::kSelectJobs;
+  large.attributes.assign(99, {"a", "", std::string(kMaxValue, 'x'), Op::kSet});
+  std::string bytes;
+  Encode(large, &bytes);
+  const DecodeResult result = Decode(std::string_view(bytes).substr(0, kMaxRequest), &request);
+  EXPECT_EQ(result.state, DisState::kBad);
+  EXPECT_EQ(result.error.code, DecodeErrorCode::kTooLarge);
+  EXPECT_EQ(Describe(result.error), "a message of at most 4194304 bytes");
+}
+
+TEST(Protocol, NamesTheBoundThatIsExceeded) {
   Request r;
   const auto expected = [&r](const std::string& bytes) {
-    const Parsed parsed = Decode(bytes, &r);
+    const DecodeResult parsed = Decode(bytes, &r);
     EXPECT_EQ(parsed.state, DisState::kBad);
-    return parsed.expected;
+    return Describe(parsed.error);
   };
   EXPECT_NE(expected("+3+1+0").find("protocol type 2"), std::string::npos);
   EXPECT_NE(expected("+2+9+0").find("version"), std::string::npos);
   EXPECT_NE(expected("+2+12+77+0").find("known request type, got 77"), std::string::npos);
-  EXPECT_TRUE(Decode("+2+12+77+0", &r).unknown);
+  EXPECT_EQ(Decode("+2+12+77+0", &r).error.code, DecodeErrorCode::kUnknownRequestType);
   EXPECT_NE(expected("+2+12+16+03+257").find("attribute list of at most 256"), std::string::npos);
   // A size that does not fit what follows it.
   EXPECT_NE(expected("+2+12+16+0+1+9+1a+0+1b+4+0").find("stated size"), std::string::npos);
@@ -200,7 +241,7 @@
   EXPECT_NE(expected("+2+1+5+0+0+7").find("0 or 1"), std::string::npos);
 }
 
-TEST(Protocol, VersionTwoReadsAlike) {
+TEST(Protocol, ReadsVersionTwoToo) {
   Request r;
   EXPECT_EQ(Decode("+2+2+0+4root+0", &r).state, DisState::kOk);
   EXPECT_EQ(r.user, "root");
--- a/tests/pbs_server/pbs_server_test.cpp
+++ b/tests/pbs_server/pbs_server_test.cpp
@@ -57,7 +57,7 @@
     if (out == nullptr) return replies;
     Reply reply;
     for (;;) {
-      const pbs_protocol::Parsed parsed = pbs_protocol::Decode(*out, &reply);
+      const pbs_protocol::DecodeResult parsed = pbs_protocol::Decode(*out, &reply);
       if (parsed.state != pbs_protocol::DisState::kOk) break;
       out->erase(0, parsed.used);
       replies.push_back(reply);
--- a/tests/support/process_fixture.hpp
+++ b/tests/support/process_fixture.hpp
@@ -332,7 +332,7 @@
       input.append(buffer, static_cast<std::size_t>(n));
       for (;;) {
         Got got{p.fd, {}};
-        const pbs_protocol::Parsed parsed = pbs_protocol::Decode(input, &got.request);
+        const pbs_protocol::DecodeResult parsed = pbs_protocol::Decode(input, &got.request);
         if (parsed.state != pbs_protocol::DisState::kOk) break;
         input.erase(0, parsed.used);
         all_.push_back(got);
--- a/tools/chaos/recording_proxy.cpp
+++ b/tools/chaos/recording_proxy.cpp
@@ -130,7 +130,7 @@
   std::size_t used = 0;
   for (;;) {
     pbs_protocol::Request request;
-    const pbs_protocol::Parsed parsed =
+    const pbs_protocol::DecodeResult parsed =
         pbs_protocol::Decode(std::string_view(pair.asked).substr(used), &request);
     if (parsed.state != pbs_protocol::DisState::kOk) {
       pair.broken = parsed.state == pbs_protocol::DisState::kBad;
@@ -148,7 +148,7 @@
   std::size_t used = 0;
   for (;;) {
     pbs_protocol::Reply reply;
-    const pbs_protocol::Parsed parsed =
+    const pbs_protocol::DecodeResult parsed =
         pbs_protocol::Decode(std::string_view(pair.replied).substr(used), &reply);
     if (parsed.state != pbs_protocol::DisState::kOk) {
       pair.broken = parsed.state == pbs_protocol::DisState::kBad;
--- a/tools/chaos/workload.cpp
+++ b/tools/chaos/workload.cpp
@@ -154,7 +154,7 @@
     const auto it = jobs_.find(number);
     if (it == jobs_.end() || it->second.conn != conn) return;
     pbs_protocol::Reply reply;
-    const pbs_protocol::Parsed parsed = pbs_protocol::Decode(it->second.input, &reply);
+    const pbs_protocol::DecodeResult parsed = pbs_protocol::Decode(it->second.input, &reply);
     if (parsed.state != pbs_protocol::DisState::kOk) return;
     it->second.input.erase(0, parsed.used);
     Handle(it->second, reply);
--- a/tools/fuzz/targets.cpp
+++ b/tools/fuzz/targets.cpp
@@ -25,11 +25,11 @@
 template <typename Message>
 void ReadAndWriteBack(std::string_view bytes) {
   Message read;
-  const pbs_protocol::Parsed parsed = pbs_protocol::Decode(bytes, &read);
+  const pbs_protocol::DecodeResult parsed = pbs_protocol::Decode(bytes, &read);
   if (parsed.state == pbs_protocol::DisState::kMore)
     Must(parsed.needs > bytes.size(), "more is needed than is there");
   if (parsed.state == pbs_protocol::DisState::kBad)
-    Must(!parsed.expected.empty(), "what was expected is named");
+    Must(!pbs_protocol::Describe(parsed.error).empty(), "what was expected is named");
   if (parsed.state != pbs_protocol::DisState::kOk) return;
   Must(parsed.used <= bytes.size(), "no more was used than is there");
   std::string written;
--- a/tools/load_generator/main.cpp
+++ b/tools/load_generator/main.cpp
@@ -71,7 +71,7 @@
     std::size_t used = 0;
     for (;;) {
       pbs_protocol::Reply reply;
-      const pbs_protocol::Parsed parsed =
+      const pbs_protocol::DecodeResult parsed =
           pbs_protocol::Decode(std::string_view(c.input).substr(used), &reply);
       if (parsed.state != pbs_protocol::DisState::kOk) break;
       used += parsed.used;
