--- a/src/pbs_client/connection.cpp
+++ b/src/pbs_client/connection.cpp
@@ -158,13 +158,13 @@
   for (;;) {
     if (input_.size() >= needed) {
       pbs_protocol::Reply reply;
-      const pbs_protocol::Parsed parsed = pbs_protocol::Decode(input_, &reply);
+      const pbs_protocol::DecodeResult parsed = pbs_protocol::Decode(input_, &reply);
       if (parsed.state == pbs_protocol::DisState::kOk) {
         input_.erase(0, parsed.used);
         return reply;
       }
       if (parsed.state == pbs_protocol::DisState::kBad) {
-        return tl::make_unexpected(ConnectionError{ConnectionErrorCode::kBadReply, "", parsed.expected, {}});
+        return tl::make_unexpected(ConnectionError{ConnectionErrorCode::kBadReply, "", pbs_protocol::Describe(parsed.error), {}});
       }
       needed = parsed.needs;
     }
--- a/tests/pbs_client/pbs_client_test.cpp
+++ b/tests/pbs_client/pbs_client_test.cpp
@@ -69,7 +69,7 @@
     char buffer[4096];
     for (;;) {
       Request request;
-      const pbs_protocol::Parsed parsed = pbs_protocol::Decode(input, &request);
+      const pbs_protocol::DecodeResult parsed = pbs_protocol::Decode(input, &request);
       if (parsed.state == pbs_protocol::DisState::kOk) {
         input.erase(0, parsed.used);
         requests_.push_back(request);
