--- /dev/null
+++ b/src/scheduler/load_model.cpp
@@ -0,0 +1,143 @@
+#include "scheduler/load_model.hpp"
+
+#include <algorithm>
+#include <limits>
+#include <map>
+
+#include "scheduler/time_units.hpp"
+
+namespace mountflow {
+namespace {
+
+// A node's own report of its load counts this long: use changes within seconds.
+constexpr Micros kReportLifetime = 5 * kSecond;
+// Tasks use less than they ask for: a share of cores in use stands for this many times as large a share
+// asked.
+constexpr double kAskedPerUsed = 1.1;
+// The lowest capacity of a node, so that it may divide.
+constexpr double kMinCapacity = 1e-6;
+
+struct FillStep {
+  double level;  // load by capacity
+  double capacity;
+};
+
+// Load by capacity that is reached when `load` is poured over the steps, the lowest level first.
+double FillLevel(const std::vector<FillStep>& steps, double load) {
+  double capacity = 0.0;
+  double level = 0.0;
+  for (std::size_t i = 0; i < steps.size(); ++i) {
+    level = steps[i].level;
+    capacity += steps[i].capacity;
+    const double next = i + 1 < steps.size() ? steps[i + 1].level : std::numeric_limits<double>::max();
+    if (load < capacity * (next - level)) return level + load / capacity;
+    load -= capacity * (next - level);
+  }
+  return level;
+}
+
+}  // namespace
+
+void LoadModel::ChooseReferenceKind(const std::vector<NodeRecord*>& ready) {
+  std::map<unsigned, int> count_by_kind;
+  for (const NodeRecord* node : ready) ++count_by_kind[node->entry.kind];
+  int highest_count = 0;
+  for (const auto& [kind, count] : count_by_kind) {
+    if (count <= highest_count || kind >= settings_.node_kinds.size()) continue;
+    highest_count = count;
+    reference_cores_ = std::max(kMinCapacity, settings_.node_kinds[kind].cores);
+  }
+}
+
+double LoadModel::Cap() const {
+  return PriorityWeights::Highest() * reference_cores_ * settings_.overcommit_cores / settings_.mean_cores;
+}
+
+double LoadModel::Capacity(const NodeRecord& node) const {
+  return std::max(kMinCapacity, KindOf(settings_, node.entry).cores / reference_cores_);
+}
+
+double LoadModel::MeanWeight(const NodeRecord& node) const {
+  return node.own_load.task_count() > 0 ? node.own_load.mean_priority_weight() : weights_.mean();
+}
+
+double LoadModel::Load(const NodeRecord& node) const {
+  const double unobserved = node.own_load.unobserved_amounts().priority_weight;
+  // Without free capacity in the list, each other scheduler is taken to have sent as much there as we did.
+  if (!settings_.list_has_free_capacity) return unobserved * group_.size();
+  const double asked_cores = std::max(0.0, KindOf(settings_, node.entry).cores - node.entry.free_cores);
+  return std::max(0.0, asked_cores / settings_.mean_cores * MeanWeight(node) + unobserved);
+}
+
+double LoadModel::ReportedLoad(const NodeRecord& node, Micros now) const {
+  const ReportedUtilisation& report = node.utilisation;
+  if (report.at == 0 || now > report.at + kReportLifetime) return 0.0;
+  return kAskedPerUsed * report.share * KindOf(settings_, node.entry).cores / settings_.mean_cores *
+         MeanWeight(node);
+}
+
+void LoadModel::NoteReport(const LoadReport& report, NodeRecord* node, Micros now) {
+  if (!report.utilisation || !IsAmount(*report.utilisation)) return;
+  node->utilisation = {now, std::min(1.0, *report.utilisation)};
+}
+
+bool LoadModel::Fits(const NodeRecord& node, const Task& task, double capacity,
+                     const FleetLoad& fleet_load) const {
+  const NodeKind kind = KindOf(settings_, node.entry);
+  double cores = node.entry.free_cores;
+  double memory = node.entry.free_memory;
+  double unobserved_cores = node.own_load.unobserved_amounts().cores;
+  double unobserved_memory = node.own_load.unobserved_amounts().memory;
+  if (!settings_.list_has_free_capacity) {  // each other scheduler is taken to hold as much there as we do
+    cores = kind.cores - unobserved_cores * group_.size();
+    memory = kind.memory - unobserved_memory * group_.size();
+    unobserved_cores = 0.0;
+    unobserved_memory = 0.0;
+  }
+  cores += (settings_.overcommit_cores - 1.0) * kind.cores - unobserved_cores;
+  memory += (settings_.overcommit_memory - 1.0) * kind.memory - unobserved_memory;
+  if (settings_.nodes_preempt && settings_.classes[task.task_class].priority < weights_.highest_priority()) {
+    cores -= fleet_load.unobserved_tasks_by_capacity * settings_.mean_cores * capacity;
+    memory -= fleet_load.unobserved_tasks_by_capacity * settings_.mean_memory * capacity;
+  }
+  return cores >= task.cores && memory >= task.memory;
+}
+
+std::vector<NodeLoad> LoadModel::LoadOfEach(const FleetState& fleet, const SlowStart& slow_start) const {
+  std::vector<NodeLoad> loads;
+  loads.reserve(fleet.ready.size());
+  for (NodeRecord* node : fleet.ready) {
+    const bool is_warming_up = slow_start.IsWarmingUp(node->entry, fleet.now);
+    loads.push_back({node, Load(*node), Capacity(*node), is_warming_up, false});
+  }
+  return loads;
+}
+
+FleetLoad LoadModel::LoadOfAll(const std::vector<NodeLoad>& loads, const FleetState& fleet) const {
+  FleetLoad total;
+  double all_load = 0.0;
+  double all_capacity = 0.0;
+  std::vector<FillStep> steps;
+  steps.reserve(loads.size());
+  for (const NodeLoad& node : loads) {
+    if (node.is_warming_up) continue;
+    all_load += node.load;
+    all_capacity += node.capacity;
+    steps.push_back({node.load / node.capacity, node.capacity});
+  }
+  if (all_capacity > 0.0) total.mean_load = all_load / all_capacity;
+  std::sort(steps.begin(), steps.end(), [](const FillStep& a, const FillStep& b) {
+    return a.level != b.level ? a.level < b.level : a.capacity < b.capacity;
+  });
+  for (const FillStep& step : steps) total.capacity += step.capacity;
+  const double others = (group_.size() - 1.0) / group_.size();  // our own starts we know
+  const auto list_age = static_cast<double>(fleet.now - fleet.observed_at);
+  const double unobserved = 2.0 * others * fleet.start_rate * list_age * weights_.mean();
+  if (total.capacity > 0.0) {
+    total.unobserved_tasks_by_capacity = unobserved / weights_.mean() / total.capacity;
+  }
+  total.fill_level = FillLevel(steps, unobserved);
+  return total;
+}
+
+}  // namespace mountflow
--- /dev/null
+++ b/src/scheduler/outlier_ejection.cpp
@@ -0,0 +1,117 @@
+#include "scheduler/outlier_ejection.hpp"
+
+#include <algorithm>
+
+#include "scheduler/time_units.hpp"
+
+namespace mountflow {
+namespace {
+
+// Ejection time of a node, doubled with each strike in a row up to the highest.
+constexpr Micros kBaseEjectionTime = 1 * kSecond;
+constexpr Micros kMaxEjectionTime = 8 * kSecond;
+// The same for one class. Longer, as such a fault stays until somebody acts, and few own tasks would meet it.
+constexpr Micros kBaseClassEjectionTime = 8 * kSecond;
+constexpr Micros kMaxClassEjectionTime = 32 * kSecond;
+// Doublings at most, so that no time overflows.
+constexpr int kMaxDoublings = 8;
+// Share of the ready nodes that look bad above which the fault is more likely ours.
+constexpr double kMaxEjectedShare = 0.5;
+// Starts that must have been due at a node while its list entry did not change, to call the entry stale.
+constexpr double kStaleAfterStarts = 6.0;
+// An attempt unanswered this long at a node not heard from since means silence. An acceptance takes tens of
+// milliseconds, a stall half a second; where only the start is told, that may well take seconds.
+constexpr Micros kSilenceBeforeAcceptance = 800 * kMillisecond;
+constexpr Micros kSilenceBeforeStart = 2500 * kMillisecond;
+// Health checks tell sooner: sent after this long, as far apart, and silence when this many failed in a row.
+constexpr Micros kHealthCheckInterval = 500 * kMillisecond;
+constexpr int kMaxFailedChecks = 2;
+
+Micros EjectionTime(Micros base, Micros highest, int strikes_before) {
+  return std::min(highest, base << std::min(strikes_before, kMaxDoublings));
+}
+
+}  // namespace
+
+void OutlierEjection::NoteAlive(NodeHealth* health, Micros now) {
+  health->last_alive_at = now;
+  health->strikes = 0;
+  health->failed_checks = 0;
+  health->ejected_until = 0;
+}
+
+void OutlierEjection::NoteRestart(NodeHealth* health, Micros now) {
+  NoteAlive(health, now);
+  health->class_health.clear();
+}
+
+bool OutlierEjection::Strike(NodeHealth* health, Micros now) {
+  if (now < health->ejected_until) return false;
+  health->ejected_until = now + EjectionTime(kBaseEjectionTime, kMaxEjectionTime, health->strikes);
+  return ++health->strikes == 1;
+}
+
+void OutlierEjection::FailClass(NodeHealth* health, unsigned task_class, Micros now) {
+  ClassHealth& in_class = health->class_health[task_class];
+  in_class.ejected_until =
+      now + EjectionTime(kBaseClassEjectionTime, kMaxClassEjectionTime, in_class.failures);
+  ++in_class.failures;
+}
+
+void OutlierEjection::ClearClass(NodeHealth* health, unsigned task_class) {
+  health->class_health.erase(task_class);
+}
+
+bool OutlierEjection::MayGetAttempt(const NodeLoad& node, unsigned task_class, bool trust_all, Micros now) {
+  const NodeHealth& health = node.node->health;
+  const auto in_class = health.class_health.find(task_class);
+  if (in_class != health.class_health.end() && now < in_class->second.ejected_until) return false;
+  if (trust_all) return true;
+  const bool may_be_tried = now >= health.ejected_until && node.node->pending_starts == 0;
+  return (health.strikes == 0 || may_be_tried) && !node.is_entry_stale;
+}
+
+bool OutlierEjection::Examine(const FleetState& fleet, const FleetLoad& fleet_load,
+                              std::vector<NodeLoad>* nodes) const {
+  int bad_nodes = 0;
+  for (NodeLoad& node : *nodes) {
+    node.is_entry_stale = IsEntryStale(node, fleet, fleet_load.capacity);
+    if (node.node->health.strikes > 0 || node.is_entry_stale) ++bad_nodes;
+  }
+  return bad_nodes > kMaxEjectedShare * static_cast<double>(nodes->size());
+}
+
+bool OutlierEjection::IsEntryStale(const NodeLoad& node, const FleetState& fleet,
+                                   double fleet_capacity) const {
+  const NodeRecord& record = *node.node;
+  if (!settings_.list_has_free_capacity || node.is_warming_up || record.entry_changed_at == 0) return false;
+  if (record.entry.free_cores >= KindOf(settings_, record.entry).cores) return false;
+  if (record.health.last_alive_at > record.entry_changed_at) return false;
+  const double part = fleet_capacity > 0.0 ? node.capacity / fleet_capacity : 0.0;
+  const Micros changed_at = record.entry_changed_at;
+  const Micros unchanged_for = fleet.list_at > changed_at ? fleet.list_at - changed_at : 0;
+  return 2.0 * fleet.start_rate * part * static_cast<double>(unchanged_for) > kStaleAfterStarts;
+}
+
+bool OutlierEjection::IsSilent(const NodeHealth& health, Micros elapsed) const {
+  const Micros patience = settings_.started_means_running ? kSilenceBeforeStart : kSilenceBeforeAcceptance;
+  return health.failed_checks >= kMaxFailedChecks || elapsed >= patience;
+}
+
+bool OutlierEjection::IsCheckDue(const NodeHealth& health, Micros elapsed, Micros now) const {
+  return settings_.may_check_health && elapsed >= kHealthCheckInterval && !health.check_in_flight &&
+         now >= health.checked_at + kHealthCheckInterval;
+}
+
+void OutlierEjection::NoteCheckStart(NodeHealth* health, Micros now) {
+  health->check_in_flight = true;
+  health->checked_at = now;
+}
+
+void OutlierEjection::NoteCheckResult(NodeHealth* health, bool answered, Micros now) {
+  health->check_in_flight = false;
+  if (answered) return NoteAlive(health, now);
+  ++health->failed_checks;
+}
+
+}  // namespace mountflow
--- /dev/null
+++ b/src/scheduler/outlier_ejection.hpp
@@ -0,0 +1,58 @@
+// Outlier ejection: which nodes look broken, and for how long they get no attempts.
+#ifndef MOUNTFLOW_SCHEDULER_OUTLIER_EJECTION_HPP_
+#define MOUNTFLOW_SCHEDULER_OUTLIER_EJECTION_HPP_
+
+#include <vector>
+
+#include "mountflow/scheduler.hpp"
+#include "scheduler/load_model.hpp"
+#include "scheduler/node_record.hpp"
+
+namespace mountflow {
+
+// A node with bad signs gets no attempts for its ejection time, then one at a time until it shows a sign of
+// life. A half-broken node looks the emptier the less it does, and would draw the largest share.
+// Invariant: a sign of life clears strikes, failed checks and the ejection, but not the failures by class.
+// `settings` must outlive this.
+class OutlierEjection {
+ public:
+  explicit OutlierEjection(const Settings& settings) : settings_(settings) {}
+
+  static void NoteAlive(NodeHealth* health, Micros now);
+  // A new incarnation: what was seen before says nothing of it.
+  static void NoteRestart(NodeHealth* health, Micros now);
+
+  // A bad sign, which ejects the node unless it is ejected already. Returns whether it is the first one since
+  // the last sign of life.
+  static bool Strike(NodeHealth* health, Micros now);
+
+  // The node fails tasks of one class, whatever it does with others: it is ejected for that class alone.
+  static void FailClass(NodeHealth* health, unsigned task_class, Micros now);
+  static void ClearClass(NodeHealth* health, unsigned task_class);
+
+  // Whether health lets the node have an attempt of the class. `trust_all`: what Examine returned.
+  static bool MayGetAttempt(const NodeLoad& node, unsigned task_class, bool trust_all, Micros now);
+
+  // Sets is_entry_stale of each node. Returns whether so many look bad that the fault is more likely ours:
+  // then no node is left out for it.
+  bool Examine(const FleetState& fleet, const FleetLoad& fleet_load, std::vector<NodeLoad>* nodes) const;
+
+  // Whether a node not heard from since it was sent an attempt `elapsed` ago counts as silent.
+  bool IsSilent(const NodeHealth& health, Micros elapsed) const;
+  // Whether to ask such a node by a health check.
+  bool IsCheckDue(const NodeHealth& health, Micros elapsed, Micros now) const;
+  static void NoteCheckStart(NodeHealth* health, Micros now);
+  static void NoteCheckResult(NodeHealth* health, bool answered, Micros now);
+
+ private:
+  // The node list tells all schedulers alike: a node that holds tasks, and whose entry did not change while
+  // its part of the fleet's starts was due, takes and ends nothing. It hangs, or is gone unlisted. A change
+  // of its entry clears it, and so does our own sign of life from it, which is worth more.
+  bool IsEntryStale(const NodeLoad& node, const FleetState& fleet, double fleet_capacity) const;
+
+  const Settings& settings_;
+};
+
+}  // namespace mountflow
+
+#endif  // MOUNTFLOW_SCHEDULER_OUTLIER_EJECTION_HPP_
--- /dev/null
+++ b/src/scheduler/time_units.hpp
@@ -0,0 +1,17 @@
+// Units of time for the constants of the decision library.
+#ifndef MOUNTFLOW_SCHEDULER_TIME_UNITS_HPP_
+#define MOUNTFLOW_SCHEDULER_TIME_UNITS_HPP_
+
+#include "mountflow/scheduler.hpp"
+
+namespace mountflow {
+
+inline constexpr Micros kMillisecond = 1000;
+inline constexpr Micros kSecond = 1000 * kMillisecond;
+
+// The point in time `duration` before `now`, 0 where there is none.
+inline Micros TimeBefore(Micros now, Micros duration) { return now > duration ? now - duration : 0; }
+
+}  // namespace mountflow
+
+#endif  // MOUNTFLOW_SCHEDULER_TIME_UNITS_HPP_
--- a/src/scheduler/unobserved_load.hpp
+++ b/src/scheduler/unobserved_load.hpp
@@ -1,11 +1,14 @@
-// A scheduler's own tasks on one machine, as sums: what a view of some age does not show of them yet, and
-// what is there now. No cost grows with the tasks that went out before: sums move forward with each start and
-// end, and with the view. They are whole numbers of 2^-40, so that they neither drift nor depend on the
-// order.
+// Load that this scheduler put on one node, as sums: what a node list of some age does not show yet, and what
+// is there now. Bookkeeping only; it chooses nothing.
+//
+// No cost grows with the number of tasks sent before: the sums move forward with each start and end, and with
+// each node list. They are whole numbers of 2^-40, so that they neither drift nor depend on the order.
 #ifndef MOUNTFLOW_SCHEDULER_UNOBSERVED_LOAD_HPP_
 #define MOUNTFLOW_SCHEDULER_UNOBSERVED_LOAD_HPP_
 
 #include <algorithm>
+#include <array>
+#include <cmath>
 #include <cstddef>
 #include <cstdint>
 #include <deque>
@@ -13,120 +16,187 @@
 #include "mountflow/scheduler.hpp"
 
 namespace mountflow {
-using Sum = __int128;  // of 2^-40; no size is taken for more than 2^60, so 2^27 of them fit
-inline Sum ToSum(double size) { return static_cast<Sum>(std::min(size, 0x1p60) * 0x1p40); }
-inline double ToSize(Sum sum) { return static_cast<double>(sum) * 0x1p-40; }
 
-struct OwnTask {
+// In units of 2^-40. No amount is taken for more than 2^60, so that 2^27 of them fit.
+using FixedPoint = __int128;
+inline FixedPoint ToFixedPoint(double amount) {
+  return static_cast<FixedPoint>(std::min(amount, 0x1p60) * 0x1p40);
+}
+inline double ToDouble(FixedPoint amount) { return static_cast<double>(amount) * 0x1p-40; }
+
+// Amounts are finite and not negative.
+inline bool IsAmount(double amount) { return std::isfinite(amount) && amount >= 0.0; }
+
+// What one task adds to the load of its node.
+struct TaskLoad {
   RequestId request = 0;
-  double cores = 0.0, memory = 0.0, ratio = 0.0;  // finite, not negative
-  Micros sent = 0;
+  double cores = 0.0;
+  double memory = 0.0;
+  double priority_weight = 0.0;
+  Micros sent_at = 0;
 };
 
-template <typename T>
-struct Parts {
-  T cores = 0, memory = 0, ratio = 0;
+template <typename Number>
+struct LoadAmounts {
+  Number cores = 0;
+  Number memory = 0;
+  Number priority_weight = 0;
 };
 
-class OwnWork {
+class UnobservedLoad {
  public:
-  const Parts<Sum>& unseen() const { return unseen_; }  // sent after the view's time, less ended after it
-  const Parts<Sum>& there() const { return there_; }    // not ended
-  std::size_t count() const { return count_; }
-  const Parts<double>& unseen_sizes() const { return sizes_; }  // of unseen(); kept: asked far more often
-  double mean_ratio() const { return mean_ratio_; }             // of what is there, if anything
-
-  void Start(const OwnTask& t) {
-    Count(t, 1, t.sent > view_);
-    Keep({t, t.sent, 1});
+  // Sent after the time that the node list is true of, less what ended after it.
+  const LoadAmounts<FixedPoint>& unobserved() const { return unobserved_; }
+  // The same as numbers; kept, since they are read far more often than they change.
+  const LoadAmounts<double>& unobserved_amounts() const { return unobserved_amounts_; }
+  // Of the tasks that have not ended.
+  const LoadAmounts<FixedPoint>& present() const { return present_; }
+  std::size_t task_count() const { return task_count_; }
+  // Of the tasks that have not ended; 0 where there are none.
+  double mean_priority_weight() const { return mean_priority_weight_; }
+
+  void Start(const TaskLoad& task) {
+    Count(task, 1, task.sent_at > observed_at_);
+    Insert({task, task.sent_at, 1});
   }
-  void End(const OwnTask& t, Micros now) {
-    Count(t, -1, now > view_);
-    Keep({t, now, -1});
+
+  void End(const TaskLoad& task, Micros now) {
+    Count(task, -1, now > observed_at_);
+    Insert({task, now, -1});
   }
-  // It never was there, and leaves no trace.
-  void Drop(const OwnTask& t) {
-    Count(t, -1, t.sent > view_);
-    Annul(t.sent, t.request);
+
+  // Takes back a task that never ran: no trace of it is left.
+  void Withdraw(const TaskLoad& task) {
+    Count(task, -1, task.sent_at > observed_at_);
+    Annul(task.sent_at, task.request);
   }
-  // One that ended at `at` need not be known any more.
-  void Forget(const OwnTask& t, Micros at) {
-    if (t.sent <= view_ && at > view_) Add(t, 1, &unseen_);
-    Annul(t.sent, t.request);
-    Annul(at, t.request);
-    Settle();
+
+  // A task that ended at `ended_at` need not be known any more.
+  void Forget(const TaskLoad& task, Micros ended_at) {
+    if (task.sent_at <= observed_at_ && ended_at > observed_at_) Add(task, 1, &unobserved_);
+    Annul(task.sent_at, task.request);
+    Annul(ended_at, task.request);
+    UpdateAmounts();
   }
-  // The view is now true of `view`; nobody will ask for changes at `floor` or before, nor move back there.
-  void MoveTo(Micros view, Micros floor) {
-    const int way = view > view_ ? -1 : 1;
-    ForEach(std::min(view, view_), std::max(view, view_),
-            [&](const Change& c) { Add(c.task, way * c.sign, &unseen_); });
-    view_ = view;
-    floor_ = std::max(floor_, floor);
-    for (; !changes_.empty() && changes_.front().at <= floor_; changes_.pop_front()) {
-      if (changes_.front().sign == 0) --annulled_;
+
+  // The node list is now true of `observed_at`, which may be earlier than before. Nobody will ask for changes
+  // at `forget_until` or earlier, nor move back there.
+  void ObserveUntil(Micros observed_at, Micros forget_until) {
+    const int direction = observed_at > observed_at_ ? -1 : 1;
+    ForEach(std::min(observed_at, observed_at_), std::max(observed_at, observed_at_),
+            [&](const Change& change) { Add(change.task, direction * change.sign, &unobserved_); });
+    observed_at_ = observed_at;
+    forgotten_until_ = std::max(forgotten_until_, forget_until);
+    while (!changes_.empty() && changes_.front().at <= forgotten_until_) {
+      if (changes_.front().sign == 0) --annulled_count_;
+      changes_.pop_front();
     }
-    Settle();
+    UpdateAmounts();
   }
-  // Calls visit(time, cores started less ended) for each change after `from` and not after `to`, in its
-  // order.
+
+  // Calls visit(time, cores started less cores ended) for each change after `from` and not after `until`, in
+  // the order of time.
   template <typename Visit>
-  void ForChanges(Micros from, Micros to, Visit visit) const {
-    ForEach(from, to, [&](const Change& c) { visit(c.at, c.sign * ToSum(c.task.cores)); });
+  void ForEachChange(Micros from, Micros until, Visit visit) const {
+    ForEach(from, until,
+            [&](const Change& change) { visit(change.at, change.sign * ToFixedPoint(change.task.cores)); });
   }
 
  private:
   struct Change {
-    OwnTask task;
+    TaskLoad task;
     Micros at;
-    int sign;  // 1 a start, -1 an end, 0 annulled
+    int sign;  // 1: started, -1: ended, 0: annulled
   };
 
-  static void Add(const OwnTask& t, int sign, Parts<Sum>* to) {
-    to->cores += sign * ToSum(t.cores);
-    to->memory += sign * ToSum(t.memory);
-    to->ratio += sign * ToSum(t.ratio);
+  static void Add(const TaskLoad& task, int sign, LoadAmounts<FixedPoint>* amounts) {
+    amounts->cores += sign * ToFixedPoint(task.cores);
+    amounts->memory += sign * ToFixedPoint(task.memory);
+    amounts->priority_weight += sign * ToFixedPoint(task.priority_weight);
   }
-  std::size_t After(Micros at) const {
-    const auto later = [](Micros time, const Change& c) { return time < c.at; };
-    return std::upper_bound(changes_.begin(), changes_.end(), at, later) - changes_.begin();
+
+  // Index of the first change after `at`.
+  std::ptrdiff_t IndexAfter(Micros at) const {
+    const auto is_later = [](Micros time, const Change& change) { return time < change.at; };
+    return std::upper_bound(changes_.begin(), changes_.end(), at, is_later) - changes_.begin();
   }
+
   template <typename Visit>
-  void ForEach(Micros from, Micros to, Visit visit) const {
-    for (auto it = changes_.begin() + After(from); it != changes_.end() && it->at <= to; ++it) visit(*it);
+  void ForEach(Micros from, Micros until, Visit visit) const {
+    for (auto it = changes_.begin() + IndexAfter(from); it != changes_.end() && it->at <= until; ++it) {
+      visit(*it);
+    }
   }
-  void Count(const OwnTask& t, int sign, bool unseen) {
-    count_ += sign;
-    Add(t, sign, &there_);
-    if (unseen) Add(t, sign, &unseen_);
-    Settle();
+
+  void Count(const TaskLoad& task, int sign, bool is_unobserved) {
+    task_count_ += sign;
+    Add(task, sign, &present_);
+    if (is_unobserved) Add(task, sign, &unobserved_);
+    UpdateAmounts();
   }
-  void Settle() {
-    sizes_ = {ToSize(unseen_.cores), ToSize(unseen_.memory), ToSize(unseen_.ratio)};
-    mean_ratio_ = count_ > 0 ? ToSize(there_.ratio) / static_cast<double>(count_) : 0.0;
+
+  void UpdateAmounts() {
+    unobserved_amounts_ = {ToDouble(unobserved_.cores), ToDouble(unobserved_.memory),
+                           ToDouble(unobserved_.priority_weight)};
+    mean_priority_weight_ =
+        task_count_ > 0 ? ToDouble(present_.priority_weight) / static_cast<double>(task_count_) : 0.0;
   }
-  void Keep(const Change& change) {  // most are the last; a task found running is as old as can be
-    if (change.at > floor_) changes_.insert(changes_.begin() + After(change.at), change);
+
+  // Most changes are the latest; a recovered task is as old as can be.
+  void Insert(const Change& change) {
+    if (change.at > forgotten_until_) changes_.insert(changes_.begin() + IndexAfter(change.at), change);
   }
+
   void Annul(Micros at, RequestId request) {
-    if (at <= floor_) return;
-    auto it = changes_.begin() + After(at - 1);
+    if (at <= forgotten_until_) return;
+    auto it = changes_.begin() + IndexAfter(at - 1);
     while (it != changes_.end() && it->at == at && (it->task.request != request || it->sign == 0)) ++it;
     if (it == changes_.end() || it->at != at) return;
     it->sign = 0;
-    if (++annulled_ * 2 <= changes_.size()) return;
-    std::erase_if(changes_, [](const Change& c) { return c.sign == 0; });
-    annulled_ = 0;
+    if (++annulled_count_ * 2 <= changes_.size()) return;
+    std::erase_if(changes_, [](const Change& change) { return change.sign == 0; });
+    annulled_count_ = 0;
   }
 
-  Parts<Sum> unseen_, there_;
-  Parts<double> sizes_;
-  double mean_ratio_ = 0.0;
-  std::size_t count_ = 0, annulled_ = 0;
-  Micros view_ = 0, floor_ = 0;
-  std::deque<Change> changes_;  // in the order of time, after floor_; of what is there or was not forgotten
+  LoadAmounts<FixedPoint> unobserved_;
+  LoadAmounts<FixedPoint> present_;
+  LoadAmounts<double> unobserved_amounts_;
+  double mean_priority_weight_ = 0.0;
+  std::size_t task_count_ = 0;
+  Micros observed_at_ = 0;
+  Micros forgotten_until_ = 0;
+  // By time, after forgotten_until_: of the tasks that are present or ended and not forgotten.
+  std::deque<Change> changes_;
+  std::size_t annulled_count_ = 0;  // changes with sign 0
 };
 
+// Cores that own starts and ends took on a node between two node lists, which came at `previous_at` and
+// `now`, if lists are true of `age` before they come: for ages of 0, 1 ... Ages - 1 times `step`. Kept as
+// differences: the cores at an age are the sum of the elements up to it.
+template <std::size_t Ages>
+std::array<FixedPoint, Ages + 1> OwnChangesByAge(const UnobservedLoad& load, Micros previous_at, Micros now,
+                                                 Micros step) {
+  std::array<FixedPoint, Ages + 1> differences{};
+  const auto add_change = [&](Micros at, FixedPoint cores) {
+    // The ages at which it happened after the list before and not after this one.
+    const std::size_t first = at > previous_at ? 0 : (previous_at - at) / step + 1;
+    const std::size_t last = std::min<std::size_t>((now - at) / step, Ages - 1);
+    if (first > last) return;
+    differences[first] += cores;
+    differences[last + 1] -= cores;
+  };
+  const Micros highest_age = (Ages - 1) * step;
+  if (now - previous_at >= step) {
+    load.ForEachChange(previous_at > highest_age ? previous_at - highest_age : 0, now, add_change);
+    return differences;
+  }
+  // Lists that come often: visits only what each age newly shows.
+  for (Micros age = 0; age <= std::min(previous_at, highest_age); age += step) {
+    load.ForEachChange(previous_at - age, now - age, add_change);
+  }
+  return differences;
+}
+
 }  // namespace mountflow
 
 #endif  // MOUNTFLOW_SCHEDULER_UNOBSERVED_LOAD_HPP_
