--- a/tests/scheduler/unobserved_load_test.cpp
+++ b/tests/scheduler/unobserved_load_test.cpp
@@ -101,7 +101,8 @@
     };
     near(own.unobserved().cores, walk.Since(view, [](const TaskLoad& t) { return t.cores; }));
     near(own.unobserved().memory, walk.Since(view, [](const TaskLoad& t) { return t.memory; }));
-    near(own.unobserved().priority_weight, walk.Since(view, [](const TaskLoad& t) { return t.priority_weight; }));
+    near(own.unobserved().priority_weight,
+         walk.Since(view, [](const TaskLoad& t) { return t.priority_weight; }));
     double ratio = 0.0;
     std::size_t count = 0;
     for (const Walked& t : walk.tasks) {
@@ -111,7 +112,8 @@
     ASSERT_EQ(own.task_count(), count);
     ASSERT_EQ(own.unobserved_amounts().cores, ToDouble(own.unobserved().cores));
     if (count > 0) {
-      ASSERT_EQ(own.mean_priority_weight(), ToDouble(own.present().priority_weight) / static_cast<double>(count));
+      ASSERT_EQ(own.mean_priority_weight(),
+                ToDouble(own.present().priority_weight) / static_cast<double>(count));
     }
     if (::testing::Test::HasFailure()) return;
   }
--- a/tests/support/scheduler_fixture.hpp
+++ b/tests/support/scheduler_fixture.hpp
@@ -1,4 +1,4 @@
-// A hand-fed scheduler for the module tests: events in, actions out, no bench.
+// A scheduler whose events come from the test: events in, actions out, without sockets or a clock.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_SCHEDULER_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_SCHEDULER_FIXTURE_HPP_
 
@@ -8,131 +8,131 @@
 #include <vector>
 
 #include "mountflow/scheduler.hpp"
+#include "scheduler/time_units.hpp"
 
 namespace mountflow::testing {
 
-constexpr Micros kMs = 1000;
-constexpr Micros kSecond = 1000 * kMs;
-
-// Two schedulers, one kind of 40 cores and 100 memory, one safe class.
-inline Settings Plain() {
-  Settings s;
-  s.classes.resize(1);
-  s.classes[0].idempotency = Idempotency::kIdempotent;
-  s.classes[0].deduplication_scope = DeduplicationScope::kRack;
-  s.classes[0].deduplication_window = 5 * kSecond;
-  s.classes[0].start_value_seconds = 10.0;
-  s.node_kinds = {{40.0, 100.0}};
-  s.group_size = 2;
-  s.self_index = 0;
-  s.list_has_free_capacity = true;
-  s.started_means_running = false;
-  s.may_cancel = true;
-  s.max_attempts = 4;
-  s.mean_cores = 1.0;
-  s.mean_memory = 2.0;
-  s.client_wait = 3 * kSecond;
-  s.answer_slack = 8 * kMs;
-  s.drain_grace_period = 2 * kSecond;
-  s.slow_start_initial_pace = 0.25;
-  s.slow_start_duration = 17 * kSecond;
-  s.overload_multiple = 2.0;
-  s.slow_start_window = 3 * kSecond;
-  s.slow_start_budget = 8.0;
-  return s;
+// Two schedulers, one kind of 40 cores and 100 memory, one idempotent class.
+inline Settings DefaultSettings() {
+  Settings settings;
+  settings.classes.resize(1);
+  settings.classes[0].idempotency = Idempotency::kIdempotent;
+  settings.classes[0].deduplication_scope = DeduplicationScope::kRack;
+  settings.classes[0].deduplication_window = 5 * kSecond;
+  settings.classes[0].start_value_seconds = 10.0;
+  settings.node_kinds = {{40.0, 100.0}};
+  settings.group_size = 2;
+  settings.self_index = 0;
+  settings.list_has_free_capacity = true;
+  settings.started_means_running = false;
+  settings.may_cancel = true;
+  settings.max_attempts = 4;
+  settings.mean_cores = 1.0;
+  settings.mean_memory = 2.0;
+  settings.client_wait = 3 * kSecond;
+  settings.answer_slack = 8 * kMillisecond;
+  settings.drain_grace_period = 2 * kSecond;
+  settings.slow_start_initial_pace = 0.25;
+  settings.slow_start_duration = 17 * kSecond;
+  settings.overload_multiple = 2.0;
+  settings.slow_start_window = 3 * kSecond;
+  settings.slow_start_budget = 8.0;
+  return settings;
 }
 
-// The same with no other scheduler, whose sends would have to be reckoned with.
-inline Settings Alone() {
-  Settings s = Plain();
-  s.group_size = 1;
-  return s;
+// The same with no other scheduler, whose attempts would count.
+inline Settings SingleSchedulerSettings() {
+  Settings settings = DefaultSettings();
+  settings.group_size = 1;
+  return settings;
 }
 
-inline NodeEntry Entry(NodeId id, double free_cores = 40.0, double free_memory = 100.0) {
-  NodeEntry e;
-  e.node = id;
-  e.rack = id / 10;
-  e.zone = id / 100;
-  e.free_cores = free_cores;
-  e.free_memory = free_memory;
-  return e;
+inline NodeEntry MakeNodeEntry(NodeId id, double free_cores = 40.0, double free_memory = 100.0) {
+  NodeEntry entry;
+  entry.node = id;
+  entry.rack = id / 10;
+  entry.zone = id / 100;
+  entry.free_cores = free_cores;
+  entry.free_memory = free_memory;
+  return entry;
 }
 
-class Rig {
+class SchedulerFixture {
  public:
-  explicit Rig(const Settings& settings, std::uint64_t seed = 7) : scheduler_(settings, seed) {}
+  explicit SchedulerFixture(const Settings& settings, std::uint64_t seed = 7) : scheduler_(settings, seed) {}
 
   Micros now = 100 * kSecond;
   std::vector<Action> actions;  // of the last event
 
-  void Feed(const Event& event) {
+  void Handle(const Event& event) {
     actions.clear();
     scheduler_.Handle(now, event, &actions);
   }
-  void View(std::vector<NodeEntry> machines, NodeListKind mode = NodeListKind::kSnapshot) {
-    NodeListUpdate view;
-    view.kind = mode;
-    view.nodes = std::move(machines);
-    Feed(view);
+  void UpdateNodes(std::vector<NodeEntry> nodes, NodeListKind kind = NodeListKind::kSnapshot) {
+    NodeListUpdate update;
+    update.kind = kind;
+    update.nodes = std::move(nodes);
+    Handle(update);
   }
   // A task of one core and two of memory with eight seconds to its deadline.
-  Task Make(unsigned task_class = 0, double cores = 1.0, std::uint64_t service = 0) {
-    Task t;
-    t.request = ++last_request_;
-    t.task_class = task_class;
-    t.deadline = now + 8 * kSecond;
-    t.key = t.request;
-    t.service = service != 0 ? service : 1000 + t.request;
-    t.cores = cores;
-    t.memory = 2.0 * cores;
-    return t;
+  Task MakeTask(unsigned task_class = 0, double cores = 1.0, std::uint64_t service = 0) {
+    Task task;
+    task.request = ++last_request_;
+    task.task_class = task_class;
+    task.deadline = now + 8 * kSecond;
+    task.key = task.request;
+    task.service = service != 0 ? service : 1000 + task.request;
+    task.cores = cores;
+    task.memory = 2.0 * cores;
+    return task;
   }
-  RequestId Arrive(const Task& t) {
-    Feed(TaskSubmitted{t});
-    return t.request;
+  RequestId Submit(const Task& task) {
+    Handle(TaskSubmitted{task});
+    return task.request;
   }
-  RequestId Arrive(unsigned task_class = 0, double cores = 1.0, std::uint64_t service = 0) {
-    return Arrive(Make(task_class, cores, service));
+  RequestId Submit(unsigned task_class = 0, double cores = 1.0, std::uint64_t service = 0) {
+    return Submit(MakeTask(task_class, cores, service));
   }
-  void Place(RequestId request, unsigned attempt, NodeId machine) {
-    Feed(TaskStarted{request, attempt, machine, 0});
+  void ReportStarted(RequestId request, unsigned attempt, NodeId node) {
+    Handle(TaskStarted{request, attempt, node, 0});
   }
-  void End(RequestId request, unsigned attempt, NodeId machine, AttemptResult ending,
-           RejectionReason cause = RejectionReason::kUnspecified, bool closed = false) {
-    AttemptEnded o;
-    o.request = request;
-    o.attempt = attempt;
-    o.node = machine;
-    o.result = ending;
-    o.reason = cause;
-    o.request_closed = closed;
-    Feed(o);
+  void ReportEnded(RequestId request, unsigned attempt, NodeId node, AttemptResult result,
+                   RejectionReason reason = RejectionReason::kUnspecified, bool request_closed = false) {
+    AttemptEnded ended;
+    ended.request = request;
+    ended.attempt = attempt;
+    ended.node = node;
+    ended.result = result;
+    ended.reason = reason;
+    ended.request_closed = request_closed;
+    Handle(ended);
   }
-  // Sounds the scheduler's own beat until `until`; keeps the actions of all beats.
-  void BeatUntil(Micros until) {
+  // Fires the scheduler's tick until `until`; keeps the actions of all ticks.
+  void TickUntil(Micros until) {
     std::vector<Action> all;
-    for (; now < until; now += 100 * kMs) {
-      Feed(TimerFired{1});
+    for (; now < until; now += 100 * kMillisecond) {
+      Handle(TimerFired{1});
       all.insert(all.end(), actions.begin(), actions.end());
     }
     actions = all;
   }
 
+  // The actions of one type.
   template <typename T>
-  std::vector<T> All() const {
+  std::vector<T> AllActions() const {
     std::vector<T> found;
-    for (const Action& a : actions) {
-      if (const auto* one = std::get_if<T>(&a)) found.push_back(*one);
+    for (const Action& action : actions) {
+      if (const auto* typed_action = std::get_if<T>(&action)) found.push_back(*typed_action);
     }
     return found;
   }
+  // The one action of that type; empty where there is none, or several.
   template <typename T>
-  std::optional<T> Only() const {
-    const auto found = All<T>();
+  std::optional<T> OnlyAction() const {
+    const auto found = AllActions<T>();
     return found.size() == 1 ? std::optional<T>(found[0]) : std::nullopt;
   }
-  bool FinalAnswer() const { return All<RejectTask>().size() + All<FailTask>().size() > 0; }
+  bool HasFinalAnswer() const { return AllActions<RejectTask>().size() + AllActions<FailTask>().size() > 0; }
 
  private:
   Scheduler scheduler_;
