--- a/src/scheduler/admission_rules.cpp
+++ b/src/scheduler/admission_rules.cpp
@@ -38,15 +38,21 @@
   return counts.empty() || AllowsSpread(node, request.task, counts);
 }
 
-bool AdmissionRules::MayTry(const NodeRecord& node, const RequestRecord& request, Micros now) const {
+void AdmissionRules::Filter(const RequestRecord& request, const DomainCounts& counts, Micros now,
+                            std::vector<NodeLoad>* nodes) const {
   const Task& task = request.task;
-  const int needed_kind = settings_.classes[task.task_class].node_kind;
-  if (needed_kind >= 0 && static_cast<unsigned>(needed_kind) != node.entry.kind) return false;
   const auto& tried = request.tried_nodes;
-  if (std::find(tried.begin(), tried.end(), node.entry.node) != tried.end()) return false;
-  const CapacityRejection& rejection = node.capacity_rejection;
-  const bool is_smaller = task.cores < rejection.cores && task.memory < rejection.memory;
-  return now >= node.likely_draining_until && (now >= rejection.skip_until || is_smaller);
+  const int needed_kind = settings_.classes[task.task_class].node_kind;
+  for (NodeLoad& candidate : *nodes) {
+    const NodeRecord& node = *candidate.node;
+    const bool is_needed_kind = needed_kind < 0 || static_cast<unsigned>(needed_kind) == node.entry.kind;
+    const bool was_tried = std::find(tried.begin(), tried.end(), node.entry.node) != tried.end();
+    const CapacityRejection& rejection = node.capacity_rejection;
+    const bool is_smaller = task.cores < rejection.cores && task.memory < rejection.memory;
+    const bool has_capacity = now >= rejection.skip_until || is_smaller;
+    candidate.qualifies = candidate.qualifies && is_needed_kind && !was_tried && has_capacity &&
+                          now >= node.likely_draining_until && Allows(node, request, counts, now);
+  }
 }
 
 bool AdmissionRules::AllowsSpread(const NodeRecord& node, const Task& task,
--- a/src/scheduler/admission_rules.hpp
+++ b/src/scheduler/admission_rules.hpp
@@ -3,8 +3,10 @@
 #define MOUNTFLOW_SCHEDULER_ADMISSION_RULES_HPP_
 
 #include <map>
+#include <vector>
 
 #include "mountflow/scheduler.hpp"
+#include "scheduler/fleet_load.hpp"
 #include "scheduler/node_table.hpp"
 #include "scheduler/own_tasks.hpp"
 #include "scheduler/request_record.hpp"
@@ -29,9 +31,10 @@
   bool Allows(const NodeRecord& node, const RequestRecord& request, const DomainCounts& counts,
               Micros now) const;
 
-  // Whether the node is of the kind that the task needs, was not tried for the request before, and did not
-  // show lately that it takes no such task.
-  bool MayTry(const NodeRecord& node, const RequestRecord& request, Micros now) const;
+  // Clears `qualifies` of nodes that may not get an attempt of the request, or lately showed that they take
+  // no such task.
+  void Filter(const RequestRecord& request, const DomainCounts& counts, Micros now,
+              std::vector<NodeLoad>* nodes) const;
 
   // The node had no free capacity for the task: it gets none as large until a list later than that, or for
   // some seconds. One large task must not close a node to small ones.
--- a/src/scheduler/load_model.cpp
+++ b/src/scheduler/load_model.cpp
@@ -53,27 +53,26 @@
   return PriorityWeights::Highest() * reference_cores_ * settings_.overcommit_cores / settings_.mean_cores;
 }
 
-double LoadModel::Capacity(const NodeRecord& node) const {
-  return std::max(kMinCapacity, KindOf(settings_, node.entry).cores / reference_cores_);
+inline double LoadModel::Capacity(const NodeKind& kind) const {
+  return std::max(kMinCapacity, kind.cores / reference_cores_);
 }
 
-double LoadModel::MeanWeight(const NodeRecord& node) const {
+inline double LoadModel::MeanWeight(const NodeRecord& node) const {
   return node.own_load.task_count() > 0 ? node.own_load.mean_priority_weight() : weights_.mean();
 }
 
-double LoadModel::Load(const NodeRecord& node) const {
+inline double LoadModel::Load(const NodeRecord& node, const NodeKind& kind) const {
   const double unobserved = node.own_load.unobserved_amounts().priority_weight;
   // Without free capacity in the list, each other scheduler is taken to have sent as much there as we did.
   if (!settings_.list_has_free_capacity) return unobserved * group_.size();
-  const double asked_cores = std::max(0.0, KindOf(settings_, node.entry).cores - node.entry.free_cores);
+  const double asked_cores = std::max(0.0, kind.cores - node.entry.free_cores);
   return std::max(0.0, asked_cores / settings_.mean_cores * MeanWeight(node) + unobserved);
 }
 
-double LoadModel::ReportedLoad(const NodeRecord& node, Micros now) const {
+inline double LoadModel::ReportedLoad(const NodeRecord& node, const NodeKind& kind, Micros now) const {
   const ReportedUtilisation& report = node.utilisation;
   if (report.at == 0 || now > report.at + kReportLifetime) return 0.0;
-  return kAskedPerUsed * report.share * KindOf(settings_, node.entry).cores / settings_.mean_cores *
-         MeanWeight(node);
+  return kAskedPerUsed * report.share * kind.cores / settings_.mean_cores * MeanWeight(node);
 }
 
 void LoadModel::NoteReport(const LoadReport& report, NodeRecord* node, Micros now) {
@@ -81,13 +80,13 @@
   node->utilisation = {now, std::min(1.0, *report.utilisation)};
 }
 
-bool LoadModel::Fits(const NodeRecord& node, const Task& task, double capacity,
-                     const FleetLoad& fleet_load) const {
-  const NodeKind kind = KindOf(settings_, node.entry);
-  double cores = node.entry.free_cores;
-  double memory = node.entry.free_memory;
-  double unobserved_cores = node.own_load.unobserved_amounts().cores;
-  double unobserved_memory = node.own_load.unobserved_amounts().memory;
+inline bool LoadModel::Fits(const NodeLoad& node, const Task& task, const FleetLoad& total) const {
+  const NodeRecord& record = *node.node;
+  const NodeKind& kind = node.kind;
+  double cores = record.entry.free_cores;
+  double memory = record.entry.free_memory;
+  double unobserved_cores = record.own_load.unobserved_amounts().cores;
+  double unobserved_memory = record.own_load.unobserved_amounts().memory;
   if (!settings_.list_has_free_capacity) {  // each other scheduler is taken to hold as much there as we do
     cores = kind.cores - unobserved_cores * group_.size();
     memory = kind.memory - unobserved_memory * group_.size();
@@ -97,18 +96,23 @@
   cores += (settings_.overcommit_cores - 1.0) * kind.cores - unobserved_cores;
   memory += (settings_.overcommit_memory - 1.0) * kind.memory - unobserved_memory;
   if (settings_.nodes_preempt && settings_.classes[task.task_class].priority < weights_.highest_priority()) {
-    cores -= fleet_load.unobserved_tasks_by_capacity * settings_.mean_cores * capacity;
-    memory -= fleet_load.unobserved_tasks_by_capacity * settings_.mean_memory * capacity;
+    cores -= total.unobserved_tasks_by_capacity * settings_.mean_cores * node.capacity;
+    memory -= total.unobserved_tasks_by_capacity * settings_.mean_memory * node.capacity;
   }
   return cores >= task.cores && memory >= task.memory;
 }
 
-std::vector<NodeLoad> LoadModel::LoadOfEach(const FleetState& fleet, const SlowStart& slow_start) const {
+void LoadModel::Filter(const Task& task, const FleetLoad& total, std::vector<NodeLoad>* nodes) const {
+  for (NodeLoad& node : *nodes) node.qualifies = node.qualifies && Fits(node, task, total);
+}
+
+std::vector<NodeLoad> LoadModel::LoadOfEach(const FleetState& fleet) const {
   std::vector<NodeLoad> loads;
   loads.reserve(fleet.ready.size());
   for (NodeRecord* node : fleet.ready) {
-    const bool is_warming_up = slow_start.IsWarmingUp(node->entry, fleet.now);
-    loads.push_back({node, Load(*node), Capacity(*node), is_warming_up, false});
+    const NodeKind kind = KindOf(settings_, node->entry);
+    loads.push_back({node, kind, Load(*node, kind), ReportedLoad(*node, kind, fleet.now), Capacity(kind),
+                     IsWarmingUp(settings_, node->entry, fleet.now)});
   }
   return loads;
 }
--- a/src/scheduler/load_model.hpp
+++ b/src/scheduler/load_model.hpp
@@ -7,38 +7,13 @@
 #include <vector>
 
 #include "mountflow/scheduler.hpp"
+#include "scheduler/fleet_load.hpp"
 #include "scheduler/node_record.hpp"
 #include "scheduler/priority_weights.hpp"
 #include "scheduler/slow_start.hpp"
 
 namespace mountflow {
 
-// What is known of all ready nodes at one pick.
-struct FleetState {
-  const std::vector<NodeRecord*>& ready;
-  Micros now = 0;
-  Micros list_at = 0;       // when the latest node list came
-  Micros observed_at = 0;   // the time that it is true of
-  double start_rate = 0.0;  // tasks per microsecond that all schedulers start
-};
-
-// One ready node at one pick.
-struct NodeLoad {
-  NodeRecord* node;
-  double load;      // without the task at hand
-  double capacity;  // above 0
-  bool is_warming_up;
-  bool is_entry_stale;
-};
-
-// The ready nodes that are not warming up, together.
-struct FleetLoad {
-  double capacity = 0.0;
-  double mean_load = 0.0;                     // by capacity, without what other schedulers sent unobserved
-  double fill_level = 0.0;                    // load by capacity up to which that fills the least loaded
-  double unobserved_tasks_by_capacity = 0.0;  // tasks that other schedulers sent unobserved
-};
-
 // `settings`, `weights` and `group` must outlive this.
 class LoadModel {
  public:
@@ -51,29 +26,32 @@
   // The highest load by capacity that a node may have, the task at hand counted.
   double Cap() const;
 
-  // Load by the node's own report. Tasks may use more than they asked for, a node may be slow, or another
-  // program may have its cores: in the ranking, though not against the cap, it counts as full as it says.
-  double ReportedLoad(const NodeRecord& node, Micros now) const;
   static void NoteReport(const LoadReport& report, NodeRecord* node, Micros now);
 
-  // Whether the node has free capacity for the task. Where nodes preempt, a task that can be preempted leaves
-  // room for what other schedulers likely sent unobserved.
-  bool Fits(const NodeRecord& node, const Task& task, double capacity, const FleetLoad& fleet_load) const;
-
-  std::vector<NodeLoad> LoadOfEach(const FleetState& fleet, const SlowStart& slow_start) const;
+  std::vector<NodeLoad> LoadOfEach(const FleetState& fleet) const;
 
   // Hundreds of schedulers see one equal late list, and would all send to the nodes that are emptiest in it.
   // Until a start shows, they fill those up unobserved, the least loaded first: up to the fill level all
   // nodes rank alike.
   FleetLoad LoadOfAll(const std::vector<NodeLoad>& loads, const FleetState& fleet) const;
 
+  // Clears `qualifies` of nodes without free capacity for the task.
+  void Filter(const Task& task, const FleetLoad& total, std::vector<NodeLoad>* nodes) const;
+
  private:
-  double Capacity(const NodeRecord& node) const;
+  double Capacity(const NodeKind& kind) const;
   // Without the task at hand; see the head of this file.
-  double Load(const NodeRecord& node) const;
+  double Load(const NodeRecord& node, const NodeKind& kind) const;
   // Mean weight of the tasks on a node: by our own there, or of the classes evenly where we have none.
   double MeanWeight(const NodeRecord& node) const;
 
+  // Load by the node's own report. Tasks may use more than they asked for, a node may be slow, or another
+  // program may have its cores: in the ranking, though not against the cap, it counts as full as it says.
+  double ReportedLoad(const NodeRecord& node, const NodeKind& kind, Micros now) const;
+  // Where nodes preempt, a task that can be preempted leaves room for what other schedulers likely sent
+  // unobserved.
+  bool Fits(const NodeLoad& node, const Task& task, const FleetLoad& total) const;
+
   const Settings& settings_;
   const PriorityWeights& weights_;
   const GroupMembership& group_;
--- a/src/scheduler/node_ranking.cpp
+++ b/src/scheduler/node_ranking.cpp
@@ -24,7 +24,7 @@
 NodeRecord* NodeRanking::Pick(const RequestRecord& request, const FleetState& fleet) {
   std::vector<RankedNode> ranked = RankQualified(request, fleet);
   if (ranked.empty()) return nullptr;
-  ApplyAffinityLead(request.task.service, &ranked);
+  ApplyAffinityLead(&ranked);
   KeepNearTies(&ranked);
   return ranked[random_.Below(ranked.size())].node;
 }
@@ -32,52 +32,46 @@
 std::vector<NodeRanking::RankedNode> NodeRanking::RankQualified(const RequestRecord& request,
                                                                 const FleetState& fleet) const {
   const LoadModel& model = inputs_.load_model;
-  const AdmissionRules& rules = inputs_.admission_rules;
   const Task& task = request.task;
   const double weight = inputs_.weights.Of(task.task_class);
   const double cap = model.Cap();
-  std::vector<NodeLoad> nodes = model.LoadOfEach(fleet, inputs_.slow_start);
+  std::vector<NodeLoad> nodes = model.LoadOfEach(fleet);
   const FleetLoad total = model.LoadOfAll(nodes, fleet);
-  const bool trust_all = inputs_.outlier_ejection.Examine(fleet, total, &nodes);
   const ServicePlacements& with_program = inputs_.own_tasks.OfService(task.service);
-  const DomainCounts domain_counts = rules.CountByDomain(task, with_program);
+  const DomainCounts counts = inputs_.admission_rules.CountByDomain(task, with_program);
+  inputs_.admission_rules.Filter(request, counts, fleet.now, &nodes);
+  model.Filter(task, total, &nodes);
+  inputs_.outlier_ejection.Filter(fleet, total, task.task_class, &nodes);
   auto next_with_program = with_program.begin();  // by node, as `nodes` is
   std::vector<RankedNode> ranked;
+  ranked.reserve(nodes.size());
   for (const NodeLoad& candidate : nodes) {
+    if (!candidate.qualifies) continue;
     NodeRecord& node = *candidate.node;
-    if (!rules.MayTry(node, request, fleet.now)) continue;
-    if (!rules.Allows(node, request, domain_counts, fleet.now)) continue;
     const double capacity = candidate.capacity;
-    if (!model.Fits(node, task, capacity, total)) continue;
-    if (!OutlierEjection::MayGetAttempt(candidate, task.task_class, trust_all, fleet.now)) continue;
     // A node that warms up is empty, but has no more room than the others.
     const double load =
         candidate.is_warming_up ? std::max(candidate.load, total.mean_load * capacity) : candidate.load;
     if ((load + weight) / capacity > cap) continue;
-    const double ranking_load =
-        std::max({load, model.ReportedLoad(node, fleet.now), total.fill_level * capacity}) +
-        kPendingStartTasks * node.pending_starts * weight + weight;
+    const double ranking_load = std::max({load, candidate.reported_load, total.fill_level * capacity}) +
+                                kPendingStartTasks * node.pending_starts * weight + weight;
     const NodeId id = node.entry.node;
     while (next_with_program != with_program.end() && next_with_program->first < id) ++next_with_program;
     const bool has_program = next_with_program != with_program.end() && next_with_program->first == id;
-    ranked.push_back({capacity * weight / ranking_load, &node, has_program});
+    ranked.push_back({capacity * weight / ranking_load, &node, has_program, Mix(task.service ^ Mix(id))});
   }
   return ranked;
 }
 
 // Rendezvous hashing: all schedulers agree on the affinity nodes of a service without a message.
-void NodeRanking::ApplyAffinityLead(std::uint64_t service, std::vector<RankedNode>* ranked) {
+void NodeRanking::ApplyAffinityLead(std::vector<RankedNode>* ranked) {
   const bool is_program_known =
       std::any_of(ranked->begin(), ranked->end(), [](const RankedNode& node) { return node.has_program; });
   const std::size_t affinity_nodes = is_program_known ? 0 : std::min(kAffinityNodes, ranked->size());
-  const auto rendezvous_value = [service](const RankedNode& node) {
-    return Mix(service ^ Mix(node.node->entry.node));
-  };
   // Also with no affinity nodes, since it sets the order that the draw among near ties counts in.
-  std::partial_sort(ranked->begin(), ranked->begin() + static_cast<std::ptrdiff_t>(affinity_nodes),
-                    ranked->end(), [&rendezvous_value](const RankedNode& a, const RankedNode& b) {
-                      return rendezvous_value(a) > rendezvous_value(b);
-                    });
+  std::partial_sort(
+      ranked->begin(), ranked->begin() + static_cast<std::ptrdiff_t>(affinity_nodes), ranked->end(),
+      [](const RankedNode& a, const RankedNode& b) { return a.rendezvous_hash > b.rendezvous_hash; });
   for (std::size_t i = 0; i < ranked->size(); ++i) {
     RankedNode& node = (*ranked)[i];
     if (i < affinity_nodes || node.has_program) node.value *= kAffinityLead;
--- a/src/scheduler/node_ranking.hpp
+++ b/src/scheduler/node_ranking.hpp
@@ -14,7 +14,6 @@
 #include "scheduler/priority_weights.hpp"
 #include "scheduler/random_draw.hpp"
 #include "scheduler/request_record.hpp"
-#include "scheduler/slow_start.hpp"
 
 namespace mountflow {
 
@@ -23,7 +22,6 @@
   const Settings& settings;
   const PriorityWeights& weights;
   const LoadModel& load_model;
-  const SlowStart& slow_start;
   const OutlierEjection& outlier_ejection;
   const AdmissionRules& admission_rules;
   const OwnTasks& own_tasks;
@@ -42,11 +40,12 @@
   struct RankedNode {
     double value;
     NodeRecord* node;
-    bool has_program;  // it holds, or lately held, own tasks of the service
+    bool has_program;               // it holds, or lately held, own tasks of the service
+    std::uint64_t rendezvous_hash;  // of service and node
   };
 
   std::vector<RankedNode> RankQualified(const RequestRecord& request, const FleetState& fleet) const;
-  static void ApplyAffinityLead(std::uint64_t service, std::vector<RankedNode>* ranked);
+  static void ApplyAffinityLead(std::vector<RankedNode>* ranked);
   void KeepNearTies(std::vector<RankedNode>* ranked) const;
 
   RankingInputs inputs_;
--- a/src/scheduler/node_record.hpp
+++ b/src/scheduler/node_record.hpp
@@ -72,6 +72,10 @@
   return entry.kind < settings.node_kinds.size() ? settings.node_kinds[entry.kind] : NodeKind{};
 }
 
+inline bool IsWarmingUp(const Settings& settings, const NodeEntry& entry, Micros now) {
+  return entry.started_at != 0 && now < entry.started_at + settings.slow_start_duration;
+}
+
 }  // namespace mountflow
 
 #endif  // MOUNTFLOW_SCHEDULER_NODE_RECORD_HPP_
--- a/src/scheduler/outlier_ejection.cpp
+++ b/src/scheduler/outlier_ejection.cpp
@@ -62,35 +62,40 @@
   health->class_health.erase(task_class);
 }
 
-bool OutlierEjection::MayGetAttempt(const NodeLoad& node, unsigned task_class, bool trust_all, Micros now) {
-  const NodeHealth& health = node.node->health;
-  const auto in_class = health.class_health.find(task_class);
-  if (in_class != health.class_health.end() && now < in_class->second.ejected_until) return false;
-  if (trust_all) return true;
-  const bool may_be_tried = now >= health.ejected_until && node.node->pending_starts == 0;
-  return (health.strikes == 0 || may_be_tried) && !node.is_entry_stale;
+inline bool OutlierEjection::IsEntryStale(const NodeLoad& node, const FleetState& fleet,
+                                          double fleet_capacity) const {
+  const NodeRecord& record = *node.node;
+  if (!settings_.list_has_free_capacity || node.is_warming_up || record.entry_changed_at == 0) return false;
+  if (record.entry.free_cores >= node.kind.cores) return false;
+  if (record.health.last_alive_at > record.entry_changed_at) return false;
+  const double part = fleet_capacity > 0.0 ? node.capacity / fleet_capacity : 0.0;
+  const Micros changed_at = record.entry_changed_at;
+  const Micros unchanged_for = fleet.list_at > changed_at ? fleet.list_at - changed_at : 0;
+  return 2.0 * fleet.start_rate * part * static_cast<double>(unchanged_for) > kStaleAfterStarts;
 }
 
-bool OutlierEjection::Examine(const FleetState& fleet, const FleetLoad& fleet_load,
+bool OutlierEjection::Examine(const FleetState& fleet, const FleetLoad& total,
                               std::vector<NodeLoad>* nodes) const {
   int bad_nodes = 0;
   for (NodeLoad& node : *nodes) {
-    node.is_entry_stale = IsEntryStale(node, fleet, fleet_load.capacity);
+    node.is_entry_stale = IsEntryStale(node, fleet, total.capacity);
     if (node.node->health.strikes > 0 || node.is_entry_stale) ++bad_nodes;
   }
   return bad_nodes > kMaxEjectedShare * static_cast<double>(nodes->size());
 }
 
-bool OutlierEjection::IsEntryStale(const NodeLoad& node, const FleetState& fleet,
-                                   double fleet_capacity) const {
-  const NodeRecord& record = *node.node;
-  if (!settings_.list_has_free_capacity || node.is_warming_up || record.entry_changed_at == 0) return false;
-  if (record.entry.free_cores >= KindOf(settings_, record.entry).cores) return false;
-  if (record.health.last_alive_at > record.entry_changed_at) return false;
-  const double part = fleet_capacity > 0.0 ? node.capacity / fleet_capacity : 0.0;
-  const Micros changed_at = record.entry_changed_at;
-  const Micros unchanged_for = fleet.list_at > changed_at ? fleet.list_at - changed_at : 0;
-  return 2.0 * fleet.start_rate * part * static_cast<double>(unchanged_for) > kStaleAfterStarts;
+void OutlierEjection::Filter(const FleetState& fleet, const FleetLoad& total, unsigned task_class,
+                             std::vector<NodeLoad>* nodes) const {
+  const bool trust_all = Examine(fleet, total, nodes);
+  for (NodeLoad& node : *nodes) {
+    const NodeHealth& health = node.node->health;
+    const auto in_class = health.class_health.find(task_class);
+    const bool is_class_ejected =
+        in_class != health.class_health.end() && fleet.now < in_class->second.ejected_until;
+    const bool may_be_tried = fleet.now >= health.ejected_until && node.node->pending_starts == 0;
+    const bool is_trusted = (health.strikes == 0 || may_be_tried) && !node.is_entry_stale;
+    if (is_class_ejected || (!trust_all && !is_trusted)) node.qualifies = false;
+  }
 }
 
 bool OutlierEjection::IsSilent(const NodeHealth& health, Micros elapsed) const {
--- a/src/scheduler/outlier_ejection.hpp
+++ b/src/scheduler/outlier_ejection.hpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "mountflow/scheduler.hpp"
-#include "scheduler/load_model.hpp"
+#include "scheduler/fleet_load.hpp"
 #include "scheduler/node_record.hpp"
 
 namespace mountflow {
@@ -30,12 +30,10 @@
   static void FailClass(NodeHealth* health, unsigned task_class, Micros now);
   static void ClearClass(NodeHealth* health, unsigned task_class);
 
-  // Whether health lets the node have an attempt of the class. `trust_all`: what Examine returned.
-  static bool MayGetAttempt(const NodeLoad& node, unsigned task_class, bool trust_all, Micros now);
-
-  // Sets is_entry_stale of each node. Returns whether so many look bad that the fault is more likely ours:
-  // then no node is left out for it.
-  bool Examine(const FleetState& fleet, const FleetLoad& fleet_load, std::vector<NodeLoad>* nodes) const;
+  // Clears `qualifies` of nodes whose health forbids an attempt of the class. When so many look bad that the
+  // fault is more likely ours, only failures by class count.
+  void Filter(const FleetState& fleet, const FleetLoad& total, unsigned task_class,
+              std::vector<NodeLoad>* nodes) const;
 
   // Whether a node not heard from since it was sent an attempt `elapsed` ago counts as silent.
   bool IsSilent(const NodeHealth& health, Micros elapsed) const;
@@ -45,6 +43,8 @@
   static void NoteCheckResult(NodeHealth* health, bool answered, Micros now);
 
  private:
+  // Sets is_entry_stale of each node. Returns whether most look bad.
+  bool Examine(const FleetState& fleet, const FleetLoad& total, std::vector<NodeLoad>* nodes) const;
   // The node list tells all schedulers alike: a node that holds tasks, and whose entry did not change while
   // its part of the fleet's starts was due, takes and ends nothing. It hangs, or is gone unlisted. A change
   // of its entry clears it, and so does our own sign of life from it, which is worth more.
--- a/src/scheduler/slow_start.cpp
+++ b/src/scheduler/slow_start.cpp
@@ -36,16 +36,11 @@
   settled_at_ = now + ListStaleness::Horizon() + slow_start_window_;
 }
 
-bool SlowStart::IsWarmingUp(const NodeEntry& entry, Micros now) const {
-  return entry.started_at != 0 && now < entry.started_at + settings_.slow_start_duration;
-}
-
 // Each scheduler keeps to its part of the budget in any window. Where the group is too large for that, teams
 // take turns of one window, counted from the node's start: a window meets two turns, so a team holds half of
 // the budget, and each member sends once in its turn. A scheduler that started within the window or turn may
 // have spent its part before, and waits.
-bool SlowStart::Allows(const NodeRecord& node, Micros now) const {
-  if (!IsWarmingUp(node.entry, now)) return true;
+bool SlowStart::AllowsWarmingUp(const NodeRecord& node, Micros now) const {
   const Micros window = settings_.slow_start_window;
   const Micros node_started_at = node.entry.started_at;
   if (!group_.IsSettled(now) || window == 0 || now < node_started_at) return false;
@@ -70,7 +65,7 @@
 }
 
 void SlowStart::RecordAttempt(NodeRecord* node, Micros now) const {
-  if (!IsWarmingUp(node->entry, now)) return;
+  if (!IsWarmingUp(settings_, node->entry, now)) return;
   std::deque<Micros>& attempts = node->slow_start_attempts;
   while (!attempts.empty() && attempts.front() + settings_.slow_start_window < now) attempts.pop_front();
   attempts.push_back(now);
--- a/src/scheduler/slow_start.hpp
+++ b/src/scheduler/slow_start.hpp
@@ -37,10 +37,10 @@
  public:
   SlowStart(const Settings& settings, const GroupMembership& group) : settings_(settings), group_(group) {}
 
-  bool IsWarmingUp(const NodeEntry& entry, Micros now) const;
-
   // Whether one more attempt may go to the node now.
-  bool Allows(const NodeRecord& node, Micros now) const;
+  bool Allows(const NodeRecord& node, Micros now) const {
+    return !IsWarmingUp(settings_, node.entry, now) || AllowsWarmingUp(node, now);
+  }
 
   void RecordAttempt(NodeRecord* node, Micros now) const;
 
@@ -48,6 +48,8 @@
   void set_scheduler_started_at(Micros at) { scheduler_started_at_ = at; }
 
  private:
+  bool AllowsWarmingUp(const NodeRecord& node, Micros now) const;
+
   const Settings& settings_;
   const GroupMembership& group_;
   Micros scheduler_started_at_ = 0;
