--- a/src/scheduler/node_record.hpp
+++ b/src/scheduler/node_record.hpp
@@ -42,29 +42,29 @@
   double share = 0.0;  // of its cores in use, 0 to 1
 };
 
+// What each pick reads of each node comes first: hundreds of records are walked for each attempt.
 struct NodeRecord {
-  // Written by NodeTable.
-  NodeEntry entry;
+  NodeEntry entry;  // written by NodeTable
   bool listed = false;
-  Micros entry_changed_at = 0;       // when its free capacity in the node list last changed; 0: never
-  Micros last_needed_at = 0;         // when it last was listed or held own tasks
-  double previous_free_cores = 0.0;  // in the node list before
+  Micros entry_changed_at = 0;  // when its free capacity in the node list last changed; 0: never
 
-  // Written by OwnTasks.
-  UnobservedLoad own_load;
+  ReportedUtilisation utilisation;
+  CapacityRejection capacity_rejection;
+  // It rejects or evicts tasks as a draining node does, until then. Written by AdmissionRules.
+  Micros likely_draining_until = 0;
 
   // Own attempts that have neither started nor ended. Written by RequestTable.
   unsigned pending_starts = 0;
 
+  NodeHealth health;
+  UnobservedLoad own_load;  // written by OwnTasks
+
   // When own attempts were sent while it warmed up, within the last window. Written by SlowStart.
   std::deque<Micros> slow_start_attempts;
 
-  // It rejects or evicts tasks as a draining node does, until then. Written by AdmissionRules.
-  Micros likely_draining_until = 0;
-
-  NodeHealth health;
-  CapacityRejection capacity_rejection;
-  ReportedUtilisation utilisation;
+  // Written by NodeTable.
+  Micros last_needed_at = 0;         // when it last was listed or held own tasks
+  double previous_free_cores = 0.0;  // in the node list before
 };
 
 // Its kind; a kind of neutral size where the settings do not know it.
--- a/src/scheduler/unobserved_load.hpp
+++ b/src/scheduler/unobserved_load.hpp
@@ -158,11 +158,12 @@
     annulled_count_ = 0;
   }
 
-  LoadAmounts<FixedPoint> unobserved_;
-  LoadAmounts<FixedPoint> present_;
+  // First what each pick reads of each node.
   LoadAmounts<double> unobserved_amounts_;
   double mean_priority_weight_ = 0.0;
   std::size_t task_count_ = 0;
+  LoadAmounts<FixedPoint> unobserved_;
+  LoadAmounts<FixedPoint> present_;
   Micros observed_at_ = 0;
   Micros forgotten_until_ = 0;
   // By time, after forgotten_until_: of the tasks that are present or ended and not forgotten.
