--- a/src/scheduler/admission_rules.cpp
+++ b/src/scheduler/admission_rules.cpp
@@ -48,9 +48,9 @@
     const bool is_needed_kind = needed_kind < 0 || static_cast<unsigned>(needed_kind) == node.entry.kind;
     const bool was_tried = std::find(tried.begin(), tried.end(), node.entry.node) != tried.end();
     const CapacityRejection& rejection = node.capacity_rejection;
-    const bool is_smaller = task.cores < rejection.cores && task.memory < rejection.memory;
-    const bool has_capacity = now >= rejection.skip_until || is_smaller;
-    candidate.qualifies = candidate.qualifies && is_needed_kind && !was_tried && has_capacity &&
+    const bool lacks_capacity =
+        now < rejection.skip_until && (task.cores >= rejection.cores || task.memory >= rejection.memory);
+    candidate.qualifies = candidate.qualifies && is_needed_kind && !was_tried && !lacks_capacity &&
                           now >= node.likely_draining_until && Allows(node, request, counts, now);
   }
 }
--- a/src/scheduler/outlier_ejection.cpp
+++ b/src/scheduler/outlier_ejection.cpp
@@ -89,6 +89,7 @@
   const bool trust_all = Examine(fleet, total, nodes);
   for (NodeLoad& node : *nodes) {
     const NodeHealth& health = node.node->health;
+    if (health.strikes == 0 && !node.is_entry_stale && health.class_health.empty()) continue;
     const auto in_class = health.class_health.find(task_class);
     const bool is_class_ejected =
         in_class != health.class_health.end() && fleet.now < in_class->second.ejected_until;
