--- a/src/scheduler/admission_rules.hpp
+++ b/src/scheduler/admission_rules.hpp
@@ -31,15 +31,17 @@
   bool Allows(const NodeRecord& node, const RequestRecord& request, const DomainCounts& counts,
               Micros now) const;
 
-  // Clears `qualifies` of nodes that may not get an attempt of the request, or lately showed that they take
-  // no such task.
+  // Clears `qualifies` of nodes that are not allowed, are not of the kind that the class needs, were tried
+  // for the request before, or lately showed that they take no such task.
   void Filter(const RequestRecord& request, const DomainCounts& counts, Micros now,
               std::vector<NodeLoad>* nodes) const;
 
   // The node had no free capacity for the task: it gets none as large until a list later than that, or for
   // some seconds. One large task must not close a node to small ones.
   static void NoteCapacityRejection(const Task& task, NodeRecord* node, Micros now);
+  // The node rejects or evicts tasks as a draining one does, before the list says so.
   static void NoteLikelyDraining(NodeRecord* node, Micros now);
+  // A new incarnation: what was seen before says nothing of it.
   static void NoteRestart(NodeRecord* node);
   // The node list is now true of `observed_at`.
   static void NoteObserved(NodeRecord* node, Micros observed_at);
--- a/src/scheduler/fleet_load.hpp
+++ b/src/scheduler/fleet_load.hpp
@@ -1,5 +1,5 @@
-// Load of the ready nodes at one pick. Plain records: LoadModel makes them, the filters and the ranking read
-// them.
+// Load of the ready nodes at one pick. Plain records that LoadModel makes and the filters and the ranking
+// read.
 #ifndef MOUNTFLOW_SCHEDULER_FLEET_LOAD_HPP_
 #define MOUNTFLOW_SCHEDULER_FLEET_LOAD_HPP_
 
--- a/src/scheduler/load_model.hpp
+++ b/src/scheduler/load_model.hpp
@@ -26,13 +26,15 @@
   // The highest load by capacity that a node may have, the task at hand counted.
   double Cap() const;
 
+  // Reports without a valid utilisation are ignored.
   static void NoteReport(const LoadReport& report, NodeRecord* node, Micros now);
 
+  // Of the ready nodes, in their order.
   std::vector<NodeLoad> LoadOfEach(const FleetState& fleet) const;
 
   // Hundreds of schedulers see one equal late list, and would all send to the nodes that are emptiest in it.
-  // Until a start shows, they fill those up unobserved, the least loaded first: up to the fill level all
-  // nodes rank alike.
+  // Until a start shows, they fill those up unobserved, the least loaded first: all nodes below the fill
+  // level rank as if at it.
   FleetLoad LoadOfAll(const std::vector<NodeLoad>& loads, const FleetState& fleet) const;
 
   // Clears `qualifies` of nodes without free capacity for the task.
@@ -48,8 +50,8 @@
   // Load by the node's own report. Tasks may use more than they asked for, a node may be slow, or another
   // program may have its cores: in the ranking, though not against the cap, it counts as full as it says.
   double ReportedLoad(const NodeRecord& node, const NodeKind& kind, Micros now) const;
-  // Where nodes preempt, a task that can be preempted leaves room for what other schedulers likely sent
-  // unobserved.
+  // Whether the node has free capacity for the task. Where nodes preempt, a task that can be preempted leaves
+  // room for what other schedulers likely sent unobserved.
   bool Fits(const NodeLoad& node, const Task& task, const FleetLoad& total) const;
 
   const Settings& settings_;
--- a/src/scheduler/node_record.hpp
+++ b/src/scheduler/node_record.hpp
@@ -1,5 +1,5 @@
-// What the scheduler remembers of one node. Plain records: each names the class that writes it, and nothing
-// here chooses anything.
+// What the scheduler remembers of one node. Plain records, which choose nothing; each names the class that
+// writes it.
 #ifndef MOUNTFLOW_SCHEDULER_NODE_RECORD_HPP_
 #define MOUNTFLOW_SCHEDULER_NODE_RECORD_HPP_
 
@@ -67,11 +67,12 @@
   double previous_free_cores = 0.0;  // in the node list before
 };
 
-// Its kind; a kind of neutral size where the settings do not know it.
+// The kind of a node; a kind of neutral size where the settings do not know it.
 inline NodeKind KindOf(const Settings& settings, const NodeEntry& entry) {
   return entry.kind < settings.node_kinds.size() ? settings.node_kinds[entry.kind] : NodeKind{};
 }
 
+// Whether the node started less than the slow-start duration ago.
 inline bool IsWarmingUp(const Settings& settings, const NodeEntry& entry, Micros now) {
   return entry.started_at != 0 && now < entry.started_at + settings.slow_start_duration;
 }
--- a/src/scheduler/node_table.hpp
+++ b/src/scheduler/node_table.hpp
@@ -27,7 +27,7 @@
   NodeRecord& FindOrAdd(NodeId id);
 
   // Takes in a node list, which must not be of kind kUnavailable. Returns the nodes that restarted since the
-  // list before.
+  // one before.
   std::vector<NodeRecord*> Apply(const NodeListUpdate& update, Micros now);
 
   // Removes nodes that for `retention` were neither listed nor held own tasks.
--- a/src/scheduler/own_tasks.hpp
+++ b/src/scheduler/own_tasks.hpp
@@ -1,4 +1,4 @@
-// The tasks that this scheduler sent: by service and node, and as load of their nodes. Bookkeeping only; it
+// The tasks that this scheduler sent, by service and node and as load of their nodes. Bookkeeping only: it
 // chooses nothing.
 #ifndef MOUNTFLOW_SCHEDULER_OWN_TASKS_HPP_
 #define MOUNTFLOW_SCHEDULER_OWN_TASKS_HPP_
--- a/src/scheduler/request_record.hpp
+++ b/src/scheduler/request_record.hpp
@@ -1,5 +1,5 @@
-// What the scheduler remembers of one launch request. A plain record: RequestTable writes it, the rules read
-// it.
+// What the scheduler remembers of one launch request. A plain record, which RequestTable writes and the rules
+// read.
 #ifndef MOUNTFLOW_SCHEDULER_REQUEST_RECORD_HPP_
 #define MOUNTFLOW_SCHEDULER_REQUEST_RECORD_HPP_
 
--- a/src/scheduler/scheduler_impl.hpp
+++ b/src/scheduler/scheduler_impl.hpp
@@ -3,6 +3,7 @@
 #define MOUNTFLOW_SCHEDULER_SCHEDULER_IMPL_HPP_
 
 #include <cstdint>
+#include <utility>
 #include <vector>
 
 #include "mountflow/scheduler.hpp"
@@ -22,8 +23,8 @@
 namespace mountflow {
 
 // Turns events into actions. The parts know nothing of either: tables record, the others decide one concern
-// each, and the handlers below are the protocol between them. It has more fields than most classes, one a
-// part.
+// each, and the handlers below are the protocol between them. It has more than fifteen fields, since it has
+// one for each part.
 class Scheduler::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed);
@@ -57,8 +58,8 @@
   // possible: silence proves nothing.
   void CheckPendingStart(RequestRecord* request);
 
-  // What the end of an attempt says of its node. `may_have_copy`: an earlier attempt of the request may have
-  // run.
+  // What the end of an attempt says of its node. `may_have_copy`: an earlier attempt of the request
+  // may have run.
   void JudgeNode(const AttemptEnded& ended, const RequestRecord& request, bool may_have_copy,
                  NodeRecord* node);
   void JudgeRejection(RejectionReason reason, const Task& task, bool may_have_copy, NodeRecord* node);
