--- a/src/ledger/book.hpp
+++ b/src/ledger/book.hpp
@@ -6,14 +6,11 @@
 // from sums only, with one rounding for each line of a statement, so nothing drifts.
 //
 // - The same event twice counts once, by the attempt's name. The same name with other figures is a conflict:
-// it is
-//   reported and not counted, and an operator corrects.
+//   it is reported and not counted, and an operator corrects.
 // - A closed period is never written to. What comes late goes to the open period, with a reference to its
-// own. Where
-//   the rules say so, it reopens its own period within `reopen_within` of the close.
+//   own. Where the rules say so, it reopens its own period within `reopen_within` of the close.
 // - A correction is a posting that names what it corrects, its author and a reason, and counts in the open
-// period. A
-//   restated statement moves what refers to a period into it.
+//   period. A restated statement moves what refers to a period into it.
 // - Periods follow from the events' own times: a clock that is set back changes none, and reopens nothing.
 //
 // State changes only by Apply, with records that the caller made durable before. The same records in the same
--- a/src/storage/log.hpp
+++ b/src/storage/log.hpp
@@ -7,11 +7,9 @@
 // Opening replays the newest whole snapshot and every record after it.
 // - A torn last frame is removed, with a notice. Its commit had not been acknowledged.
 // - A broken frame with whole ones after it, a gap between segments, or a missing segment that a snapshot
-// needs:
-//   kDamaged, with file and offset.
+//   needs: kDamaged, with file and offset.
 // - A broken newest snapshot is skipped, with a notice, and the one before it is used. What that one needs is
-// kept
-//   until there are two newer ones.
+//   kept until there are two newer ones.
 //
 // A commit that failed (disk full, error on sync) is retried with the same records in a new segment, because
 // after a failed sync the contents of the disk are unknown. If both copies are whole, the records count once,
@@ -64,7 +62,8 @@
 // Not thread-safe. Every error of a file operation is returned as Files reports it.
 class Log {
  public:
-  // `files` is not owned and must outlive the log. Logs of different names may share it.
+  // `files` is not owned and must outlive the log. Logs of different names may share it, on one thread: Files
+  // is not synchronized.
   Log(Files* files, LogOptions options) : files_(files), options_(std::move(options)) {}
 
   // Must be called once, before any other method. `notices` are valid after an error too.
