--- a/tests/job_manager/submissions_test.cpp
+++ b/tests/job_manager/job_manager_submissions_test.cpp
@@ -102,5 +102,38 @@
   EXPECT_EQ(once, play());
 }
 
+TEST_F(SubmissionsTest, RejectsWithTheReasonOfTheAdmissionCheckOrOfTheDaemon) {
+  JobSpec spec;
+  spec.user = "thandi", spec.task_class = kIdempotent, spec.queue = "safe";
+  fixture.core.SetAdmissionCheck(
+      [](const JobSpec& checked) { return checked.cores > 1 ? "too many cores" : ""; });
+  spec.cores = 2;
+  const SubmitResult checked = fixture.core.Submit(fixture.now, fixture.core.NewJobNumber(), spec);
+  EXPECT_EQ(checked.verdict, CommandResult::kFull);
+  EXPECT_EQ(checked.reason, "too many cores");
+  spec.cores = 1;
+  fixture.core.RejectNewJobs("the disk is full");
+  const SubmitResult rejected = fixture.core.Submit(fixture.now, fixture.core.NewJobNumber(), spec);
+  EXPECT_EQ(rejected.verdict, CommandResult::kFull);
+  EXPECT_EQ(rejected.reason, "the disk is full");
+  fixture.core.RejectNewJobs("");
+  fixture.Submit(spec);
+  EXPECT_EQ(fixture.verdict, CommandResult::kOk);
+  fixture.core.StopAccepting();
+  fixture.Submit(spec);
+  EXPECT_EQ(fixture.verdict, CommandResult::kStopping);
+}
+
+TEST_F(SubmissionsTest, RejectsAnUnknownClassAndANumberThatIsTaken) {
+  JobSpec spec;
+  spec.user = "thandi", spec.task_class = 3;
+  fixture.Submit(spec);
+  EXPECT_EQ(fixture.verdict, CommandResult::kBadValue);
+  spec.task_class = kIdempotent, spec.hold = "u";
+  const std::uint64_t number = fixture.Submit(spec);
+  EXPECT_EQ(fixture.core.Submit(fixture.now, number, spec).verdict, CommandResult::kExists);
+  EXPECT_EQ(fixture.core.Submit(fixture.now, 0, spec).verdict, CommandResult::kBadValue);
+}
+
 }  // namespace
 }  // namespace mountflow::testing
--- a/tests/support/output_digest.hpp
+++ b/tests/support/output_digest.hpp
@@ -18,48 +18,48 @@
 struct OutputDigester {
   Digest* digest;
 
-  void operator()(const job_manager::ResourceUsage& o) const {
-    AddAttempt(o.attempt, digest);
-    digest->Add(o.node);
-    digest->Add(o.task_class);
-    digest->Add(o.tenant);
-    digest->Add(o.cores);
-    digest->Add(o.memory);
-    digest->Add(o.started);
-    digest->Add(o.ended);
+  void operator()(const job_manager::ResourceUsage& output) const {
+    AddAttempt(output.attempt, digest);
+    digest->Add(output.node);
+    digest->Add(output.task_class);
+    digest->Add(output.tenant);
+    digest->Add(output.cores);
+    digest->Add(output.memory);
+    digest->Add(output.started);
+    digest->Add(output.ended);
   }
-  void operator()(const job_manager::PrepareAttempt& o) const { AddAtNode(o); }
-  void operator()(const job_manager::CommitAttempt& o) const { AddAtNode(o); }
-  void operator()(const job_manager::AbandonAttempt& o) const { AddAtNode(o); }
-  void operator()(const job_manager::StopAttempt& o) const { AddAtNode(o); }
-  void operator()(const job_manager::QueryAttempt& o) const { AddAtNode(o); }
-  void operator()(const job_manager::SignalAttempt& o) const {
-    AddAtNode(o);
-    digest->Add(std::string_view(o.signal));
+  void operator()(const job_manager::PrepareAttempt& output) const { AddAtNode(output); }
+  void operator()(const job_manager::CommitAttempt& output) const { AddAtNode(output); }
+  void operator()(const job_manager::AbandonAttempt& output) const { AddAtNode(output); }
+  void operator()(const job_manager::StopAttempt& output) const { AddAtNode(output); }
+  void operator()(const job_manager::QueryAttempt& output) const { AddAtNode(output); }
+  void operator()(const job_manager::SignalAttempt& output) const {
+    AddAtNode(output);
+    digest->Add(std::string_view(output.signal));
   }
-  void operator()(const job_manager::ReconcileNode& o) const { digest->Add(o.node); }
-  void operator()(const job_manager::FindKey& o) const {
-    digest->Add(o.node);
-    digest->Add(o.job);
-    digest->Add(std::string_view(o.key));
+  void operator()(const job_manager::ReconcileNode& output) const { digest->Add(output.node); }
+  void operator()(const job_manager::FindKey& output) const {
+    digest->Add(output.node);
+    digest->Add(output.job);
+    digest->Add(std::string_view(output.key));
   }
-  void operator()(const job_manager::CheckNodeHealth& o) const { digest->Add(o.node); }
-  void operator()(const job_manager::ForgetNode& o) const { digest->Add(o.node); }
-  void operator()(const job_manager::JobAnswered& o) const { digest->Add(o.job); }
-  void operator()(const job_manager::JobCompleted& o) const { digest->Add(o.job); }
-  void operator()(const job_manager::ReadNodeList& o) const { digest->Add(o.follow); }
-  void operator()(const job_manager::LogEntry& o) const {
-    digest->Add(o.level);
-    digest->Add(o.job);
-    digest->Add(o.attempt);
-    digest->Add(std::string_view(o.node));
+  void operator()(const job_manager::CheckNodeHealth& output) const { digest->Add(output.node); }
+  void operator()(const job_manager::ForgetNode& output) const { digest->Add(output.node); }
+  void operator()(const job_manager::JobAnswered& output) const { digest->Add(output.job); }
+  void operator()(const job_manager::JobCompleted& output) const { digest->Add(output.job); }
+  void operator()(const job_manager::ReadNodeList& output) const { digest->Add(output.follow); }
+  void operator()(const job_manager::LogEntry& output) const {
+    digest->Add(output.level);
+    digest->Add(output.job);
+    digest->Add(output.attempt);
+    digest->Add(std::string_view(output.node));
   }
 
  private:
   template <typename T>
-  void AddAtNode(const T& o) const {
-    AddAttempt(o.attempt, digest);
-    digest->Add(o.node);
+  void AddAtNode(const T& output) const {
+    AddAttempt(output.attempt, digest);
+    digest->Add(output.node);
   }
 };
 
