--- a/tests/job_manager/job_manager_journal_test.cpp
+++ b/tests/job_manager/job_manager_journal_test.cpp
@@ -1,8 +1,8 @@
 // The stored form of jobs: what is written is read, and what is damaged is named.
-#include "job_manager/journal.hpp"
-
 #include <gtest/gtest.h>
 
+#include "job_manager/journal.hpp"
+
 namespace mountflow::job_manager {
 namespace {
 
--- a/tests/job_manager/job_manager_node_table_test.cpp
+++ b/tests/job_manager/job_manager_node_table_test.cpp
@@ -1,7 +1,7 @@
-#include "job_manager/node_table.hpp"
-
 #include <gtest/gtest.h>
 
+#include "job_manager/node_table.hpp"
+
 namespace mountflow::job_manager {
 namespace {
 
--- a/tests/job_manager/job_manager_timer_queue_test.cpp
+++ b/tests/job_manager/job_manager_timer_queue_test.cpp
@@ -1,9 +1,9 @@
-#include "job_manager/timer_queue.hpp"
-
 #include <gtest/gtest.h>
 
 #include <limits>
 
+#include "job_manager/timer_queue.hpp"
+
 namespace mountflow::job_manager {
 namespace {
 
