--- a/src/daemon/durable_state.cpp
+++ b/src/daemon/durable_state.cpp
@@ -46,10 +46,14 @@
 
  private:
   bool ApplyRecord(std::string_view record) {
-    if (!UsageLedger::IsLedgerRecord(record)) return job_manager_->Restore(record, &expected_);
-    const DaemonStatus applied = ledger_->Replay(record);
-    if (!applied) expected_ = applied.error().detail;
-    return applied.has_value();
+    if (UsageLedger::IsLedgerRecord(record)) {
+      const DaemonStatus applied = ledger_->Replay(record);
+      if (!applied) expected_ = applied.error().detail;
+      return applied.has_value();
+    }
+    const auto restored = job_manager_->Restore(record);
+    if (!restored) expected_ = Describe(restored.error());
+    return restored.has_value();
   }
 
   void SetPlace(const std::string& place) { expected_ = place + ": expected " + expected_; }
@@ -108,10 +112,8 @@
   for (const storage::RecoveryNotice& notice : notices) log_->Warn("storage", Describe(notice));
   if (!opened) return tl::unexpected(StorageFailure("", Describe(opened.error())));
   if (!jobs.failure().empty()) return tl::unexpected(StorageFailure(directory_, jobs.failure()));
-  std::string expected;
-  if (!job_manager_->FinishRestore(loop_->Now(), &expected)) {
-    return tl::unexpected(StorageFailure(directory_, expected));
-  }
+  const auto restored = job_manager_->FinishRestore(loop_->Now());
+  if (!restored) return tl::unexpected(StorageFailure(directory_, Describe(restored.error())));
   return {};
 }
 
--- a/src/daemon/http_front.cpp
+++ b/src/daemon/http_front.cpp
@@ -139,7 +139,7 @@
   return JsonReply{HttpStatus::kOk,
                    {{"server", job_manager_->options().server},
                     {"jobs", JobCountsToJson(job_manager_->Count())},
-                    {"unsettled_attempts", job_manager_->unsettled()},
+                    {"unsettled_attempts", job_manager_->stopping_attempts()},
                     {"list", NodeListStatusToJson(node_list_->Status(request.now))},
                     {"time_us", request.now}}};
 }
--- a/src/node_sessions/attempt_exchange.cpp
+++ b/src/node_sessions/attempt_exchange.cpp
@@ -38,7 +38,7 @@
   const auto add = [&request](const char* key, std::string value) {
     request.attributes.push_back({key, "", std::move(value), pbs_protocol::Op::kSet});
   };
-  add("until", std::to_string(attempt.until));  // a commit that comes later is rejected
+  add("until", std::to_string(attempt.deadline));  // a commit that comes later is rejected
   add("report_to", context.options.report_to);
   add("server", job_manager_options.server);
   add("class_priority", std::to_string(job_manager_options.settings.classes[spec.task_class].priority));
--- a/src/pbs_client/connection.cpp
+++ b/src/pbs_client/connection.cpp
@@ -164,7 +164,8 @@
         return reply;
       }
       if (parsed.state == pbs_protocol::DisState::kBad) {
-        return tl::make_unexpected(ConnectionError{ConnectionErrorCode::kBadReply, "", pbs_protocol::Describe(parsed.error), {}});
+        return tl::make_unexpected(
+            ConnectionError{ConnectionErrorCode::kBadReply, "", pbs_protocol::Describe(parsed.error), {}});
       }
       needed = parsed.needs;
     }
--- a/src/platform/platform_server.hpp
+++ b/src/platform/platform_server.hpp
@@ -25,7 +25,8 @@
 class PlatformServer : public event_loop::ConnectionHandler, public platform::Transport {
  public:
   // `loop` must outlive the server.
-  PlatformServer(event_loop::EventLoop* loop, const platform::PlatformConfig& config, std::string config_file);
+  PlatformServer(event_loop::EventLoop* loop, const platform::PlatformConfig& config,
+                 std::string config_file);
 
   [[nodiscard]] tl::expected<void, event_loop::EventLoopError> Start();
   // Writes every event and action of the scheduler to `file`, which must outlive the server.
--- a/tests/node_agent/node_agent_test.cpp
+++ b/tests/node_agent/node_agent_test.cpp
@@ -380,11 +380,12 @@
   const std::string id = rig.core.JobId(job);
   rig.core = job_manager::JobManager(Options(), 9, rig.now + kSecond);  // the daemon starts anew
   rig.now += kSecond;
-  links = std::make_unique<node_sessions::NodeSessions>(&rig.core, words, node_sessions::NodeSessionOptions{});
+  links =
+      std::make_unique<node_sessions::NodeSessions>(&rig.core, words, node_sessions::NodeSessionOptions{});
   rig.List({JobManagerFixture::Node("a")});
   Settle();
   ASSERT_NE(rig.core.Find(job), nullptr);
-  EXPECT_TRUE(rig.Job(job).adopted);
+  EXPECT_TRUE(rig.Job(job).recovered);
   EXPECT_EQ(rig.Job(job).spec->key, "k");
   EXPECT_EQ(rig.core.FindJobByKey("thandi", "k"), job);
   EXPECT_EQ(rig.core.JobId(job), id);
--- a/tests/platform/platform_request_table_test.cpp
+++ b/tests/platform/platform_request_table_test.cpp
@@ -1,10 +1,10 @@
 // Records of requests: look-up, counts by connection, and the bounds.
-#include "platform/request_table.hpp"
-
 #include <gtest/gtest.h>
 
 #include <string>
 
+#include "platform/request_table.hpp"
+
 namespace mountflow::platform {
 namespace {
 
--- a/tests/platform/platform_timer_queue_test.cpp
+++ b/tests/platform/platform_timer_queue_test.cpp
@@ -1,8 +1,8 @@
 // Timers in the order in which they are due.
-#include "platform/timer_queue.hpp"
-
 #include <gtest/gtest.h>
 
+#include "platform/timer_queue.hpp"
+
 namespace mountflow::platform {
 namespace {
 
--- a/tests/support/tls_session_fixture.hpp
+++ b/tests/support/tls_session_fixture.hpp
@@ -43,8 +43,8 @@
       PassPiece(&to_client, client.get(), &client_received, &to_server, piece_size);
     }
   }
-  static void PassPiece(std::string* from, event_loop::ConnectionFilter* to, std::string* received, std::string* reply,
-                        std::size_t piece_size) {
+  static void PassPiece(std::string* from, event_loop::ConnectionFilter* to, std::string* received,
+                        std::string* reply, std::size_t piece_size) {
     const std::string piece = from->substr(0, piece_size);
     from->erase(0, piece.size());
     if (!piece.empty()) to->Receive(piece, received, reply);
