--- a/tests/daemon/durable_state_test.cpp
+++ b/tests/daemon/durable_state_test.cpp
@@ -30,23 +30,30 @@
  protected:
   // One life of a daemon in the directory.
   struct Life {
-    Life(const std::string& directory, event_loop::EventLoop* loop)
-        : log(std::make_shared<spdlog::logger>("test",
+    Life(const std::string& directory, event_loop::EventLoop* life_loop)
+        : loop(life_loop),
+          log(std::make_shared<spdlog::logger>("test",
                                                std::make_shared<spdlog::sinks::ostream_sink_st>(lines))) {
       config.storage_folder = directory;
-      state = std::make_unique<daemon::DurableState>(config, loop, &rig.core, &log);
+      state = std::make_unique<daemon::DurableState>(config, life_loop, &rig.core, &log);
     }
-    // The number of the next durable turn, for which it waits.
+    // The number of the next durable turn: runs the loop until the committer has told of it.
     std::optional<std::uint64_t> AwaitDurableTurn() {
-      constexpr int kMaxPolls = 10'000;
-      for (int i = 0; i < kMaxPolls; ++i) {
+      constexpr Micros kTimeLimit = 30'000'000;  // only a failure takes it
+      std::optional<std::uint64_t> number;
+      const auto time_limit = loop->AddTimer(loop->Now() + kTimeLimit, [this] { loop->Stop(); });
+      loop->SetAfterTurn([this, &number] {
         state->UpdateStatus();
-        if (const auto number = state->NextDurableTurn()) return number;
-        std::this_thread::sleep_for(std::chrono::milliseconds(1));
-      }
-      return std::nullopt;
+        number = state->NextDurableTurn();
+        if (number) loop->Stop();
+      });
+      loop->Run();
+      loop->SetAfterTurn({});
+      loop->CancelTimer(time_limit);
+      return number;
     }
 
+    event_loop::EventLoop* loop;
     std::ostringstream lines;
     daemon::EventLog log;
     config::DaemonConfig config;
--- a/tests/pbs_client/pbs_client_test.cpp
+++ b/tests/pbs_client/pbs_client_test.cpp
@@ -6,6 +6,7 @@
 #include <unistd.h>
 
 #include <functional>
+#include <future>
 #include <optional>
 #include <string>
 #include <thread>
@@ -173,12 +174,14 @@
   EXPECT_EQ(Describe(reply.error()), "connection closed by the daemon");
   EXPECT_EQ(connection.Call(Request{}, kTimeout).error().code, ConnectionErrorCode::kNotConnected);
 
-  FakeServer slow([](const Request&) {
-    std::this_thread::sleep_for(std::chrono::milliseconds(200));
+  std::promise<void> client_gave_up;
+  FakeServer slow([&client_gave_up](const Request&) {
+    client_gave_up.get_future().wait();
     return Reply{};
   });
   ASSERT_TRUE(connection.Connect(slow.address(), kTimeout));
   reply = connection.Call(Request{}, 20'000);
+  client_gave_up.set_value();
   ASSERT_FALSE(reply);
   EXPECT_EQ(reply.error().code, ConnectionErrorCode::kReplyTimeout);
 }
