--- a/tests/daemon/durable_state_test.cpp
+++ b/tests/daemon/durable_state_test.cpp
@@ -5,7 +5,6 @@
 #include <spdlog/sinks/ostream_sink.h>
 #include <spdlog/spdlog.h>
 
-#include <chrono>
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
@@ -13,7 +12,6 @@
 #include <optional>
 #include <sstream>
 #include <string>
-#include <thread>
 
 #include "tests/support/job_manager_fixture.hpp"
 
