--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,4 +1,4 @@
-// The smallest use of mountflow: one machine, one task, print what is decided.
+// A minimal use of mountflow: submits one task to a cluster of one node, and prints the decision.
 #include <iostream>
 #include <variant>
 #include <vector>
@@ -16,29 +16,29 @@
   settings.max_attempts = 2;
   Scheduler scheduler(settings, /*seed=*/42);
 
-  NodeListUpdate view;
-  view.kind = NodeListKind::kSnapshot;
-  NodeEntry machine;
-  machine.node = 7;
-  machine.free_cores = 8.0;
-  machine.free_memory = 16.0;
-  view.nodes = {machine};
+  NodeListUpdate node_list;
+  node_list.kind = NodeListKind::kSnapshot;
+  NodeEntry entry;
+  entry.node = 7;
+  entry.free_cores = 8.0;
+  entry.free_memory = 16.0;
+  node_list.nodes = {entry};
 
-  TaskSubmitted arrival;
-  arrival.task.request = 1;
-  arrival.task.deadline = 5'000'000;
-  arrival.task.cores = 1.0;
-  arrival.task.memory = 2.0;
+  TaskSubmitted submitted;
+  submitted.task.request = 1;
+  submitted.task.deadline = 5'000'000;
+  submitted.task.cores = 1.0;
+  submitted.task.memory = 2.0;
 
   std::vector<Action> actions;
-  scheduler.Handle(1'000'000, view, &actions);
-  scheduler.Handle(1'000'000, arrival, &actions);
+  scheduler.Handle(1'000'000, node_list, &actions);
+  scheduler.Handle(1'000'000, submitted, &actions);
   for (const Action& action : actions) {
-    if (const auto* offer = std::get_if<StartAttempt>(&action)) {
-      std::cout << "offer request " << offer->request << " to machine " << offer->node << "\n";
+    if (const auto* start = std::get_if<StartAttempt>(&action)) {
+      std::cout << "start request " << start->request << " on node " << start->node << "\n";
       return 0;
     }
   }
-  std::cout << "no offer was made\n";
+  std::cout << "no attempt was started\n";
   return 1;
 }
--- a/include/mountflow/scheduler.hpp
+++ b/include/mountflow/scheduler.hpp
@@ -1,16 +1,20 @@
 // The public interface of the decision library: settings and events in, actions out.
 //
-// The library decides which node runs which task, under five rules: each task gets one final answer in time;
-// no task takes effect twice; draining nodes get nothing; nodes that are warming up get no more than their
-// slow-start budget; tasks of one service stay spread over the failure domains.
+// The library decides which node runs which task. It keeps five rules:
+//   1. Each task gets exactly one final answer, by its deadline.
+//   2. No task takes effect twice.
+//   3. A draining node gets no attempts.
+//   4. A node that is warming up gets at most its slow-start budget.
+//   5. Tasks of one service stay spread over the failure domains.
 //
-// A program makes one Scheduler, passes it each event in the order in which the events happened, and carries
-// out the actions in the order given. Time arrives with the events: the library reads no clock, starts no
-// thread, does no I/O and keeps no global state. Equal settings, seeds and events give equal actions.
+// A program creates one Scheduler, passes it each event in the order in which the events happened, and
+// carries out the returned actions in order. Time is an argument of each call: the library reads no clock,
+// starts no thread, does no I/O and has no global state. The same settings, seed and events always give the
+// same actions.
 //
 // Thread safety: a Scheduler may be used by one thread at a time; different objects are independent.
-// Errors: input that makes no sense (an unknown request, a node that is not listed) is ignored; nothing
-// throws.
+// Errors: invalid events (for example an unknown request, or a node that is not listed) are ignored.
+// Nothing throws.
 #ifndef MOUNTFLOW_SCHEDULER_HPP_
 #define MOUNTFLOW_SCHEDULER_HPP_
 
@@ -23,79 +27,81 @@
 
 namespace mountflow {
 
-// A point in time (since an epoch that the caller chooses and keeps) or a length of time, in microseconds.
+// A point in time or a duration, in microseconds. The caller chooses the epoch and must not change it.
 using Micros = std::uint64_t;
-// Chosen by the caller; never used again for another task while the scheduler lives.
+// Identifies a launch request. Chosen by the caller, and never reused while the Scheduler exists.
 using RequestId = std::uint32_t;
-// Chosen by the caller; names one node for as long as it is listed.
+// Identifies a node. Chosen by the caller, and stable for as long as the node is listed.
 using NodeId = std::uint32_t;
 
 // ---- Settings ----
 
-// What a second run of the same task does.
+// Whether it is safe to run the same task twice.
 enum class Idempotency {
-  kIdempotent,    // no harm
-  kWithKey,       // no harm where the nodes of its deduplication scope recognise its key
-  kNotIdempotent  // harm: the task must never run twice
+  kIdempotent,    // safe
+  kWithKey,       // safe within the deduplication scope, whose nodes recognise the task's key
+  kNotIdempotent  // not safe: the task must never run twice
 };
 
-// The nodes that share one memory of keys.
+// The set of nodes that share one record of the deduplication keys already seen.
 enum class DeduplicationScope { kAll, kZone, kRack };
 
-// The failure domain that tasks of one service are spread over.
+// The kind of failure domain that the tasks of one service are spread over.
 enum class TopologySpread { kNone, kNode, kRack, kZone };
 
-// What all tasks of one class have in common. Defaults are the strictest meaning of a setting that is absent.
+// Properties shared by all tasks of one class. A setting that is absent has its strictest value as default.
 struct TaskClass {
   Idempotency idempotency = Idempotency::kNotIdempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::kRack;
-  Micros deduplication_window = 0;   // how long a key is remembered
-  Micros start_target = 0;           // a first start within this earns its full value
-  double value_per_second = 1.0;     // of a second of service at mean size
-  double start_value_seconds = 0.0;  // value of a start in time, as seconds of service
-  double late_value = 0.0;           // share of it that is left when the start is late
+  Micros deduplication_window = 0;   // how long nodes remember a key
+  Micros start_target = 0;           // a first start within this time has its full value
+  double value_per_second = 1.0;     // value of one second of service of a task of mean size
+  double start_value_seconds = 0.0;  // value of a start within start_target, in seconds of service
+  double late_value = 0.0;           // fraction of that value that a later start has
   TopologySpread topology_spread = TopologySpread::kNone;
-  int max_per_domain = 0;                 // most tasks of one service in one failure domain; 0: unlimited
-  int node_kind = -1;                     // index in Settings::node_kinds that the class needs; -1: any
+  int max_per_domain = 0;                 // maximum tasks of one service in one failure domain; 0: unlimited
+  int node_kind = -1;                     // required kind, as an index in Settings::node_kinds; -1: any
   int priority = 0;                       // higher is more important
-  double full_service_utilisation = 1.0;  // served in full while cores are in use up to this share
+  double full_service_utilisation = 1.0;  // CPU utilisation up to which the class is served in full
 };
 
+// The size of all nodes of one kind.
 struct NodeKind {
   double cores = 1.0;
-  double memory = 1.0;  // in the deployment's unit
+  double memory = 1.0;  // in the deployment's unit of memory
 };
 
-// What a deployment states at the start. Defaults are the neutral meaning of a setting that is absent. The
-// prices and values are part of what a deployment says about itself; the scheduler does not trade by them.
+// Configuration of a deployment, fixed for the lifetime of a Scheduler. A setting that is absent has its
+// neutral value as default. The scheduler does not optimise the prices and values; the one that it reads at
+// all is cross_zone_price.
 struct Settings {
   std::vector<TaskClass> classes;
   std::vector<NodeKind> node_kinds;
-  int group_size = 0;   // schedulers that share the nodes; 0: unknown
-  int self_index = -1;  // this scheduler's number among them, from 0; -1: unknown
+  int group_size = 0;   // number of schedulers that share the nodes; 0: unknown
+  int self_index = -1;  // index of this scheduler in that group, from 0; -1: unknown
   int own_zone = 0;
-  bool list_on_request = false;             // node lists come only when asked for
-  bool list_has_free_capacity = false;      // node list entries carry free cores and memory
-  bool started_means_running = true;        // TaskStarted means running, not just accepted
-  bool reports_requested_capacity = false;  // reported free capacity counts requests, not use
+  bool list_on_request = false;         // node lists arrive only after WatchNodes
+  bool list_has_free_capacity = false;  // node list entries contain free cores and memory
+  bool started_means_running = true;    // TaskStarted means that the task runs, not only that it was accepted
+  bool reports_requested_capacity = false;  // free capacity in load reports counts requests, not actual use
   bool may_check_health = false;
   bool may_cancel = false;
   bool may_duplicate_attempts = false;
-  bool nodes_preempt = false;      // nodes stop tasks of lower priority to make room
-  unsigned max_attempts = 1;       // of one request
-  double mean_cores = 1.0;         // of a task
-  double mean_memory = 1.0;        // of a task
-  double overcommit_cores = 1.0;   // a node accepts up to this times its cores
-  double overcommit_memory = 1.0;  // and up to this times its memory
-  Micros client_wait = 0;          // how long clients wait where a task may be running
-  Micros answer_slack = 0;
+  bool nodes_preempt = false;      // nodes preempt tasks of lower priority for those of higher priority
+  unsigned max_attempts = 1;       // maximum attempts per request
+  double mean_cores = 1.0;         // mean cores that a task requests
+  double mean_memory = 1.0;        // mean memory that a task requests
+  double overcommit_cores = 1.0;   // a node accepts requests for up to this multiple of its cores
+  double overcommit_memory = 1.0;  // a node accepts requests for up to this multiple of its memory
+  Micros client_wait = 0;          // how long clients wait before a retry where an attempt may have run
+  Micros answer_slack = 0;         // tolerance for a final answer after its deadline
   Micros ask_within = 0;
   Micros drain_grace_period = 0;
-  double slow_start_initial_pace = 1.0;  // share of its pace at which a new node starts
-  Micros slow_start_duration = 0;        // a node is warm no later than this after its start
-  double overload_multiple = 1.0;
-  Micros slow_start_window = 0;    // the window that slow_start_budget is counted in
-  double slow_start_budget = 0.0;  // attempts per window that any warming node bears
+  double slow_start_initial_pace = 1.0;  // fraction of its full pace at which a new node begins
+  Micros slow_start_duration = 0;        // time after its start at which a node has warmed up
+  double overload_multiple = 1.0;        // a warming node fails above this multiple of what it can start
+  Micros slow_start_window = 0;          // length of the sliding window of slow_start_budget
+  double slow_start_budget = 0.0;        // attempts per window that every warming node can handle
   double rejection_price = 0.0;
   double cross_zone_price = 0.0;
   double migration_price = 0.0;
@@ -107,56 +113,60 @@
 
 enum class NodeState { kGone, kReady, kDraining };
 
+// One node as the node list describes it.
 struct NodeEntry {
   NodeId node = 0;
   unsigned rack = 0;
   unsigned zone = 0;
   unsigned kind = 0;      // index in Settings::node_kinds
-  Micros started_at = 0;  // 0: long ago
+  Micros started_at = 0;  // start of this incarnation; 0: long ago
   NodeState state = NodeState::kReady;
-  double free_cores = 0.0;  // not requested by tasks, as of some time ago
-  double free_memory = 0.0;
+  double free_cores = 0.0;   // cores that no task requested when the list was made
+  double free_memory = 0.0;  // the same for memory
 };
 
-// What a node says about its own load; what it does not tell is empty.
+// The load of a node as the node itself reports it. Fields that it does not report are empty.
 struct LoadReport {
   std::optional<double> free_cores;
   std::optional<double> free_memory;
   std::optional<double> queued;
-  std::optional<double> utilisation;  // share of its cores in use, 0 to 1
+  std::optional<double> utilisation;  // fraction of its cores in use, 0 to 1
 };
 
 enum class NodeListKind {
-  kDelta,       // entries that changed
-  kSnapshot,    // the whole list
-  kCached,      // the whole list as it was remembered, of unknown age
-  kUnavailable  // the list could not be read
+  kDelta,       // only entries that changed
+  kSnapshot,    // the complete list
+  kCached,      // the complete list from a cache, of unknown age
+  kUnavailable  // reading the list failed
 };
-// The node list or a part of it, with nodes by number: the layers above resolve names and addresses.
+// The node list, or the changed part of it. Nodes are identified by id: the caller maps ids to names and
+// addresses.
 struct NodeListUpdate {
   NodeListKind kind = NodeListKind::kDelta;
   std::vector<NodeEntry> nodes;
 };
 
+// The task of one launch request.
 struct Task {
   RequestId request = 0;
   unsigned task_class = 0;  // index in Settings::classes
   unsigned tenant = 0;
-  Micros deadline = 0;  // the final answer is due by then
-  std::uint64_t key = 0;
-  std::uint64_t service = 0;
+  Micros deadline = 0;        // time by which the final answer is due
+  std::uint64_t key = 0;      // deduplication key
+  std::uint64_t service = 0;  // the service that the task belongs to
   double cores = 0.0;
   double memory = 0.0;
 };
+// A client submitted a launch request.
 struct TaskSubmitted {
   Task task;
 };
-// A task that already runs and is now this scheduler's to look after.
+// A task that is already running on `node`; this scheduler manages it from now on.
 struct TaskRecovered {
   Task task;
   NodeId node = 0;
 };
-// The node took the task: see Settings::started_means_running.
+// The node accepted or started the task, depending on Settings::started_means_running.
 struct TaskStarted {
   RequestId request = 0;
   unsigned attempt = 0;
@@ -164,6 +174,7 @@
   Micros elapsed = 0;
 };
 enum class ProgressKind { kRunning = 1, kCoresUsed = 2, kMemoryUsed = 3, kServed = 4, kPressure = 5 };
+// A running or accepted task reported progress.
 struct TaskProgress {
   RequestId request = 0;
   unsigned attempt = 0;
@@ -172,16 +183,16 @@
   double value = 0.0;
 };
 enum class AttemptResult {
-  kCompleted,    // the task ended by itself
-  kError,        // the node answered with an error; the task may have run
-  kRejected,     // the node did not take it: it never ran
-  kTimedOut,     // no answer, which proves nothing
-  kUnreachable,  // the node could not be reached: it never ran
-  kLost,         // evicted, preempted, drained, or lost with its node
-  kCancelled,    // cancelled; before a TaskStarted it may have been accepted
-  kNotSent       // never sent
+  kCompleted,    // the task ran to its end
+  kError,        // the node returned an error; the task may have run
+  kRejected,     // the node rejected the attempt; the task never ran
+  kTimedOut,     // the node did not reply; the task may have run
+  kUnreachable,  // the node could not be reached; the task never ran
+  kLost,         // the task was evicted, preempted or drained, or its node failed
+  kCancelled,    // the attempt was cancelled; the task may have run even without a TaskStarted
+  kNotSent       // the attempt was never sent; the task never ran
 };
-// Why a node rejected or ended an attempt. The values are those of the simulator's protocol.
+// The reason why a node rejected or ended an attempt. The values are those of the simulator's protocol.
 enum class RejectionReason {
   kUnspecified = 0,
   kNoCores = 1,
@@ -192,92 +203,101 @@
   kPreempted = 6,
   kDrained = 7
 };
-// How an attempt ended. Exactly one comes for each StartAttempt.
+// An attempt ended. The caller sends exactly one for each StartAttempt.
 struct AttemptEnded {
   RequestId request = 0;
   unsigned attempt = 0;
   NodeId node = 0;
   Micros elapsed = 0;
-  bool request_closed = false;  // the request has its final answer, by this event or before
+  bool request_closed = false;  // the request already has its final answer, or this event is it
   AttemptResult result = AttemptResult::kCompleted;
   RejectionReason reason = RejectionReason::kUnspecified;
   LoadReport report;
 };
-// The task is no longer wanted.
+// The client no longer wants the task.
 struct TaskCancelled {
   RequestId request = 0;
 };
+// The timer of a SetTimer action fired.
 struct TimerFired {
-  std::uint64_t token = 0;  // of the SetTimer
+  std::uint64_t token = 0;  // token of that SetTimer
 };
+// The result of a StartHealthCheck action.
 struct HealthCheckResult {
   NodeId node = 0;
   bool answered = false;
   Micros elapsed = 0;
   LoadReport report;
 };
-// How many schedulers share the nodes, and this one's number among them, as far as is known now; an index
-// outside 0 to size - 1: not sure. The settings' numbers hold until the first of these.
+// The current size of the group of schedulers that share the nodes, and the index of this scheduler in it. An
+// index outside 0 to size - 1 means that the membership is uncertain. Settings::group_size and self_index
+// apply until the first of these events.
 struct MembershipChange {
   int size = 0;
   int index = -1;
-  Micros valid_until = ~Micros{0};  // sure until then, unless told anew
-  bool undisturbed = false;         // nobody joined or left since the numbers that were sure last
+  Micros valid_until = ~Micros{0};  // certain until this time, unless another event arrives first
+  bool undisturbed = false;         // no member joined or left since the membership was last certain
 };
 using Event = std::variant<NodeListUpdate, TaskSubmitted, TaskRecovered, TaskStarted, TaskProgress,
                            AttemptEnded, TaskCancelled, TimerFired, HealthCheckResult, MembershipChange>;
 
 // ---- Actions ----
 
-// Attempts of a request count from 0, in the order of these.
+// Sends the task to `node`. The attempts of a request are numbered from 0 in the order of these actions.
 struct StartAttempt {
   RequestId request = 0;
   unsigned attempt = 0;
   NodeId node = 0;
-  Micros deadline = 0;  // the caller gives the attempt up at this time
+  Micros deadline = 0;  // time at which the caller must end the attempt as timed out
 };
+// Asks the node to cancel an attempt in flight. An AttemptEnded must still follow.
 struct CancelAttempt {
   RequestId request = 0;
   unsigned attempt = 0;
 };
-// A final answer: the client may safely ask again.
+// Final answer of a request that the client may safely retry.
 struct RejectTask {
   RequestId request = 0;
-  Micros retry_after = 0;  // 0: no advice
+  Micros retry_after = 0;  // how long the client should wait; 0: not specified
 };
-// A final answer: the task may have run.
+// Final answer of a request whose task may have run.
 struct FailTask {
   RequestId request = 0;
 };
-// Stops a running task; its client asks again.
+// Stops a running task, so that its client submits it again.
 struct MigrateTask {
   RequestId request = 0;
 };
+// Requests a TimerFired with `token` at time `at`.
 struct SetTimer {
   Micros at = 0;
   std::uint64_t token = 0;
 };
+// Requests a health check of the node; its result arrives as a HealthCheckResult.
 struct StartHealthCheck {
   NodeId node = 0;
 };
-struct WatchNodes {};  // subscribe to changes of the node list
-struct ListNodes {};   // read the whole node list once
+struct WatchNodes {};  // subscribes to changes of the node list
+struct ListNodes {};   // reads the complete node list once
+// Writes one line to the caller's log.
 struct LogLine {
   std::string text;
 };
 using Action = std::variant<StartAttempt, CancelAttempt, RejectTask, FailTask, MigrateTask, SetTimer,
                             StartHealthCheck, WatchNodes, ListNodes, LogLine>;
 
+// Decides which node runs each task, as one of a group of schedulers that share the nodes.
 class Scheduler {
  public:
-  // `seed` feeds every random draw.
+  // All random draws are derived from `seed`.
   Scheduler(const Settings& settings, std::uint64_t seed);
   ~Scheduler();
   Scheduler(Scheduler&&) noexcept;
   Scheduler& operator=(Scheduler&&) noexcept;
 
-  // Takes one event that happened at `now` and appends what has to be done to `actions`, which must not be
-  // null. `now` must not go back between calls; where it does, the latest time so far counts.
+  // Processes one event that happened at `now`, and appends the actions that the caller must carry out to
+  // `actions`, which must not be null. `now` should not decrease between calls; if it does, the latest time
+  // so far is used instead.
   void Handle(Micros now, const Event& event, std::vector<Action>* actions);
 
  private:
