--- a/src/scheduler/admission_rules.cpp
+++ b/src/scheduler/admission_rules.cpp
@@ -7,12 +7,15 @@
 namespace mountflow {
 namespace {
 
-// Longest skip of a node that had no free capacity: where lists are old, it still gets attempts.
+// Maximum time for which a node that had no free capacity is skipped. It ensures that the node gets attempts
+// again even if node lists are old.
 constexpr Micros kMaxCapacitySkip = 3 * kSecond;
-// A node that evicts tasks or takes none is likely draining. The list says so only seconds later, and
-// meanwhile the node empties and would draw the largest share: left out for as long as a list may be behind.
+// Time for which a node that evicts tasks or rejects all of them is skipped, because it is likely draining.
+// The node list shows this only seconds later, and meanwhile the node empties and would get the largest share
+// of the attempts. The time covers the highest age of a node list.
 constexpr Micros kLikelyDrainingSkip = 6 * kSecond;
 
+// Returns the id of the failure domain that a node belongs to.
 unsigned DomainOf(const NodeEntry& entry, TopologySpread spread) {
   if (spread == TopologySpread::kNode) return entry.node;
   return spread == TopologySpread::kRack ? entry.rack : entry.zone;
--- a/src/scheduler/admission_rules.hpp
+++ b/src/scheduler/admission_rules.hpp
@@ -1,4 +1,4 @@
-// The rules that say whether a node may get an attempt of a request at all, however well it ranks.
+// Rules that decide whether a node may receive an attempt of a request at all, independent of its rank.
 #ifndef MOUNTFLOW_SCHEDULER_ADMISSION_RULES_HPP_
 #define MOUNTFLOW_SCHEDULER_ADMISSION_RULES_HPP_
 
@@ -14,41 +14,49 @@
 
 namespace mountflow {
 
-// Own tasks of one service by failure domain: node, rack or zone as its class says. Empty: no limit applies.
+// Number of own tasks of one service in each failure domain. The domains are nodes, racks or zones, depending
+// on the task class. Empty if no limit applies.
 using DomainCounts = std::map<unsigned, int>;
 
-// `settings`, `nodes` and `slow_start` must outlive this.
+// Checks the rules for draining, deduplication, slow start and topology spread. `settings`, `nodes` and
+// `slow_start` must outlive this object.
 class AdmissionRules {
  public:
   AdmissionRules(const Settings& settings, const NodeTable& nodes, const SlowStart& slow_start)
       : settings_(settings), nodes_(nodes), slow_start_(slow_start) {}
 
-  // The tasks that count for the topology spread of `task`, running ones too.
+  // Returns the number of tasks per failure domain that count against the topology spread of `task`: attempts
+  // in flight and running tasks.
   DomainCounts CountByDomain(const Task& task, const ServicePlacements& placements) const;
 
-  // Rules 2 to 5 for one attempt. Drain: nothing goes to a node from the moment that it is listed as draining
-  // or gone. Spread: with this task, its service stays within the limit of the failure domain.
+  // Reports whether rules 2 to 5 of the public header allow an attempt of the request on the node. Drain: a
+  // node gets no attempts once it is listed as draining or gone. Spread: with this task, the service must
+  // stay within its limit for the failure domain.
   bool Allows(const NodeRecord& node, const RequestRecord& request, const DomainCounts& counts,
               Micros now) const;
 
-  // Clears `qualifies` of nodes that are not allowed, are not of the kind that the class needs, were tried
-  // for the request before, or lately showed that they take no such task.
+  // Clears `qualifies` of nodes that Allows() forbids, that are not of the kind that the class requires, that
+  // an earlier attempt of the request was sent to, or that recently rejected such a task.
   void Filter(const RequestRecord& request, const DomainCounts& counts, Micros now,
               std::vector<NodeLoad>* nodes) const;
 
-  // The node had no free capacity for the task: it gets none as large until a list later than that, or for
-  // some seconds. One large task must not close a node to small ones.
+  // Records that the node rejected the task because it had no free capacity. The node gets no task that is as
+  // large until a node list made after the rejection arrives, or until a few seconds have passed. Smaller
+  // tasks are not affected.
   static void NoteCapacityRejection(const Task& task, NodeRecord* node, Micros now);
-  // The node rejects or evicts tasks as a draining one does, before the list says so.
+  // Records that the node rejects or evicts tasks like a draining node, although it is not listed as draining
+  // yet.
   static void NoteLikelyDraining(NodeRecord* node, Micros now);
-  // A new incarnation: what was seen before says nothing of it.
+  // Discards what was recorded of the node's previous incarnation.
   static void NoteRestart(NodeRecord* node);
-  // The node list is now true of `observed_at`.
+  // Records that the node list now shows the state of the node at `observed_at`.
   static void NoteObserved(NodeRecord* node, Micros observed_at);
 
  private:
-  // Whether the request may have another attempt on the node, where an earlier one may have run.
+  // Reports whether the idempotency of the task allows an attempt on the node. This is always so unless an
+  // earlier attempt may have run.
   bool AllowsRepeat(const NodeRecord& node, const RequestRecord& request, Micros now) const;
+  // Reports whether the failure domain of the node is below the service's limit.
   bool AllowsSpread(const NodeRecord& node, const Task& task, const DomainCounts& counts) const;
 
   const Settings& settings_;
--- a/src/scheduler/attempt_rules.cpp
+++ b/src/scheduler/attempt_rules.cpp
@@ -15,7 +15,8 @@
          settings_.classes[request.task.task_class].idempotency != Idempotency::kNotIdempotent;
 }
 
-// A time-out proves nothing, and a cancelled attempt may have been accepted before.
+// An attempt that timed out may have run, and a cancelled attempt may have been accepted before its
+// cancellation.
 bool AttemptRules::NeverRan(AttemptResult result) {
   return result == AttemptResult::kRejected || result == AttemptResult::kUnreachable ||
          result == AttemptResult::kNotSent;
--- a/src/scheduler/attempt_rules.hpp
+++ b/src/scheduler/attempt_rules.hpp
@@ -1,4 +1,4 @@
-// Whether a request may have another attempt, and what its one final answer is.
+// Rules that decide whether a request gets another attempt, and its final answer.
 #ifndef MOUNTFLOW_SCHEDULER_ATTEMPT_RULES_HPP_
 #define MOUNTFLOW_SCHEDULER_ATTEMPT_RULES_HPP_
 
@@ -7,25 +7,29 @@
 
 namespace mountflow {
 
-// Rules 1 and 2 as far as they ask for no node; AdmissionRules has those that do. Pure functions of the
-// request. `settings` must outlive this.
+// The parts of rules 1 and 2 of the public header that do not depend on a node; AdmissionRules has the
+// others. All methods are pure functions of the request. `settings` must outlive this object.
 class AttemptRules {
  public:
   explicit AttemptRules(const Settings& settings) : settings_(settings) {}
 
-  // Whether the time and the number of attempts allow another one.
+  // Reports whether the deadline and the maximum number of attempts allow another attempt.
   bool MayRetry(const RequestRecord& request, Micros now) const;
-  // The same, and none is in flight, nor has the request its final answer.
+  // Reports whether MayRetry() holds, no attempt is in flight or running, and the request has no final answer
+  // yet.
   bool MayStart(const RequestRecord& request, Micros now) const;
 
-  // Whether an attempt at a silent node may be cancelled to make another one, although it may run.
+  // Reports whether an attempt on an unresponsive node may be cancelled in favour of another attempt,
+  // although it may have run.
   bool MayCancelForRetry(const RequestRecord& request) const;
 
-  // Whether an attempt that ended like this is certain not to have run, unless its start was reported.
+  // Reports whether an attempt with this result certainly did not run. Does not apply to an attempt whose
+  // start was reported.
   static bool NeverRan(AttemptResult result);
 
-  // Where no further attempt is possible. A rejection says that asking again is harmless: true where nothing
-  // may have run, where a repeat does no harm, and where every node would discard it. All else is a failure.
+  // Returns the final answer of a request for which no further attempt is possible. The answer is a
+  // rejection, which tells the client that a retry is safe, if no attempt may have run, if the task is
+  // idempotent, or if every node would discard a repeat. Otherwise it is a failure.
   Action FinalAnswer(const RequestRecord& request) const;
 
  private:
--- a/src/scheduler/cluster_load.hpp
+++ b/src/scheduler/cluster_load.hpp
@@ -1,5 +1,5 @@
-// Load of the ready nodes at one pick. Plain records that LoadModel makes and the filters and the ranking
-// read.
+// The load of the ready nodes while a node is picked. Plain records: LoadModel fills them in, the filters and
+// the ranking read them.
 #ifndef MOUNTFLOW_SCHEDULER_CLUSTER_LOAD_HPP_
 #define MOUNTFLOW_SCHEDULER_CLUSTER_LOAD_HPP_
 
@@ -10,33 +10,33 @@
 
 namespace mountflow {
 
-// What is known of all ready nodes at one pick.
+// The ready nodes and the age of the information about them. `ready` must outlive this object.
 struct ClusterState {
   const std::vector<NodeRecord*>& ready;
   Micros now = 0;
-  Micros list_at = 0;       // when the latest node list came
-  Micros observed_at = 0;   // the time that it is true of
-  double start_rate = 0.0;  // tasks per microsecond that all schedulers start
+  Micros list_at = 0;       // when the latest node list arrived
+  Micros observed_at = 0;   // the time whose state that list shows
+  double start_rate = 0.0;  // tasks per microsecond that all schedulers together start
 };
 
-// One ready node at one pick.
+// One ready node while a node is picked. Does not own `node`.
 struct NodeLoad {
   NodeRecord* node;
   NodeKind kind;
-  double load;           // sum(m_j * n_hj), without the task at hand
-  double reported_load;  // the same by its own report; 0 where it has none
+  double load;           // sum(m_j * n_hj), without the task to be scheduled
+  double reported_load;  // the same from the node's own load report; 0 if there is none
   double capacity;       // C_h, above 0
   bool is_warming_up;
   bool is_entry_stale = false;  // set by OutlierEjection
   bool qualifies = true;        // cleared by the filters
 };
 
-// The ready nodes that are not warming up, together.
+// Totals over the ready nodes that are not warming up.
 struct ClusterLoad {
   double capacity = 0.0;
-  double mean_load = 0.0;                     // by capacity, without what other schedulers sent unobserved
-  double fill_level = 0.0;                    // load by capacity up to which that fills the least loaded
-  double unobserved_tasks_by_capacity = 0.0;  // tasks that other schedulers sent unobserved
+  double mean_load = 0.0;   // load per capacity, without the unobserved load of other schedulers
+  double fill_level = 0.0;  // load per capacity up to which that unobserved load fills the least loaded nodes
+  double unobserved_tasks_by_capacity = 0.0;  // unobserved tasks of other schedulers, per capacity
 };
 
 }  // namespace mountflow
--- a/src/scheduler/list_staleness.cpp
+++ b/src/scheduler/list_staleness.cpp
@@ -8,22 +8,23 @@
 namespace mountflow {
 namespace {
 
-// Ages that are tried: multiples of 250 ms up to 12 s.
+// Candidate ages: multiples of 250 ms up to 12 s.
 constexpr Micros kAgeStep = 250 * kMillisecond;
 constexpr std::size_t kAges = 49;
-// First guess: 2 s.
+// Initial estimate: 2 s.
 constexpr std::size_t kFirstAgeStep = 8;
-// Factor by which older evidence fades with each list: some 33 lists count.
+// Factor by which the weight of earlier lists decreases with each list. The effective window is about 33
+// lists.
 constexpr double kEvidenceFade = 0.97;
-// Error of another age, as a share of the present one's, that makes it the estimate. Where our own traffic is
-// thin, the best of 49 ages is chance.
+// An age replaces the estimate if its error is less than this fraction of the current estimate's error. With
+// few own tasks, the lowest error among 49 ages is a matter of chance.
 constexpr double kClearlyBetter = 0.9;
-// Lists before the first change of the estimate.
+// Minimum number of lists before the estimate changes.
 constexpr std::size_t kMinLists = 8;
-// Share by which the start rate follows each list.
+// Weight of the latest list in the exponential moving average of the start rate.
 constexpr double kStartRateGain = 0.2;
-// Before any start is seen: what runs now is taken to be started anew within this.
-constexpr Micros kAssumedTaskLife = 20 * kSecond;
+// Assumed duration of a task, used for the start rate until the first starts are observed.
+constexpr Micros kAssumedTaskDuration = 20 * kSecond;
 
 }  // namespace
 
@@ -75,7 +76,7 @@
     const double used_cores = KindOf(settings, node.entry).cores - node.entry.free_cores;
     rate_ += std::max(0.0, used_cores) / settings.mean_cores;
   }
-  rate_ /= static_cast<double>(kAssumedTaskLife);
+  rate_ /= static_cast<double>(kAssumedTaskDuration);
 }
 
 }  // namespace mountflow
--- a/src/scheduler/list_staleness.hpp
+++ b/src/scheduler/list_staleness.hpp
@@ -1,4 +1,4 @@
-// Learns how old the node list is when it comes, and how fast all schedulers together start tasks.
+// Estimates how old a node list is when it arrives, and how fast all schedulers together start tasks.
 #ifndef MOUNTFLOW_SCHEDULER_LIST_STALENESS_HPP_
 #define MOUNTFLOW_SCHEDULER_LIST_STALENESS_HPP_
 
@@ -10,37 +10,41 @@
 
 namespace mountflow {
 
-// The age of the node list: that at which our own starts and ends explain the changes of its free capacity
-// best. Invariant: the age is one of those tried, and changes in Learn alone.
+// Estimates the age that node lists have on arrival. Of a fixed set of candidate ages, the estimate is the
+// one at which the starts and ends of own tasks best explain the changes of free capacity from list to list.
+// Invariant: the estimate is one of the candidates, and only Learn() changes it.
 class ListStaleness {
  public:
   ListStaleness();
 
-  // The highest age that is tried.
+  // Returns the highest candidate age.
   static Micros MaxAge();
-  // What happened this long ago is known to every scheduler, whatever the age of its list.
+  // Returns the delay after which every scheduler knows of an event, whatever the age of its node list.
   static Micros Horizon();
 
-  // The time that a list is true of which came at `list_at`; never 0.
+  // Returns the time whose state a list shows that arrived at `list_at`. Never returns 0.
   Micros ObservedAt(Micros list_at) const;
 
-  // Takes in a delta that came at `now`, after the list that came at `previous_at`, which must be earlier.
+  // Updates the estimate from a delta that arrived at `now`. The previous list arrived at `previous_at`,
+  // which must be earlier.
   void Learn(const NodeTable::Nodes& nodes, Micros previous_at, Micros now);
 
  private:
-  std::vector<double> errors_;  // squared and faded, by age
-  std::size_t age_step_;        // the estimate, in steps
+  std::vector<double> errors_;  // exponentially weighted squared error of each candidate age
+  std::size_t age_step_;        // the estimate, as an index of errors_
   std::size_t lists_seen_ = 0;
 };
 
-// Tasks per microsecond that all schedulers together start, read from the falls of free capacity from list to
-// list. Starts and ends on one node hide each other, so readers count it twice.
+// Estimates the number of tasks per microsecond that all schedulers together start, from the decreases of
+// free capacity between node lists. The estimate is low, because starts and ends on the same node cancel each
+// other out: users of value() multiply it by 2.
 class ClusterStartRate {
  public:
+  // Returns the estimate in tasks per microsecond.
   double value() const { return rate_; }
-  // Takes in a delta that came `elapsed` after the list before.
+  // Updates the estimate from a delta that arrived `elapsed` microseconds after the previous list.
   void Learn(const NodeTable::Nodes& nodes, const Settings& settings, Micros elapsed);
-  // A first guess where no start was seen yet.
+  // Sets a first estimate from the running tasks if there is none yet.
   void GuessIfUnknown(const NodeTable::Nodes& nodes, const Settings& settings);
 
  private:
--- a/src/scheduler/list_watch.cpp
+++ b/src/scheduler/list_watch.cpp
@@ -7,10 +7,10 @@
 namespace mountflow {
 namespace {
 
-// Backoff after a failed call, doubled up to the highest with each failure in a row.
+// Backoff after a failed call. It doubles with each consecutive failure, up to the maximum.
 constexpr Micros kBaseBackoff = 500 * kMillisecond;
 constexpr Micros kMaxBackoff = 4 * kSecond;
-// A subscription that is quiet for longer than this is renewed: it may have been lost.
+// A subscription without any list for this long is renewed, because it may have been lost.
 constexpr Micros kMaxSilence = 8 * kSecond;
 
 }  // namespace
--- a/src/scheduler/list_watch.hpp
+++ b/src/scheduler/list_watch.hpp
@@ -1,4 +1,4 @@
-// When to subscribe to the node list, where it comes only on request.
+// Decides when to subscribe to the node list, in deployments where lists arrive only on request.
 #ifndef MOUNTFLOW_SCHEDULER_LIST_WATCH_HPP_
 #define MOUNTFLOW_SCHEDULER_LIST_WATCH_HPP_
 
@@ -6,22 +6,24 @@
 
 namespace mountflow {
 
-// Invariant: at most one call is in flight.
+// State of the subscription to the node list. Invariant: at most one call is in flight.
 class ListWatch {
  public:
   ListWatch();
 
+  // Records that a call was sent.
   void NoteCall();
-  // The list could not be read.
+  // Records that the call failed.
   void NoteFailure(Micros now);
+  // Records that a list arrived.
   void NoteList(NodeListKind kind);
 
-  // Whether to call now. `list_at`: when the latest list came.
+  // Reports whether a call is due at `now`. `list_at` is the time at which the latest list arrived.
   bool IsDue(Micros now, Micros list_at) const;
 
  private:
   bool in_flight_ = false;
-  Micros retry_at_ = 0;  // after a failure; 0: none since the latest call
+  Micros retry_at_ = 0;  // time of the retry after a failure; 0: no failure since the latest call
   Micros backoff_;
 };
 
--- a/src/scheduler/load_model.cpp
+++ b/src/scheduler/load_model.cpp
@@ -9,20 +9,22 @@
 namespace mountflow {
 namespace {
 
-// A node's own report of its load counts this long: use changes within seconds.
+// Time for which a load report is valid. Utilisation changes within seconds.
 constexpr Micros kReportLifetime = 5 * kSecond;
-// Tasks use less than they ask for: a share of cores in use means this many times as large a share
-// requested.
-constexpr double kAskedPerUsed = 1.1;
-// The lowest capacity of a node, so that it may divide.
+// Ratio of requested to used cores. It converts the fraction of cores in use to a fraction requested, because
+// tasks use less than they request.
+constexpr double kRequestedPerUsed = 1.1;
+// Minimum capacity of a node, which avoids a division by zero.
 constexpr double kMinCapacity = 1e-6;
 
+// The load level and the capacity of one node, for FillLevel().
 struct FillStep {
-  double level;  // load by capacity
+  double level;  // load per capacity
   double capacity;
 };
 
-// Load by capacity that is reached when `load` is poured over the steps, the lowest level first.
+// Returns the load per capacity that is reached if `load` is added to the steps, always to those with the
+// lowest level (water-filling). `steps` must be sorted by level.
 double FillLevel(const std::vector<FillStep>& steps, double load) {
   double capacity = 0.0;
   double level = 0.0;
@@ -63,16 +65,17 @@
 
 inline double LoadModel::Load(const NodeRecord& node, const NodeKind& kind) const {
   const double unobserved = node.own_load.unobserved_amounts().priority_weight;
-  // Without free capacity in the list, each other scheduler is taken to have sent as much there as we did.
+  // If the list contains no free capacity, every other scheduler is assumed to have sent as much load to the
+  // node as this one.
   if (!settings_.list_has_free_capacity) return unobserved * group_.size();
-  const double asked_cores = std::max(0.0, kind.cores - node.entry.free_cores);
-  return std::max(0.0, asked_cores / settings_.mean_cores * MeanWeight(node) + unobserved);
+  const double requested_cores = std::max(0.0, kind.cores - node.entry.free_cores);
+  return std::max(0.0, requested_cores / settings_.mean_cores * MeanWeight(node) + unobserved);
 }
 
 inline double LoadModel::ReportedLoad(const NodeRecord& node, const NodeKind& kind, Micros now) const {
   const ReportedUtilisation& report = node.utilisation;
   if (report.at == 0 || now > report.at + kReportLifetime) return 0.0;
-  return kAskedPerUsed * report.share * kind.cores / settings_.mean_cores * MeanWeight(node);
+  return kRequestedPerUsed * report.share * kind.cores / settings_.mean_cores * MeanWeight(node);
 }
 
 void LoadModel::NoteReport(const LoadReport& report, NodeRecord* node, Micros now) {
@@ -87,7 +90,7 @@
   double memory = record.entry.free_memory;
   double unobserved_cores = record.own_load.unobserved_amounts().cores;
   double unobserved_memory = record.own_load.unobserved_amounts().memory;
-  if (!settings_.list_has_free_capacity) {  // each other scheduler is taken to hold as much there as we do
+  if (!settings_.list_has_free_capacity) {  // every other scheduler is assumed to use as much there
     cores = kind.cores - unobserved_cores * group_.size();
     memory = kind.memory - unobserved_memory * group_.size();
     unobserved_cores = 0.0;
@@ -134,7 +137,7 @@
     return a.level != b.level ? a.level < b.level : a.capacity < b.capacity;
   });
   for (const FillStep& step : steps) total.capacity += step.capacity;
-  const double others = (group_.size() - 1.0) / group_.size();  // our own starts we know
+  const double others = (group_.size() - 1.0) / group_.size();  // own starts are known exactly
   const auto list_age = static_cast<double>(cluster.now - cluster.observed_at);
   const double unobserved = 2.0 * others * cluster.start_rate * list_age * weights_.mean();
   if (total.capacity > 0.0) {
--- a/src/scheduler/node_ranking.cpp
+++ b/src/scheduler/node_ranking.cpp
@@ -7,16 +7,18 @@
 namespace mountflow {
 namespace {
 
-// Share below the best value that still counts as a tie: a list seconds old tells nothing finer.
+// Values that are less than this fraction below the best one count as ties. A list that is seconds old does
+// not support finer distinctions.
 constexpr double kNearTie = 0.10;
-// Factor on the value of a node that has the task's program: a start without it takes several times the work,
-// out of the same capacity. Bounded, so that load decides among such nodes, and beats it when uneven.
-constexpr double kAffinityLead = 2.0;
-// Nodes that lead alike where own tasks do not tell which nodes have the program: with many schedulers, own
-// tasks tell little. Their order is equal at all schedulers.
+// Factor on the value of a node that has the task's program. A start without the program takes several times
+// the work out of the same capacity. The factor is bounded, so that the load decides among such nodes, and
+// outweighs the factor where it is uneven.
+constexpr double kAffinityFactor = 2.0;
+// Number of affinity nodes of a service. They get the same factor if no own task shows which nodes have the
+// program, which is frequent with many schedulers. All schedulers compute the same affinity nodes.
 constexpr std::size_t kAffinityNodes = 2;
-// Tasks that a pending start counts as more, in the ranking: it waits for one of few starts, and the next one
-// waits behind it, which costs more than a share of the cores.
+// Additional tasks that a pending start counts as in the ranking. A node runs only a few starts at a time, so
+// the next start waits behind the pending one, which costs more than the cores of one task.
 constexpr double kPendingStartTasks = 3.0;
 
 }  // namespace
@@ -24,7 +26,7 @@
 NodeRecord* NodeRanking::Pick(const RequestRecord& request, const ClusterState& cluster) {
   std::vector<RankedNode> ranked = RankQualified(request, cluster);
   if (ranked.empty()) return nullptr;
-  ApplyAffinityLead(&ranked);
+  ApplyAffinityFactor(&ranked);
   KeepNearTies(&ranked);
   return ranked[random_.Below(ranked.size())].node;
 }
@@ -42,14 +44,15 @@
   inputs_.admission_rules.Filter(request, counts, cluster.now, &nodes);
   model.Filter(task, total, &nodes);
   inputs_.outlier_ejection.Filter(cluster, total, task.task_class, &nodes);
-  auto next_with_program = with_program.begin();  // by node, as `nodes` is
+  auto next_with_program = with_program.begin();  // sorted by node id, like `nodes`
   std::vector<RankedNode> ranked;
   ranked.reserve(nodes.size());
   for (const NodeLoad& candidate : nodes) {
     if (!candidate.qualifies) continue;
     NodeRecord& node = *candidate.node;
     const double capacity = candidate.capacity;
-    // A node that warms up is empty, but has no more room than the others.
+    // A node that is warming up is empty, but has no more capacity than the others: it counts as loaded to
+    // the mean.
     const double load =
         candidate.is_warming_up ? std::max(candidate.load, total.mean_load * capacity) : candidate.load;
     if ((load + weight) / capacity > cap) continue;
@@ -63,18 +66,19 @@
   return ranked;
 }
 
-// Rendezvous hashing: all schedulers agree on the affinity nodes of a service without a message.
-void NodeRanking::ApplyAffinityLead(std::vector<RankedNode>* ranked) {
+// Uses rendezvous hashing, so that all schedulers agree on the affinity nodes of a service without
+// communication.
+void NodeRanking::ApplyAffinityFactor(std::vector<RankedNode>* ranked) {
   const bool is_program_known =
       std::any_of(ranked->begin(), ranked->end(), [](const RankedNode& node) { return node.has_program; });
   const std::size_t affinity_nodes = is_program_known ? 0 : std::min(kAffinityNodes, ranked->size());
-  // Also with no affinity nodes, since it sets the order that the draw among near ties counts in.
+  // Also called without affinity nodes, because it determines the order from which the near ties are drawn.
   std::partial_sort(
       ranked->begin(), ranked->begin() + static_cast<std::ptrdiff_t>(affinity_nodes), ranked->end(),
       [](const RankedNode& a, const RankedNode& b) { return a.rendezvous_hash > b.rendezvous_hash; });
   for (std::size_t i = 0; i < ranked->size(); ++i) {
     RankedNode& node = (*ranked)[i];
-    if (i < affinity_nodes || node.has_program) node.value *= kAffinityLead;
+    if (i < affinity_nodes || node.has_program) node.value *= kAffinityFactor;
   }
 }
 
@@ -82,7 +86,7 @@
   double best = 0.0;
   for (const RankedNode& node : *ranked) best = std::max(best, node.value);
   std::erase_if(*ranked, [best](const RankedNode& node) { return node.value < best * (1.0 - kNearTie); });
-  // Among these our own zone goes first, where a task in another one has a price.
+  // If tasks in another zone have a price, only near ties in the own zone remain, if there are any.
   const auto is_in_own_zone = [this](const RankedNode& node) {
     return static_cast<int>(node.node->entry.zone) == inputs_.settings.own_zone;
   };
--- a/src/scheduler/node_ranking.hpp
+++ b/src/scheduler/node_ranking.hpp
@@ -1,5 +1,8 @@
-// Picks the node for an attempt, by the Normalized Service Capacity strategy of Shikata and Hanayama: filter,
-// cap, the largest C_h * m_k / sum(m_j * n_hj), near ties drawn at random. docs/design.md says the rest.
+// Picks the node for an attempt by the Normalized Service Capacity strategy of Shikata and Hanayama:
+//   1. Remove the nodes that a filter or the cap excludes.
+//   2. Rank the others by C_h * m_k / sum(m_j * n_hj), the largest first.
+//   3. Draw at random among the near ties for the first place.
+// docs/design.md describes the strategy in full.
 #ifndef MOUNTFLOW_SCHEDULER_NODE_RANKING_HPP_
 #define MOUNTFLOW_SCHEDULER_NODE_RANKING_HPP_
 
@@ -17,7 +20,7 @@
 
 namespace mountflow {
 
-// What the ranking reads; all must outlive it.
+// The objects that the ranking reads. All must outlive the NodeRanking.
 struct RankingInputs {
   const Settings& settings;
   const PriorityWeights& weights;
@@ -27,25 +30,29 @@
   const OwnTasks& own_tasks;
 };
 
-// Invariant: a node that it picks passes each filter and stays within the cap with the task at hand. Each
-// pick takes one random draw where a node qualifies, and none otherwise.
+// Ranks nodes for an attempt.
+// Invariant: a picked node passes every filter, and stays within the cap with the task added to it. Each
+// pick makes exactly one random draw if any node qualifies, and none otherwise.
 class NodeRanking {
  public:
   NodeRanking(const RankingInputs& inputs, std::uint64_t seed) : inputs_(inputs), random_(seed) {}
 
-  // Null where no node qualifies.
+  // Returns the node for the next attempt of the request, or null if no node qualifies.
   NodeRecord* Pick(const RequestRecord& request, const ClusterState& cluster);
 
  private:
   struct RankedNode {
     double value;
     NodeRecord* node;
-    bool has_program;               // it holds, or lately held, own tasks of the service
-    std::uint64_t rendezvous_hash;  // of service and node
+    bool has_program;               // it runs, or recently ran, own tasks of the service
+    std::uint64_t rendezvous_hash;  // hash of service and node
   };
 
+  // Returns the nodes that pass the filters and the cap, with their values, in the order of their ids.
   std::vector<RankedNode> RankQualified(const RequestRecord& request, const ClusterState& cluster) const;
-  static void ApplyAffinityLead(std::vector<RankedNode>* ranked);
+  // Raises the value of affinity nodes, and of nodes that have the program of the service.
+  static void ApplyAffinityFactor(std::vector<RankedNode>* ranked);
+  // Removes all nodes but the near ties for the highest value.
   void KeepNearTies(std::vector<RankedNode>* ranked) const;
 
   RankingInputs inputs_;
--- a/src/scheduler/node_table.cpp
+++ b/src/scheduler/node_table.cpp
@@ -5,7 +5,8 @@
 namespace mountflow {
 namespace {
 
-// Free capacity may be negative, where nodes accept more than they have.
+// Returns a listed free capacity, or 0 if it is not a finite number. The result may be negative, because
+// nodes can accept more than their capacity.
 double FiniteOrZero(double amount) { return std::isfinite(amount) ? amount : 0.0; }
 
 }  // namespace
--- a/src/scheduler/node_table.hpp
+++ b/src/scheduler/node_table.hpp
@@ -1,4 +1,4 @@
-// The nodes that the scheduler knows, as the node list tells them. Bookkeeping only; it chooses nothing.
+// The nodes known to the scheduler. Stores what the node lists contain, and makes no decisions.
 #ifndef MOUNTFLOW_SCHEDULER_NODE_TABLE_HPP_
 #define MOUNTFLOW_SCHEDULER_NODE_TABLE_HPP_
 
@@ -10,8 +10,11 @@
 
 namespace mountflow {
 
-// Invariant: ready() holds the nodes that are listed as ready, by id, as of the latest RefreshReady.
-// Records keep their address until ForgetUnneeded removes them.
+// Owns the record of each node.
+// Invariant: ready() holds the nodes that were listed as ready at the latest RefreshReady, in the order of
+// their ids.
+//
+// The address of a record is stable until ForgetUnneeded removes it.
 class NodeTable {
  public:
   using Nodes = std::map<NodeId, NodeRecord>;
@@ -20,19 +23,20 @@
   Nodes& nodes() { return nodes_; }
   const std::vector<NodeRecord*>& ready() const { return ready_; }
 
-  // Null where the node is unknown.
+  // Returns the record of a node, or null if the node is unknown.
   const NodeRecord* Find(NodeId id) const;
   NodeRecord* Find(NodeId id);
-  // Makes the record of a node that is not known yet.
+  // Returns the record of a node, and creates it if the node is unknown.
   NodeRecord& FindOrAdd(NodeId id);
 
-  // Takes in a node list, which must not be of kind kUnavailable. Returns the nodes that restarted since the
-  // one before.
+  // Applies a node list, which must not be of kind kUnavailable. Returns the nodes that restarted since the
+  // previous list.
   std::vector<NodeRecord*> Apply(const NodeListUpdate& update, Micros now);
 
-  // Removes nodes that for `retention` were neither listed nor held own tasks.
+  // Removes nodes that have neither been listed nor had own tasks for more than `retention`.
   void ForgetUnneeded(Micros now, Micros retention);
 
+  // Rebuilds ready() from the current entries.
   void RefreshReady();
 
  private:
--- a/src/scheduler/outlier_ejection.cpp
+++ b/src/scheduler/outlier_ejection.cpp
@@ -7,28 +7,33 @@
 namespace mountflow {
 namespace {
 
-// Ejection time of a node, doubled with each failure in a row up to the highest.
+// Ejection time of a node. It doubles with each consecutive failure, up to the maximum.
 constexpr Micros kBaseEjectionTime = 1 * kSecond;
 constexpr Micros kMaxEjectionTime = 8 * kSecond;
-// The same for one class. Longer, as such a fault stays until somebody acts, and few own tasks would meet it.
+// The same for one class. It is longer, because such a fault lasts until an operator acts, and because
+// this scheduler sends too few tasks of the class to detect it again soon.
 constexpr Micros kBaseClassEjectionTime = 8 * kSecond;
 constexpr Micros kMaxClassEjectionTime = 32 * kSecond;
-// Doublings at most, so that no time overflows.
+// Maximum number of doublings, which prevents an overflow.
 constexpr int kMaxDoublings = 8;
-// Share of the ready nodes that look bad above which the fault is more likely ours.
+// If more than this fraction of the ready nodes look faulty, the fault is more likely on this scheduler's
+// side.
 constexpr double kMaxEjectedShare = 0.5;
-// Starts that must have been due at a node while its list entry did not change, to call the entry stale.
+// Number of starts that must have been due on a node while its list entry did not change, for the entry to be
+// stale.
 constexpr double kStaleAfterStarts = 6.0;
-// An attempt unanswered this long at a node not heard from since means silence. An acceptance takes tens of
-// milliseconds, a stall half a second; where only the start is reported, that may well take seconds.
+// A node is silent if it did not respond for this long after an attempt was sent to it. An acceptance takes
+// tens of milliseconds, and a stall of the node half a second. If the node reports only the start, that can
+// take seconds.
 constexpr Micros kSilenceBeforeAcceptance = 800 * kMillisecond;
 constexpr Micros kSilenceBeforeStart = 2500 * kMillisecond;
-// Health checks tell sooner: sent after this long, as far apart, and silence when this many failed in a row.
+// Health checks detect silence sooner. The first is sent this long after the attempt, further ones at the
+// same interval, and the node is silent after this many consecutive failed checks.
 constexpr Micros kHealthCheckInterval = 500 * kMillisecond;
 constexpr int kMaxFailedChecks = 2;
 
-Micros EjectionTime(Micros base, Micros highest, int strikes_before) {
-  return std::min(highest, base << std::min(strikes_before, kMaxDoublings));
+Micros EjectionTime(Micros base, Micros highest, int previous_failures) {
+  return std::min(highest, base << std::min(previous_failures, kMaxDoublings));
 }
 
 }  // namespace
@@ -74,19 +79,19 @@
   return 2.0 * cluster.start_rate * part * static_cast<double>(unchanged_for) > kStaleAfterStarts;
 }
 
-bool OutlierEjection::Examine(const ClusterState& cluster, const ClusterLoad& total,
-                              std::vector<NodeLoad>* nodes) const {
-  int bad_nodes = 0;
+bool OutlierEjection::MarkStaleEntries(const ClusterState& cluster, const ClusterLoad& total,
+                                       std::vector<NodeLoad>* nodes) const {
+  int faulty_nodes = 0;
   for (NodeLoad& node : *nodes) {
     node.is_entry_stale = IsEntryStale(node, cluster, total.capacity);
-    if (node.node->health.failures > 0 || node.is_entry_stale) ++bad_nodes;
+    if (node.node->health.failures > 0 || node.is_entry_stale) ++faulty_nodes;
   }
-  return bad_nodes > kMaxEjectedShare * static_cast<double>(nodes->size());
+  return faulty_nodes > kMaxEjectedShare * static_cast<double>(nodes->size());
 }
 
 void OutlierEjection::Filter(const ClusterState& cluster, const ClusterLoad& total, unsigned task_class,
                              std::vector<NodeLoad>* nodes) const {
-  const bool trust_all = Examine(cluster, total, nodes);
+  const bool trust_all = MarkStaleEntries(cluster, total, nodes);
   for (NodeLoad& node : *nodes) {
     const NodeHealth& health = node.node->health;
     if (health.failures == 0 && !node.is_entry_stale && health.class_health.empty()) continue;
@@ -100,8 +105,9 @@
 }
 
 bool OutlierEjection::IsSilent(const NodeHealth& health, Micros elapsed) const {
-  const Micros patience = settings_.started_means_running ? kSilenceBeforeStart : kSilenceBeforeAcceptance;
-  return health.failed_checks >= kMaxFailedChecks || elapsed >= patience;
+  const Micros silence_limit =
+      settings_.started_means_running ? kSilenceBeforeStart : kSilenceBeforeAcceptance;
+  return health.failed_checks >= kMaxFailedChecks || elapsed >= silence_limit;
 }
 
 bool OutlierEjection::IsCheckDue(const NodeHealth& health, Micros elapsed, Micros now) const {
--- a/src/scheduler/outlier_ejection.hpp
+++ b/src/scheduler/outlier_ejection.hpp
@@ -1,4 +1,4 @@
-// Outlier ejection: which nodes look broken, and for how long they get no attempts.
+// Outlier ejection: decides which nodes look faulty, and for how long they get no attempts.
 #ifndef MOUNTFLOW_SCHEDULER_OUTLIER_EJECTION_HPP_
 #define MOUNTFLOW_SCHEDULER_OUTLIER_EJECTION_HPP_
 
@@ -10,44 +10,53 @@
 
 namespace mountflow {
 
-// A node with bad signs gets no attempts for its ejection time, then one at a time until it shows a sign of
-// life. A half-broken node looks the emptier the less it does, and would draw the largest share.
-// Invariant: a sign of life clears failures, failed checks and the ejection, but not the failures by class.
-// `settings` must outlive this.
+// A node that fails gets no attempts for its ejection time, then one at a time until it responds. Without
+// ejection a faulty node would get the largest share of the attempts, because it looks emptier the less it
+// does.
+//
+// Invariant: a response clears failures, failed checks and the ejection, but not the failures by class.
+// `settings` must outlive this object.
 class OutlierEjection {
  public:
   explicit OutlierEjection(const Settings& settings) : settings_(settings) {}
 
+  // Records a response of the node.
   static void NoteAlive(NodeHealth* health, Micros now);
-  // A new incarnation: what was seen before says nothing of it.
+  // Discards what was recorded of the node's previous incarnation.
   static void NoteRestart(NodeHealth* health, Micros now);
 
-  // A bad sign, which ejects the node unless it is ejected already. Returns whether it is the first one since
-  // the last sign of life.
+  // Records a failure and ejects the node, unless it is ejected already. Returns whether this is the first
+  // failure since the latest response.
   static bool RecordFailure(NodeHealth* health, Micros now);
 
-  // The node fails tasks of one class, whatever it does with others: it is ejected for that class alone.
+  // Records that the node fails tasks of one class, and ejects it for that class only.
   static void FailClass(NodeHealth* health, unsigned task_class, Micros now);
+  // Clears the failures of the node for one class.
   static void ClearClass(NodeHealth* health, unsigned task_class);
 
-  // Clears `qualifies` of nodes whose health forbids an attempt of the class. When so many look bad that the
-  // fault is more likely ours, only failures by class count.
+  // Clears `qualifies` of nodes whose health forbids an attempt of the class. If so many nodes look faulty
+  // that the fault is more likely on this scheduler's side, only failures by class count.
   void Filter(const ClusterState& cluster, const ClusterLoad& total, unsigned task_class,
               std::vector<NodeLoad>* nodes) const;
 
-  // Whether a node not heard from since it was sent an attempt `elapsed` ago counts as silent.
+  // Reports whether a node counts as silent that has not responded since an attempt was sent to it `elapsed`
+  // ago.
   bool IsSilent(const NodeHealth& health, Micros elapsed) const;
-  // Whether to ask such a node by a health check.
+  // Reports whether such a node should get a health check now.
   bool IsCheckDue(const NodeHealth& health, Micros elapsed, Micros now) const;
+  // Records the start of a health check.
   static void NoteCheckStart(NodeHealth* health, Micros now);
+  // Records the result of a health check.
   static void NoteCheckResult(NodeHealth* health, bool answered, Micros now);
 
  private:
-  // Sets is_entry_stale of each node. Returns whether most look bad.
-  bool Examine(const ClusterState& cluster, const ClusterLoad& total, std::vector<NodeLoad>* nodes) const;
-  // The node list tells all schedulers alike: a node that holds tasks, and whose entry did not change while
-  // its part of the cluster's starts was due, takes and ends nothing. It hangs, or is gone unlisted. A change
-  // of its entry clears it, and so does our own sign of life from it, which is worth more.
+  // Sets is_entry_stale of each node. Returns whether most nodes look faulty.
+  bool MarkStaleEntries(const ClusterState& cluster, const ClusterLoad& total,
+                        std::vector<NodeLoad>* nodes) const;
+  // Reports whether the list entry of a node that has tasks did not change for so long that several of the
+  // cluster's starts were due on it. Such a node neither starts nor ends tasks: it hangs, or it is gone but
+  // still listed. All schedulers see this in the node list. A change of the entry, or a later response to
+  // this scheduler, ends the suspicion.
   bool IsEntryStale(const NodeLoad& node, const ClusterState& cluster, double cluster_capacity) const;
 
   const Settings& settings_;
--- a/src/scheduler/own_tasks.cpp
+++ b/src/scheduler/own_tasks.cpp
@@ -20,9 +20,9 @@
   ended_.push_back({now, node->entry.node, service, load});
 }
 
-void OwnTasks::Withdraw(std::uint64_t service, const TaskLoad& load, NodeRecord* node) {
+void OwnTasks::Remove(std::uint64_t service, const TaskLoad& load, NodeRecord* node) {
   --by_service_[service][node->entry.node].present;
-  node->own_load.Withdraw(load);
+  node->own_load.Remove(load);
   RemoveRecent(service, node->entry.node);
 }
 
--- a/src/scheduler/own_tasks.hpp
+++ b/src/scheduler/own_tasks.hpp
@@ -1,5 +1,5 @@
-// The tasks that this scheduler sent, by service and node and as load of their nodes. Bookkeeping only: it
-// chooses nothing.
+// The tasks that this scheduler sent, counted by service and node, and as load of their nodes. Makes no
+// decisions.
 #ifndef MOUNTFLOW_SCHEDULER_OWN_TASKS_HPP_
 #define MOUNTFLOW_SCHEDULER_OWN_TASKS_HPP_
 
@@ -15,29 +15,32 @@
 
 namespace mountflow {
 
-// Own tasks of one service on one node.
+// Number of own tasks of one service on one node.
 struct PlacementCount {
-  int present = 0;  // sent and not ended
-  int recent = 0;   // these, and those that ended and are not forgotten
+  int present = 0;  // tasks that were sent and have not ended
+  int recent = 0;   // these, and ended tasks that ForgetEndedBefore has not removed yet
 };
 using ServicePlacements = std::map<NodeId, PlacementCount>;
 
+// Counts own tasks by service and node.
 // Invariant: a service has an entry for a node exactly while `recent` is above 0 there, and each recent task
-// is known to the node's own load too.
+// is also part of NodeRecord::own_load.
 class OwnTasks {
  public:
-  // Where the tasks of `service` are and lately were. Valid until the next change.
+  // Returns the nodes that run, or recently ran, tasks of `service`. The reference is valid until the next
+  // change.
   const ServicePlacements& OfService(std::uint64_t service) const;
 
-  // An attempt was sent to the node, or a running task was found there.
+  // Records that an attempt was sent to the node, or that a running task was found there.
   void Start(std::uint64_t service, const TaskLoad& load, NodeRecord* node);
-  // It ran, or may have run, and ended: remembered until ForgetEndedBefore.
+  // Records the end of a task that ran or may have run. It stays recent until ForgetEndedBefore removes it.
   void End(std::uint64_t service, const TaskLoad& load, NodeRecord* node, Micros now);
-  // It never ran. What was rejected held no capacity and left no program behind: remembered as ended, it
-  // would show as capacity that comes free in any node list younger than the attempt, and the very node that
-  // rejected it would rank first.
-  void Withdraw(std::uint64_t service, const TaskLoad& load, NodeRecord* node);
+  // Removes a task that never ran. A rejected task held no capacity and left no program on the node. If it
+  // were recorded as ended, its end would count as freed capacity with any node list made after the attempt
+  // was sent, and the node that rejected it would rank first.
+  void Remove(std::uint64_t service, const TaskLoad& load, NodeRecord* node);
 
+  // Removes tasks that ended before `time`.
   void ForgetEndedBefore(Micros time, NodeTable* nodes);
 
  private:
@@ -52,7 +55,7 @@
 
   ServicePlacements no_placements_;  // always empty
   std::unordered_map<std::uint64_t, ServicePlacements> by_service_;
-  std::deque<EndedTask> ended_;  // by time
+  std::deque<EndedTask> ended_;  // in the order of ended_at
 };
 
 }  // namespace mountflow
--- a/src/scheduler/priority_weights.cpp
+++ b/src/scheduler/priority_weights.cpp
@@ -6,8 +6,8 @@
 namespace mountflow {
 namespace {
 
-// Weights of the highest and of the lowest priority: the paper's 4, 3, 2 for three priorities, even steps for
-// any other number of them.
+// Weights of the highest and the lowest priority. Three priorities get 4, 3 and 2, as in the paper on
+// Normalized Service Capacity; any other number of priorities gets evenly spaced weights.
 constexpr double kHighestWeight = 4.0;
 constexpr double kLowestWeight = 2.0;
 
--- a/src/scheduler/priority_weights.hpp
+++ b/src/scheduler/priority_weights.hpp
@@ -8,17 +8,18 @@
 
 namespace mountflow {
 
+// Assigns a weight to each task class by the rank of its priority.
 class PriorityWeights {
  public:
   explicit PriorityWeights(const std::vector<TaskClass>& classes);
 
-  // Of the most important class, where there are several.
+  // Returns the weight of the classes with the highest priority.
   static double Highest();
-  // `task_class` must be an index of the settings' classes.
+  // Returns the weight of a class. `task_class` must be an index in Settings::classes.
   double Of(unsigned task_class) const { return weights_[task_class]; }
-  // Of the classes evenly; 0 where there are none.
+  // Returns the mean weight over all classes, or 0 if there are none.
   double mean() const { return mean_; }
-  // At least 0.
+  // Returns the highest priority of any class, or 0 if that is negative.
   int highest_priority() const { return highest_priority_; }
 
  private:
--- a/src/scheduler/random_draw.hpp
+++ b/src/scheduler/random_draw.hpp
@@ -1,4 +1,4 @@
-// Random numbers that are equal on every platform: SplitMix64 (Steele, Lea and Flood).
+// Random numbers that are the same on every platform: SplitMix64 (Steele, Lea and Flood).
 #ifndef MOUNTFLOW_SCHEDULER_RANDOM_DRAW_HPP_
 #define MOUNTFLOW_SCHEDULER_RANDOM_DRAW_HPP_
 
@@ -9,7 +9,7 @@
 
 inline constexpr std::uint64_t kSplitMixIncrement = 0x9e3779b97f4a7c15U;
 
-// A hash that is equal at all schedulers.
+// Returns a hash of `value` that is the same in all schedulers.
 inline std::uint64_t Mix(std::uint64_t value) {
   value += kSplitMixIncrement;
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9U;
@@ -17,11 +17,12 @@
   return value ^ (value >> 31);
 }
 
+// A random number generator with a fixed seed.
 class RandomDraw {
  public:
   explicit RandomDraw(std::uint64_t seed) : state_(seed) {}
 
-  // A number from 0 to count - 1; `count` must not be 0.
+  // Returns a random number from 0 to count - 1. `count` must not be 0.
   std::size_t Below(std::size_t count) {
     const std::uint64_t drawn = Mix(state_);
     state_ += kSplitMixIncrement;
--- a/src/scheduler/request_record.hpp
+++ b/src/scheduler/request_record.hpp
@@ -1,5 +1,5 @@
-// What the scheduler remembers of one launch request. A plain record, which RequestTable writes and the rules
-// read.
+// The state that the scheduler stores for each launch request. A plain record: RequestTable writes it, the
+// rules read it.
 #ifndef MOUNTFLOW_SCHEDULER_REQUEST_RECORD_HPP_
 #define MOUNTFLOW_SCHEDULER_REQUEST_RECORD_HPP_
 
@@ -17,18 +17,19 @@
   NodeId node = 0;
 };
 
+// A launch request and the state of its latest attempt.
 struct RequestRecord {
   Task task;
-  TaskLoad load;  // what it adds to its node; sent_at is that of the latest attempt
+  TaskLoad load;  // load that the task adds to its node; load.sent_at belongs to the latest attempt
   unsigned attempts_made = 0;
-  bool in_flight = false;         // the latest attempt has not ended; a running task counts
-  bool started = false;           // its node accepted the latest attempt
-  bool cancel_requested = false;  // of the latest attempt
-  bool answered = false;          // it has its final answer, or needs none any more
-  NodeId node = 0;                // of the latest attempt
-  Micros sent_at = 0;             // of the latest attempt
+  bool in_flight = false;         // the latest attempt has not ended; a running task counts as in flight
+  bool started = false;           // the node reported the start of the latest attempt
+  bool cancel_requested = false;  // cancellation of the latest attempt was requested
+  bool answered = false;          // the request has its final answer, or no longer needs one
+  NodeId node = 0;                // node of the latest attempt
+  Micros sent_at = 0;             // when the latest attempt was sent
   FirstEffect first_effect;
-  std::vector<NodeId> tried_nodes;  // of attempts that ended
+  std::vector<NodeId> tried_nodes;  // nodes of the attempts that ended
 };
 
 }  // namespace mountflow
--- a/src/scheduler/request_table.cpp
+++ b/src/scheduler/request_table.cpp
@@ -39,7 +39,7 @@
   request->started = true;
   request->answered = true;
   request->node = node;
-  request->load.sent_at = 1;  // long ago: any node list shows it
+  request->load.sent_at = 1;  // earliest possible time: every node list shows the task
 }
 
 void RequestTable::StopPending(const RequestRecord& request, NodeRecord* node) {
--- a/src/scheduler/request_table.hpp
+++ b/src/scheduler/request_table.hpp
@@ -1,5 +1,5 @@
-// The launch requests that the scheduler knows, and the state of their attempts. Bookkeeping only; it chooses
-// nothing: AttemptRules says what a request may have.
+// The launch requests known to the scheduler, and the state of their attempts. Makes no decisions:
+// AttemptRules decides what a request may get.
 #ifndef MOUNTFLOW_SCHEDULER_REQUEST_TABLE_HPP_
 #define MOUNTFLOW_SCHEDULER_REQUEST_TABLE_HPP_
 
@@ -12,30 +12,34 @@
 
 namespace mountflow {
 
-// Invariant: a request has at most one attempt in flight, and each event of an attempt counts for the latest
-// one alone. Records keep their address until EraseIfDone removes them.
+// Owns the record of each launch request.
+// Invariant: a request has at most one attempt in flight, and only events of its latest attempt have an
+// effect.
+//
+// The address of a record is stable until EraseIfDone removes it.
 class RequestTable {
  public:
-  // Null where the request is known already. `weight`: the priority weight of its class.
+  // Adds a request and returns its record, or null if the request is known already. `weight` is the priority
+  // weight of its class.
   RequestRecord* Add(const Task& task, double weight);
 
-  // Null where the request is unknown.
+  // Returns the record of a request, or null if the request is unknown.
   RequestRecord* Find(RequestId id);
-  // Null where `attempt` is not the latest of the request, or ended before.
+  // Returns the record of a request whose latest attempt is `attempt` and has not ended; otherwise null.
   RequestRecord* FindInFlight(RequestId id, unsigned attempt);
-  // Those whose attempt in flight neither started nor ended.
+  // Returns the requests whose attempt in flight has neither started nor ended.
   const std::set<RequestId>& pending_starts() const { return pending_starts_; }
 
-  // An attempt is sent to the node; none may be in flight.
+  // Records a new attempt on the node and returns the action that sends it. No attempt may be in flight.
   StartAttempt Start(RequestRecord* request, NodeRecord* node, Micros now);
 
-  // The task was found running on the node: its request had its final answer before.
+  // Marks the request as running on the node. Its client already has the final answer.
   static void Recover(RequestRecord* request, NodeId node);
 
-  // The node started the attempt, or it ended: it no longer waits for its start.
+  // Records that the attempt in flight started or ended, so that its start is no longer pending.
   void StopPending(const RequestRecord& request, NodeRecord* node);
 
-  // The attempt in flight at `node` ended; `never_ran` where that is certain.
+  // Records that the attempt in flight on `node` ended. `never_ran` must be true only if that is certain.
   void End(RequestRecord* request, NodeRecord* node, bool never_ran);
 
   // Removes a request that has its final answer and nothing in flight.
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -1,5 +1,5 @@
-// The protocol of the scheduler: what each event leads to. Its interface is include/mountflow/scheduler.hpp;
-// each concern that it calls is a class of its own beside this file; docs/design.md explains the decisions.
+// The event handlers of the scheduler. The public interface is include/mountflow/scheduler.hpp. Each concern
+// is a class of its own in this directory. docs/design.md explains the decisions.
 #include "mountflow/scheduler.hpp"
 
 #include <algorithm>
@@ -11,15 +11,16 @@
 namespace mountflow {
 namespace {
 
-// Tick: silent nodes, node list calls that are due and ended tasks are looked at this often.
+// Interval of the tick, which checks for silent nodes, due node list calls and ended tasks to remove.
 constexpr Micros kTickInterval = 100 * kMillisecond;
 constexpr std::uint64_t kTickToken = 1;
-// Ended tasks are remembered until every node list shows their end, and this much longer.
+// Ended tasks are stored until every node list shows their end, plus this margin.
 constexpr Micros kEndedTaskMargin = 1 * kSecond;
-// A node that is gone is forgotten after this, so that names that come once do not add up for ever. Far
-// longer than a request is open, for a repeat may be bound to the rack or zone of the first node.
+// Time after which the record of a removed node is deleted, so that nodes that never return do not
+// accumulate. It is much longer than any request is open, because a retry may be bound to the rack or zone of
+// the first node.
 constexpr Micros kGoneNodeRetention = 3600 * kSecond;
-// Log lines are at least this far apart.
+// Minimum interval between log lines.
 constexpr Micros kLogInterval = 1 * kSecond;
 
 }  // namespace
@@ -63,7 +64,7 @@
   const Micros forget_until = TimeBefore(now_, ListStaleness::MaxAge());
   for (auto& [id, node] : nodes_.nodes()) {
     AdmissionRules::NoteObserved(&node, observed_at);
-    // A list without free capacity shows nothing of our load.
+    // A list without free capacity shows none of the own load.
     node.own_load.ObserveUntil(settings_.list_has_free_capacity ? observed_at : 0, forget_until);
   }
 }
@@ -87,7 +88,7 @@
 
 void Scheduler::Impl::On(const TaskSubmitted& submitted) {
   const Task& task = submitted.task;
-  if (requests_.Find(task.request) != nullptr) return;  // a duplicate
+  if (requests_.Find(task.request) != nullptr) return;  // duplicate event
   if (task.task_class >= settings_.classes.size() || !IsAmount(task.cores) || !IsAmount(task.memory)) {
     return Emit(RejectTask{task.request, 0});  // no node can take it, and nothing has run
   }
@@ -110,8 +111,8 @@
   RequestRecord* request = requests_.FindInFlight(started.request, started.attempt);
   if (request == nullptr) return;
   NodeRecord& node = nodes_.FindOrAdd(request->node);
-  // An acceptance comes in milliseconds, the start may come seconds later: where starts are reported, the
-  // task counts as pending until its own is.
+  // An acceptance arrives within milliseconds, but the task may start seconds later. If nodes report starts,
+  // the task remains pending until its own start is reported.
   if (!starts_are_reported_) requests_.StopPending(*request, &node);
   request->started = true;
   request->answered = true;
@@ -138,12 +139,12 @@
   const bool never_ran = AttemptRules::NeverRan(ended.result);
   requests_.End(request, &node, never_ran);
   if (never_ran && !request->started) {
-    own_tasks_.Withdraw(request->task.service, request->load, &node);
+    own_tasks_.Remove(request->task.service, request->load, &node);
   } else {
     own_tasks_.End(request->task.service, request->load, &node, now_);
   }
   LoadModel::NoteReport(ended.report, &node, now_);
-  JudgeNode(ended, *request, may_have_copy, &node);
+  UpdateNodeHealth(ended, *request, may_have_copy, &node);
   if (ended.request_closed) request->answered = true;
   if (ended.result == AttemptResult::kNotSent) {
     Conclude(request);
@@ -207,8 +208,8 @@
 
 // ---- Health of nodes ----
 
-void Scheduler::Impl::JudgeNode(const AttemptEnded& ended, const RequestRecord& request, bool may_have_copy,
-                                NodeRecord* node) {
+void Scheduler::Impl::UpdateNodeHealth(const AttemptEnded& ended, const RequestRecord& request,
+                                       bool may_have_copy, NodeRecord* node) {
   NodeHealth& health = node->health;
   const unsigned task_class = request.task.task_class;
   switch (ended.result) {
@@ -219,13 +220,13 @@
       OutlierEjection::FailClass(&health, task_class, now_);
       return OutlierEjection::NoteAlive(&health, now_);
     case AttemptResult::kRejected:
-      return JudgeRejection(ended.reason, request.task, may_have_copy, node);
-    case AttemptResult::kTimedOut:  // a node heard from since fails this class alone
+      return HandleRejection(ended.reason, request.task, may_have_copy, node);
+    case AttemptResult::kTimedOut:  // a node that responded since fails only this class
       if (health.last_alive_at < request.sent_at) return RecordFailure(node, "no answer by the deadline");
       return OutlierEjection::FailClass(&health, task_class, now_);
     case AttemptResult::kUnreachable:
       return RecordFailure(node, "unreachable");
-    case AttemptResult::kLost:  // without a reason, the node is likely gone before any list says so
+    case AttemptResult::kLost:  // without a reason, the node has likely failed and is still listed
       if (ended.reason == RejectionReason::kUnspecified) return RecordFailure(node, "lost a running task");
       OutlierEjection::NoteAlive(&health, now_);
       if (ended.reason == RejectionReason::kDrained) AdmissionRules::NoteLikelyDraining(node, now_);
@@ -236,16 +237,17 @@
   }
 }
 
-void Scheduler::Impl::JudgeRejection(RejectionReason reason, const Task& task, bool may_have_copy,
-                                     NodeRecord* node) {
-  // A hung node says so for as long as it hangs, while its list entry looks ever emptier: a bad sign, not a
-  // sign of life. A merely busy node is soon heard from again.
+void Scheduler::Impl::HandleRejection(RejectionReason reason, const Task& task, bool may_have_copy,
+                                      NodeRecord* node) {
+  // A hung node reports a full queue for as long as it hangs, while its list entry looks emptier and emptier.
+  // The rejection therefore counts as a failure, not as a response. A node that is only busy responds again
+  // soon.
   if (reason == RejectionReason::kQueueFull) return RecordFailure(node, "its queue of attempts is full");
   OutlierEjection::NoteAlive(&node->health, now_);
   if (reason != RejectionReason::kNotAccepting) {
     return AdmissionRules::NoteCapacityRejection(task, node, now_);
   }
-  // Where an earlier attempt may have run, the node may reject this one for a copy that is there.
+  // If an earlier attempt may have run, the node may have rejected this one because it already has the task.
   if (!may_have_copy) AdmissionRules::NoteLikelyDraining(node, now_);
 }
 
--- a/src/scheduler/scheduler_impl.cpp
+++ b/src/scheduler/scheduler_impl.cpp
@@ -1,5 +1,4 @@
-// Construction of a scheduler from its parts. It chooses nothing: the decisions are in the parts, and what
-// each event leads to is in scheduler.cpp.
+// Constructs a scheduler from its parts. The parts make the decisions; scheduler.cpp handles the events.
 #include "scheduler/scheduler_impl.hpp"
 
 #include <utility>
@@ -7,6 +6,7 @@
 namespace mountflow {
 namespace {
 
+// Returns the settings with a mean task size that is above 0.
 Settings WithUsableSizes(Settings settings) {
   if (!(settings.mean_cores > 0.0)) settings.mean_cores = Settings{}.mean_cores;
   return settings;
--- a/src/scheduler/scheduler_impl.hpp
+++ b/src/scheduler/scheduler_impl.hpp
@@ -1,4 +1,5 @@
-// The parts of a scheduler and the handlers of its events. Thread rules and errors: see the public header.
+// The implementation of Scheduler: its parts and its event handlers. The public header describes thread
+// safety and errors.
 #ifndef MOUNTFLOW_SCHEDULER_SCHEDULER_IMPL_HPP_
 #define MOUNTFLOW_SCHEDULER_SCHEDULER_IMPL_HPP_
 
@@ -22,9 +23,9 @@
 
 namespace mountflow {
 
-// Turns events into actions. The parts know nothing of either: tables record, the others decide one concern
-// each, and the handlers below are the protocol between them. It has more than fifteen fields, since it has
-// one for each part.
+// Turns events into actions. Its parts know neither: the tables store state, each other part decides one
+// concern, and the handlers below connect them. It has more than fifteen fields because it has one for each
+// part.
 class Scheduler::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed);
@@ -43,27 +44,31 @@
   void On(const MembershipChange& change);
   void On(const TimerFired& timer);
 
+  // Subscribes to the node list.
   void WatchNodeList();
-  // Moves what the node list shows of our own tasks forward, after a list came.
+  // Updates, after a node list arrived, which own tasks it already shows.
   void ObserveOwnLoad();
 
-  // Another attempt, or the final answer where no node may have one.
+  // Starts another attempt, or sends the final answer if no node may get one.
   void StartOrConclude(RequestRecord* request);
-  // The one place that sends an attempt. False where a rule forbids it.
+  // Sends an attempt of the request to the node; nothing else sends attempts. Returns false if a rule forbids
+  // it.
   bool Start(RequestRecord* request, NodeRecord* node);
-  // The final answer, unless the request had it before.
+  // Sends the final answer, unless the request already has one.
   void Conclude(RequestRecord* request);
-  // An attempt that has neither started nor ended, at a node not heard from since: asks the node by a health
-  // check where that is allowed, else ejects it. Then cancels the attempt, where another one is harmless and
-  // possible: silence proves nothing.
+  // Handles an attempt that has neither started nor ended on a node that has not responded since it was sent.
+  // Starts a health check where that is allowed. Once the node counts as silent, ejects it, and cancels the
+  // attempt if another one is safe and possible. The cancellation comes first because the attempt may still
+  // run.
   void CheckPendingStart(RequestRecord* request);
 
-  // What the end of an attempt says of its node. `may_have_copy`: an earlier attempt of the request
-  // may have run.
-  void JudgeNode(const AttemptEnded& ended, const RequestRecord& request, bool may_have_copy,
-                 NodeRecord* node);
-  void JudgeRejection(RejectionReason reason, const Task& task, bool may_have_copy, NodeRecord* node);
-  // A bad sign of the node, which is logged where it is the first.
+  // Updates the state of the node after an attempt ended on it. `may_have_copy` is true if an earlier
+  // attempt of the request may have run.
+  void UpdateNodeHealth(const AttemptEnded& ended, const RequestRecord& request, bool may_have_copy,
+                        NodeRecord* node);
+  // Updates the state of the node after it rejected `task`.
+  void HandleRejection(RejectionReason reason, const Task& task, bool may_have_copy, NodeRecord* node);
+  // Records a failure of the node, and logs the first one since its latest response.
   void RecordFailure(NodeRecord* node, const char* reason);
 
   ClusterState Cluster() const;
@@ -85,11 +90,11 @@
   AttemptRules attempt_rules_;
   NodeRanking ranking_;
 
-  std::vector<Action>* actions_ = nullptr;  // of the event at hand
+  std::vector<Action>* actions_ = nullptr;  // output of the current Handle call
   Micros now_ = 0;
-  Micros started_at_ = 0;  // of the first event
-  Micros list_at_ = 0;     // when the latest node list came; 0: none yet
-  Micros logged_at_ = 0;
+  Micros started_at_ = 0;             // time of the first event
+  Micros list_at_ = 0;                // when the latest node list arrived; 0: none yet
+  Micros logged_at_ = 0;              // time of the latest log line; 0: none yet
   bool starts_are_reported_ = false;  // nodes report running tasks, not just accepted ones
 };
 
--- a/src/scheduler/slow_start.cpp
+++ b/src/scheduler/slow_start.cpp
@@ -9,7 +9,7 @@
 namespace mountflow {
 namespace {
 
-// Budgets beyond this mean no limit; it keeps the conversion to a whole number defined.
+// Upper limit of a budget, in effect unlimited. It keeps the conversion to an integer defined.
 constexpr double kMaxBudget = 1e9;
 
 }  // namespace
@@ -25,21 +25,22 @@
 }
 
 void GroupMembership::Update(const MembershipChange& change, Micros now) {
-  const bool is_sure = change.index >= 0 && change.index < change.size;
-  const bool is_same = is_sure && change.size == size_ && change.index == index_;
+  const bool is_certain = change.index >= 0 && change.index < change.size;
+  const bool is_same = is_certain && change.size == size_ && change.index == index_;
   const bool is_undisturbed = is_same && (is_known_ || change.undisturbed);
-  is_known_ = is_sure;
+  is_known_ = is_certain;
   valid_until_ = change.valid_until;
   if (change.size > 0) size_ = change.size;
-  if (!is_sure || is_undisturbed) return;
+  if (!is_certain || is_undisturbed) return;
   index_ = change.index;
   settled_at_ = now + ListStaleness::Horizon() + slow_start_window_;
 }
 
-// Each scheduler keeps to its part of the budget in any window. Where the group is too large for that, teams
-// take turns of one window, counted from the node's start: a window meets two turns, so a team holds half of
-// the budget, and each member sends once in its turn. A scheduler that started within the window or turn may
-// have spent its part before, and waits.
+// Each scheduler sends at most its share of the budget in any window. If the group is larger than the budget,
+// teams of schedulers take turns of one window each, counted from the start of the node. Any window overlaps
+// at most two turns, so a team has half of the budget as members, and each member sends once in its turn. A
+// scheduler that started within the window or the turn waits, because it may have used its share before its
+// restart.
 bool SlowStart::AllowsWarmingUp(const NodeRecord& node, Micros now) const {
   const Micros window = settings_.slow_start_window;
   const Micros node_started_at = node.entry.started_at;
--- a/src/scheduler/time_units.hpp
+++ b/src/scheduler/time_units.hpp
@@ -9,7 +9,7 @@
 inline constexpr Micros kMillisecond = 1000;
 inline constexpr Micros kSecond = 1000 * kMillisecond;
 
-// The point in time `duration` before `now`, 0 where there is none.
+// Returns the time `duration` before `now`, or 0 if that would be negative.
 inline Micros TimeBefore(Micros now, Micros duration) { return now > duration ? now - duration : 0; }
 
 }  // namespace mountflow
--- a/src/scheduler/unobserved_load.hpp
+++ b/src/scheduler/unobserved_load.hpp
@@ -1,8 +1,9 @@
-// Load that this scheduler put on one node, as sums: what a node list of some age does not show yet, and what
-// is there now. Bookkeeping only; it chooses nothing.
+// The load that this scheduler put on one node, as two sums: the load that the node list does not show yet,
+// and the load of all tasks that are present. Makes no decisions.
 //
-// No cost grows with the number of tasks sent before: the sums move forward with each start and end, and with
-// each node list. They are whole numbers of 2^-40, so that they neither drift nor depend on the order.
+// The cost of an operation does not grow with the number of earlier tasks, because the sums are updated
+// incrementally with each start, each end and each node list. They are integers in units of 2^-40, so that
+// they neither drift nor depend on the order of the updates.
 #ifndef MOUNTFLOW_SCHEDULER_UNOBSERVED_LOAD_HPP_
 #define MOUNTFLOW_SCHEDULER_UNOBSERVED_LOAD_HPP_
 
@@ -17,17 +18,17 @@
 
 namespace mountflow {
 
-// In units of 2^-40. No amount is taken for more than 2^60, so that 2^27 of them fit.
+// A number in units of 2^-40. Amounts are limited to 2^60, so that the sum of 2^27 of them does not overflow.
 using FixedPoint = __int128;
 inline FixedPoint ToFixedPoint(double amount) {
   return static_cast<FixedPoint>(std::min(amount, 0x1p60) * 0x1p40);
 }
 inline double ToDouble(FixedPoint amount) { return static_cast<double>(amount) * 0x1p-40; }
 
-// Amounts are finite and not negative.
+// Reports whether a number is a valid amount: finite and not negative.
 inline bool IsAmount(double amount) { return std::isfinite(amount) && amount >= 0.0; }
 
-// What one task adds to the load of its node.
+// The load that one task adds to its node.
 struct TaskLoad {
   RequestId request = 0;
   double cores = 0.0;
@@ -36,6 +37,7 @@
   Micros sent_at = 0;
 };
 
+// Sums over the loads of several tasks.
 template <typename Number>
 struct LoadAmounts {
   Number cores = 0;
@@ -43,44 +45,50 @@
   Number priority_weight = 0;
 };
 
+// The sums of own load on one node, and the recent changes that they consist of.
 class UnobservedLoad {
  public:
-  // Sent after the time that the node list is true of, less what ended after it.
+  // Returns the load that was sent after the observed time, minus the load that ended after it. The observed
+  // time is the time whose state the node list shows.
   const LoadAmounts<FixedPoint>& unobserved() const { return unobserved_; }
-  // The same as numbers; kept, since they are read far more often than they change.
+  // Returns the same sums as floating-point numbers. They are cached because reads are far more frequent than
+  // changes.
   const LoadAmounts<double>& unobserved_amounts() const { return unobserved_amounts_; }
-  // Of the tasks that have not ended.
+  // Returns the load of the tasks that have not ended.
   const LoadAmounts<FixedPoint>& present() const { return present_; }
+  // Returns the number of tasks that have not ended.
   std::size_t task_count() const { return task_count_; }
-  // Of the tasks that have not ended; 0 where there are none.
+  // Returns the mean priority weight of the tasks that have not ended, or 0 if there are none.
   double mean_priority_weight() const { return mean_priority_weight_; }
 
+  // Adds a task that was sent at task.sent_at.
   void Start(const TaskLoad& task) {
     Count(task, 1, task.sent_at > observed_at_);
     Insert({task, task.sent_at, 1});
   }
 
+  // Records that a task ended at `now`.
   void End(const TaskLoad& task, Micros now) {
     Count(task, -1, now > observed_at_);
     Insert({task, now, -1});
   }
 
-  // Takes back a task that never ran: no trace of it is left.
-  void Withdraw(const TaskLoad& task) {
+  // Removes a task that never ran, as if it had not been sent.
+  void Remove(const TaskLoad& task) {
     Count(task, -1, task.sent_at > observed_at_);
-    Annul(task.sent_at, task.request);
+    Invalidate(task.sent_at, task.request);
   }
 
-  // A task that ended at `ended_at` need not be known any more.
+  // Removes the changes of a task that ended at `ended_at`, because it no longer needs to be known.
   void Forget(const TaskLoad& task, Micros ended_at) {
     if (task.sent_at <= observed_at_ && ended_at > observed_at_) Add(task, 1, &unobserved_);
-    Annul(task.sent_at, task.request);
-    Annul(ended_at, task.request);
+    Invalidate(task.sent_at, task.request);
+    Invalidate(ended_at, task.request);
     UpdateAmounts();
   }
 
-  // The node list is now true of `observed_at`, which may be earlier than before. Nobody will ask for changes
-  // at `forget_until` or earlier, nor move back there.
+  // Sets the observed time, which may be earlier than before. The caller guarantees that it will neither
+  // query changes at or before `forget_until`, nor set an observed time before it.
   void ObserveUntil(Micros observed_at, Micros forget_until) {
     const int direction = observed_at > observed_at_ ? -1 : 1;
     ForEach(std::min(observed_at, observed_at_), std::max(observed_at, observed_at_),
@@ -88,14 +96,14 @@
     observed_at_ = observed_at;
     forgotten_until_ = std::max(forgotten_until_, forget_until);
     while (!changes_.empty() && changes_.front().at <= forgotten_until_) {
-      if (changes_.front().sign == 0) --annulled_count_;
+      if (changes_.front().sign == 0) --invalidated_count_;
       changes_.pop_front();
     }
     UpdateAmounts();
   }
 
-  // Calls visit(time, cores started less cores ended) for each change after `from` and not after `until`, in
-  // the order of time.
+  // Calls visit(time, cores) for each change after `from` and not after `until`, in the order of time. Cores
+  // are positive for a start and negative for an end.
   template <typename Visit>
   void ForEachChange(Micros from, Micros until, Visit visit) const {
     ForEach(from, until,
@@ -103,10 +111,11 @@
   }
 
  private:
+  // The start or end of one task.
   struct Change {
     TaskLoad task;
     Micros at;
-    int sign;  // 1: started, -1: ended, 0: annulled
+    int sign;  // 1: started, -1: ended, 0: invalidated
   };
 
   static void Add(const TaskLoad& task, int sign, LoadAmounts<FixedPoint>* amounts) {
@@ -115,7 +124,7 @@
     amounts->priority_weight += sign * ToFixedPoint(task.priority_weight);
   }
 
-  // Index of the first change after `at`.
+  // Returns the index of the first change after `at`.
   std::ptrdiff_t IndexAfter(Micros at) const {
     const auto is_later = [](Micros time, const Change& change) { return time < change.at; };
     return std::upper_bound(changes_.begin(), changes_.end(), at, is_later) - changes_.begin();
@@ -142,23 +151,26 @@
         task_count_ > 0 ? ToDouble(present_.priority_weight) / static_cast<double>(task_count_) : 0.0;
   }
 
-  // Most changes are the latest; a recovered task is as old as can be.
+  // Inserts a change in the order of time. Most changes are appended at the end; only recovered tasks, whose
+  // time is the earliest possible, are not.
   void Insert(const Change& change) {
     if (change.at > forgotten_until_) changes_.insert(changes_.begin() + IndexAfter(change.at), change);
   }
 
-  void Annul(Micros at, RequestId request) {
+  // Invalidates the change of the request at time `at`. Erases invalidated changes once they are the
+  // majority.
+  void Invalidate(Micros at, RequestId request) {
     if (at <= forgotten_until_) return;
     auto it = changes_.begin() + IndexAfter(at - 1);
     while (it != changes_.end() && it->at == at && (it->task.request != request || it->sign == 0)) ++it;
     if (it == changes_.end() || it->at != at) return;
     it->sign = 0;
-    if (++annulled_count_ * 2 <= changes_.size()) return;
+    if (++invalidated_count_ * 2 <= changes_.size()) return;
     std::erase_if(changes_, [](const Change& change) { return change.sign == 0; });
-    annulled_count_ = 0;
+    invalidated_count_ = 0;
   }
 
-  // First what each pick reads of each node.
+  // Fields that every pick reads come first.
   LoadAmounts<double> unobserved_amounts_;
   double mean_priority_weight_ = 0.0;
   std::size_t task_count_ = 0;
@@ -166,20 +178,21 @@
   LoadAmounts<FixedPoint> present_;
   Micros observed_at_ = 0;
   Micros forgotten_until_ = 0;
-  // By time, after forgotten_until_: of the tasks that are present or ended and not forgotten.
+  // Changes after forgotten_until_ of tasks that are present, or that ended and were not forgotten, by time.
   std::deque<Change> changes_;
-  std::size_t annulled_count_ = 0;  // changes with sign 0
+  std::size_t invalidated_count_ = 0;  // changes with sign 0
 };
 
-// Cores that own starts and ends took on a node between two node lists, which came at `previous_at` and
-// `now`, if lists are true of `age` before they come: for ages of 0, 1 ... Ages - 1 times `step`. Kept as
-// differences: the cores at an age are the sum of the elements up to it.
+// Returns the cores that starts and ends of own tasks took on a node between the states that two node lists
+// show. The lists arrived at `previous_at` and `now`, and each shows the state at `age` before its arrival.
+// The result covers the ages 0, 1 ... Ages - 1 times `step`. It is stored as differences: the cores for an
+// age are the sum of the elements up to and including that age.
 template <std::size_t Ages>
 std::array<FixedPoint, Ages + 1> OwnChangesByAge(const UnobservedLoad& load, Micros previous_at, Micros now,
                                                  Micros step) {
   std::array<FixedPoint, Ages + 1> differences{};
   const auto add_change = [&](Micros at, FixedPoint cores) {
-    // The ages at which it happened after the list before and not after this one.
+    // The range of ages for which the change lies after the previous list and not after this one.
     const std::size_t first = at > previous_at ? 0 : (previous_at - at) / step + 1;
     const std::size_t last = std::min<std::size_t>((now - at) / step, Ages - 1);
     if (first > last) return;
@@ -191,7 +204,7 @@
     load.ForEachChange(previous_at > highest_age ? previous_at - highest_age : 0, now, add_change);
     return differences;
   }
-  // Lists that come often: visits only what each age newly shows.
+  // Lists arrive more often than once per step: visits only the changes between the two lists for each age.
   for (Micros age = 0; age <= std::min(previous_at, highest_age); age += step) {
     load.ForEachChange(previous_at - age, now - age, add_change);
   }
--- a/tests/scheduler/own_tasks_test.cpp
+++ b/tests/scheduler/own_tasks_test.cpp
@@ -41,7 +41,7 @@
   NodeTable nodes;
   OwnTasks tasks;
   tasks.Start(5, LoadOf(1), &nodes.FindOrAdd(7));
-  tasks.Withdraw(5, LoadOf(1), &nodes.FindOrAdd(7));
+  tasks.Remove(5, LoadOf(1), &nodes.FindOrAdd(7));
   EXPECT_TRUE(tasks.OfService(5).empty());
   EXPECT_EQ(nodes.Find(7)->own_load.unobserved().cores, 0);
   EXPECT_EQ(nodes.Find(7)->own_load.task_count(), 0u);
--- a/tests/scheduler/unobserved_load_test.cpp
+++ b/tests/scheduler/unobserved_load_test.cpp
@@ -76,7 +76,7 @@
       task.ended = now;
     } else if (choice < 16) {
       const std::size_t i = present[draw(present.size())];
-      own.Withdraw(walk.tasks[i].load);
+      own.Remove(walk.tasks[i].load);
       walk.tasks.erase(walk.tasks.begin() + static_cast<std::ptrdiff_t>(i));
     } else if (choice < 18) {
       const Micros old = now > kMaxStaleness + 1'250'000 ? now - kMaxStaleness - 1'250'000 : 0;
