--- a/tests/scheduler/action_digest_test.cpp
+++ b/tests/scheduler/action_digest_test.cpp
@@ -1,6 +1,6 @@
-// Guard of the scheduler's decisions: a digest of all actions over more than 100,000 events from eight seeds.
-// A change of names or structure must leave the digests; a change of a decision renews them and says why.
-// Texts of log lines are left out: they may be reworded.
+// Compares a digest of all actions over more than 100,000 events from eight seeds with recorded values. A
+// change of names or structure must not change the digests. A change of a decision must update them and
+// explain why. The digests exclude the texts of log lines, which may be reworded.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,15 +20,16 @@
 constexpr Micros kMs = 1000;
 constexpr Micros kSecond = 1000 * kMs;
 constexpr Micros kStart = 1'000 * kSecond;
-constexpr Micros kPlayed = 100 * kSecond;
-constexpr unsigned kMachines = 40;
+constexpr Micros kSimulatedTime = 100 * kSecond;
+constexpr unsigned kNodeCount = 40;
 
-// Nodes, clients and lists drawn from one seed; they answer what the scheduler does.
-class DrawnWorld {
+// Simulates nodes, clients and node lists with random behaviour from one seed. They react to the scheduler's
+// actions.
+class RandomCluster {
  public:
-  explicit DrawnWorld(std::uint64_t seed)
-      : random_(seed), settings_(DrawnSettings(seed)), scheduler_(settings_, seed) {
-    for (unsigned i = 0; i < kMachines; ++i) {
+  explicit RandomCluster(std::uint64_t seed)
+      : random_(seed), settings_(RandomSettings(seed)), scheduler_(settings_, seed) {
+    for (unsigned i = 0; i < kNodeCount; ++i) {
       NodeEntry entry;
       entry.node = i + 1;
       entry.rack = i / 4;
@@ -41,28 +42,28 @@
     }
   }
 
-  void Play() {
+  void Run() {
     Push(kStart, List(NodeListKind::kSnapshot));
-    for (Micros at = kStart + 300 * kMs; at < kStart + kPlayed; at += 300 * kMs + Draw(700 * kMs))
+    for (Micros at = kStart + 300 * kMs; at < kStart + kSimulatedTime; at += 300 * kMs + Draw(700 * kMs))
       DrawList(at);
-    for (Micros at = kStart + kMs; at < kStart + kPlayed; at += Draw(40 * kMs)) DrawArrival(at);
-    for (Micros at = kStart + kSecond; at < kStart + kPlayed; at += kSecond + Draw(3 * kSecond))
-      DrawTrouble(at);
+    for (Micros at = kStart + kMs; at < kStart + kSimulatedTime; at += Draw(40 * kMs)) DrawArrival(at);
+    for (Micros at = kStart + kSecond; at < kStart + kSimulatedTime; at += kSecond + Draw(3 * kSecond))
+      DrawFault(at);
     std::vector<Action> actions;
-    while (!due_.empty()) {
-      const Due due = due_.top();
-      due_.pop();
-      if (due.at > kStart + kPlayed) break;
+    while (!scheduled_.empty()) {
+      const ScheduledEvent next = scheduled_.top();
+      scheduled_.pop();
+      if (next.at > kStart + kSimulatedTime) break;
       actions.clear();
-      Event event = due.event;
+      Event event = next.event;
       if (auto* list = std::get_if<NodeListUpdate>(&event); list != nullptr && list->nodes.empty())
         FillList(list);
       ++events[event.index()];
       if (const auto* outcome = std::get_if<AttemptEnded>(&event)) {
         ++endings[static_cast<std::size_t>(outcome->result)];
       }
-      scheduler_.Handle(due.at, event, &actions);
-      for (const Action& action : actions) Take(due.at, action);
+      scheduler_.Handle(next.at, event, &actions);
+      for (const Action& action : actions) Apply(next.at, action);
     }
   }
 
@@ -72,20 +73,22 @@
   Digest digest;
 
  private:
-  struct Due {
+  struct ScheduledEvent {
     Micros at;
     std::uint64_t order;
     Event event;
-    bool operator>(const Due& other) const { return at != other.at ? at > other.at : order > other.order; }
+    bool operator>(const ScheduledEvent& other) const {
+      return at != other.at ? at > other.at : order > other.order;
+    }
   };
   struct Attempt {
     unsigned number = 0;
     NodeId node = 0;
-    bool placed = false;
+    bool accepted = false;
     Micros sent = 0;
   };
 
-  static Settings DrawnSettings(std::uint64_t seed) {
+  static Settings RandomSettings(std::uint64_t seed) {
     Settings s;
     s.classes.resize(6);
     const Idempotency effects[] = {Idempotency::kNotIdempotent, Idempotency::kWithKey,
@@ -129,9 +132,9 @@
 
   std::uint64_t Draw(std::uint64_t below) { return random_() % below; }
   bool Chance(unsigned percent) { return Draw(100) < percent; }
-  void Push(Micros at, Event event) { due_.push({at, ++order_, std::move(event)}); }
+  void Push(Micros at, Event event) { scheduled_.push({at, ++order_, std::move(event)}); }
 
-  // Its entries are filled in when it is due, with what holds then.
+  // Returns a node list without entries. FillList() adds the current entries when the event is due.
   NodeListUpdate List(NodeListKind mode) const {
     NodeListUpdate list;
     list.kind = mode;
@@ -165,9 +168,9 @@
     task.memory = 2.0 * task.cores;
     tasks_[task.request] = task;
     if (Chance(2)) {
-      const auto machine = static_cast<NodeId>(1 + Draw(kMachines));
-      Push(at, TaskRecovered{task, machine});
-      attempts_[task.request] = {0, machine, true, at};
+      const auto node = static_cast<NodeId>(1 + Draw(kNodeCount));
+      Push(at, TaskRecovered{task, node});
+      attempts_[task.request] = {0, node, true, at};
       Push(at + Draw(8 * kSecond),
            End(task.request, AttemptResult::kCompleted, RejectionReason::kUnspecified, true));
       return;
@@ -175,8 +178,8 @@
     Push(at, TaskSubmitted{task});
     if (Chance(4)) Push(at + Draw(2 * kSecond), TaskCancelled{task.request});
   }
-  void DrawTrouble(Micros at) {
-    NodeEntry& entry = entries_[static_cast<NodeId>(1 + Draw(kMachines))];
+  void DrawFault(Micros at) {
+    NodeEntry& entry = entries_[static_cast<NodeId>(1 + Draw(kNodeCount))];
     switch (Draw(5)) {
       case 0:
         entry.state = NodeState::kDraining;
@@ -224,79 +227,77 @@
     outcome.result = ending;
     outcome.reason = cause;
     outcome.report = DrawReport();
-    if (attempt.placed) used_cores_[attempt.node] -= tasks_[request].cores;
+    if (attempt.accepted) used_cores_[attempt.node] -= tasks_[request].cores;
     return outcome;
   }
-  bool Silent(NodeId machine) const {
-    return std::find(silent_.begin(), silent_.end(), machine) != silent_.end();
-  }
-  void DrawFate(Micros now, const StartAttempt& offer) {
-    Attempt& attempt = attempts_[offer.request];
-    attempt = {offer.attempt, offer.node, false, now};
+  bool Silent(NodeId node) const { return std::find(silent_.begin(), silent_.end(), node) != silent_.end(); }
+  void DrawOutcome(Micros now, const StartAttempt& start) {
+    Attempt& attempt = attempts_[start.request];
+    attempt = {start.attempt, start.node, false, now};
     const Micros soon = now + 2 * kMs + Draw(80 * kMs);
-    if (Silent(offer.node)) {
-      Push(std::max(offer.deadline, soon),
-           End(offer.request, AttemptResult::kTimedOut, RejectionReason::kUnspecified, true));
+    if (Silent(start.node)) {
+      Push(std::max(start.deadline, soon),
+           End(start.request, AttemptResult::kTimedOut, RejectionReason::kUnspecified, true));
       return;
     }
-    const std::uint64_t fate = Draw(100);
-    if (fate < 4) {
-      Push(soon, End(offer.request, AttemptResult::kError, RejectionReason::kUnspecified, false));
-    } else if (fate < 12) {
-      Push(soon, End(offer.request, AttemptResult::kRejected, static_cast<RejectionReason>(Draw(5)), false));
-    } else if (fate < 15) {
-      Push(soon, End(offer.request, AttemptResult::kUnreachable, RejectionReason::kUnspecified, false));
-    } else if (fate < 16) {
-      Push(soon, End(offer.request, AttemptResult::kNotSent, RejectionReason::kUnspecified, false));
-    } else if (fate < 18) {
-      Push(soon, End(offer.request, AttemptResult::kTimedOut, RejectionReason::kUnspecified, false));
+    const std::uint64_t outcome_draw = Draw(100);
+    if (outcome_draw < 4) {
+      Push(soon, End(start.request, AttemptResult::kError, RejectionReason::kUnspecified, false));
+    } else if (outcome_draw < 12) {
+      Push(soon, End(start.request, AttemptResult::kRejected, static_cast<RejectionReason>(Draw(5)), false));
+    } else if (outcome_draw < 15) {
+      Push(soon, End(start.request, AttemptResult::kUnreachable, RejectionReason::kUnspecified, false));
+    } else if (outcome_draw < 16) {
+      Push(soon, End(start.request, AttemptResult::kNotSent, RejectionReason::kUnspecified, false));
+    } else if (outcome_draw < 18) {
+      Push(soon, End(start.request, AttemptResult::kTimedOut, RejectionReason::kUnspecified, false));
     } else {
-      attempt.placed = true;
-      used_cores_[offer.node] += tasks_[offer.request].cores;
-      Push(soon, TaskStarted{offer.request, offer.attempt, offer.node, soon - now});
+      attempt.accepted = true;
+      used_cores_[start.node] += tasks_[start.request].cores;
+      Push(soon, TaskStarted{start.request, start.attempt, start.node, soon - now});
       if (Chance(50)) {
-        Push(soon + Draw(kSecond), TaskProgress{offer.request, offer.attempt, offer.node,
+        Push(soon + Draw(kSecond), TaskProgress{start.request, start.attempt, start.node,
                                                 static_cast<ProgressKind>(1 + Draw(5)), 1.0});
       }
       const bool lost = Chance(10);
       const RejectionReason cause =
           lost && Chance(70) ? static_cast<RejectionReason>(5 + Draw(3)) : RejectionReason::kUnspecified;
       Push(soon + kSecond + Draw(8 * kSecond),
-           End(offer.request, lost ? AttemptResult::kLost : AttemptResult::kCompleted, cause, true));
+           End(start.request, lost ? AttemptResult::kLost : AttemptResult::kCompleted, cause, true));
     }
   }
 
-  void Take(Micros now, const Action& action) {
+  void Apply(Micros now, const Action& action) {
     ++actions[action.index()];
     digest.Add(now);
     digest.Add(action.index());
-    if (const auto* offer = std::get_if<StartAttempt>(&action)) {
-      digest.Add(offer->request);
-      digest.Add(offer->attempt);
-      digest.Add(offer->node);
-      digest.Add(offer->deadline);
-      DrawFate(now, *offer);
+    if (const auto* start = std::get_if<StartAttempt>(&action)) {
+      digest.Add(start->request);
+      digest.Add(start->attempt);
+      digest.Add(start->node);
+      digest.Add(start->deadline);
+      DrawOutcome(now, *start);
     } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
       digest.Add(cancel->request);
       digest.Add(cancel->attempt);
       Push(now + Draw(100 * kMs),
            End(cancel->request, AttemptResult::kCancelled, RejectionReason::kUnspecified, false));
-    } else if (const auto* refusal = std::get_if<RejectTask>(&action)) {
-      digest.Add(refusal->request);
-      digest.Add(refusal->retry_after);
+    } else if (const auto* rejection = std::get_if<RejectTask>(&action)) {
+      digest.Add(rejection->request);
+      digest.Add(rejection->retry_after);
     } else if (const auto* failure = std::get_if<FailTask>(&action)) {
       digest.Add(failure->request);
-    } else if (const auto* move = std::get_if<MigrateTask>(&action)) {
-      digest.Add(move->request);
+    } else if (const auto* migration = std::get_if<MigrateTask>(&action)) {
+      digest.Add(migration->request);
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       digest.Add(timer->at);
       digest.Add(timer->token);
       Push(timer->at, TimerFired{timer->token});
-    } else if (const auto* probe = std::get_if<StartHealthCheck>(&action)) {
-      digest.Add(probe->node);
+    } else if (const auto* health_check = std::get_if<StartHealthCheck>(&action)) {
+      digest.Add(health_check->node);
       HealthCheckResult result;
-      result.node = probe->node;
-      result.answered = !Silent(probe->node) && Chance(80);
+      result.node = health_check->node;
+      result.answered = !Silent(health_check->node) && Chance(80);
       result.elapsed = 20 * kMs;
       result.report = DrawReport();
       Push(now + 20 * kMs, result);
@@ -308,7 +309,7 @@
   std::mt19937_64 random_;
   Settings settings_;
   Scheduler scheduler_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> scheduled_;
   std::uint64_t order_ = 0;
   RequestId last_request_ = 0;
   std::map<NodeId, NodeEntry> entries_;
@@ -326,12 +327,12 @@
   std::array<std::size_t, std::variant_size_v<Action>> actions{};
   std::array<std::size_t, 8> endings{};
   for (std::uint64_t seed = 1; seed <= recorded.size(); ++seed) {
-    DrawnWorld world(seed);
-    world.Play();
-    EXPECT_EQ(world.digest.Value(), recorded[seed - 1]) << "seed " << seed;
-    for (std::size_t i = 0; i < events.size(); ++i) events[i] += world.events[i];
-    for (std::size_t i = 0; i < actions.size(); ++i) actions[i] += world.actions[i];
-    for (std::size_t i = 0; i < endings.size(); ++i) endings[i] += world.endings[i];
+    RandomCluster cluster(seed);
+    cluster.Run();
+    EXPECT_EQ(cluster.digest.Value(), recorded[seed - 1]) << "seed " << seed;
+    for (std::size_t i = 0; i < events.size(); ++i) events[i] += cluster.events[i];
+    for (std::size_t i = 0; i < actions.size(); ++i) actions[i] += cluster.actions[i];
+    for (std::size_t i = 0; i < endings.size(); ++i) endings[i] += cluster.endings[i];
   }
   std::size_t all = 0;
   for (std::size_t i = 0; i < events.size(); ++i) {
@@ -340,7 +341,8 @@
   }
   EXPECT_GT(all, 100'000u);
   for (std::size_t i = 0; i < endings.size(); ++i) EXPECT_GT(endings[i], 50u) << "ending " << i;
-  // The scheduler never moves a running task and never asks for the whole list; it does all else.
+  // The scheduler never migrates a running task and never reads the complete list. All other actions must
+  // occur.
   const std::vector<std::size_t> never = {Action(MigrateTask{}).index(), Action(ListNodes{}).index()};
   for (std::size_t i = 0; i < actions.size(); ++i) {
     const bool is_never = std::find(never.begin(), never.end(), i) != never.end();
--- a/tests/scheduler/admission_rules_test.cpp
+++ b/tests/scheduler/admission_rules_test.cpp
@@ -1,4 +1,4 @@
-// Which nodes may get an attempt at all.
+// Tests which nodes may get an attempt at all.
 #include "scheduler/admission_rules.hpp"
 
 #include <gtest/gtest.h>
@@ -63,9 +63,9 @@
   settings.classes[0].deduplication_scope = DeduplicationScope::kAll;
   EXPECT_TRUE(Allows(101));
   request.first_effect.node = 999;
-  EXPECT_FALSE(Allows(1)) << "where it may have run is not known any more";
+  EXPECT_FALSE(Allows(1)) << "the node where it may have run is no longer known";
   request.first_effect = {true, kNow - 5 * kSecond, 1};
-  EXPECT_FALSE(Allows(1)) << "the window is over";
+  EXPECT_FALSE(Allows(1)) << "the window has ended";
 }
 
 TEST_F(AdmissionRulesTest, SpreadCountsPresentTasksByDomain) {
@@ -91,7 +91,7 @@
   EXPECT_TRUE(Allows(11, by_rack));
 }
 
-TEST_F(AdmissionRulesTest, FilterLeavesOutTriedNodesAndOtherKinds) {
+TEST_F(AdmissionRulesTest, FilterSkipsTriedNodesAndOtherKinds) {
   EXPECT_TRUE(Qualifies(1));
   request.tried_nodes = {2, 1};
   EXPECT_FALSE(Qualifies(1));
@@ -108,7 +108,7 @@
   EXPECT_FALSE(Qualifies(1, kNow + 3 * kSecond - 1));
   EXPECT_TRUE(Qualifies(1, kNow + 3 * kSecond));
   request.task.cores = 1.9;
-  EXPECT_FALSE(Qualifies(1)) << "as much memory";
+  EXPECT_FALSE(Qualifies(1)) << "it requests as much memory";
   request.task.memory = 3.9;
   EXPECT_TRUE(Qualifies(1));
   request.task.cores = 2.0;
@@ -118,7 +118,7 @@
   EXPECT_TRUE(Qualifies(1));
 }
 
-TEST_F(AdmissionRulesTest, LikelyDrainingNodeIsLeftOutForSixSecondsOrUntilItRestarts) {
+TEST_F(AdmissionRulesTest, LikelyDrainingNodeIsSkippedForSixSecondsOrUntilItRestarts) {
   NodeRecord* node = nodes.Find(1);
   AdmissionRules::NoteLikelyDraining(node, kNow);
   EXPECT_FALSE(Qualifies(1, kNow + 6 * kSecond - 1));
--- a/tests/scheduler/attempt_rules_test.cpp
+++ b/tests/scheduler/attempt_rules_test.cpp
@@ -1,4 +1,4 @@
-// Further attempts and the final answer of a request.
+// Tests further attempts and the final answer of a request.
 #include "scheduler/attempt_rules.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace mountflow::testing {
 namespace {
 
-TEST(AttemptRules, StartNothingForAnAnsweredStartedOrWaitingRequest) {
+TEST(AttemptRules, StartNothingForAnAnsweredStartedOrInFlightRequest) {
   const Settings settings = DefaultSettings();
   const AttemptRules rules(settings);
   RequestRecord request;
@@ -26,7 +26,7 @@
   EXPECT_FALSE(rules.MayStart(request, 9));
 }
 
-TEST(AttemptRules, RejectOnlyWhereAskingAgainIsHarmless) {
+TEST(AttemptRules, RejectOnlyWhereARetryIsSafe) {
   Settings settings = DefaultSettings();
   const AttemptRules rules(settings);
   RequestRecord request;
@@ -44,7 +44,7 @@
   EXPECT_TRUE(rejects(Idempotency::kWithKey, DeduplicationScope::kAll, true));
 }
 
-TEST(AttemptRules, CancelOnlyWhereAllowedAndARetryIsHarmlessAndLeft) {
+TEST(AttemptRules, CancelOnlyWhereAllowedAndARetryIsSafeAndPossible) {
   Settings settings = DefaultSettings();
   const AttemptRules rules(settings);
   RequestRecord request;
--- a/tests/scheduler/list_staleness_test.cpp
+++ b/tests/scheduler/list_staleness_test.cpp
@@ -1,4 +1,4 @@
-// The age of the node list, and the start rate of all schedulers.
+// Tests the estimates of the age of node lists and of the start rate of all schedulers.
 #include "scheduler/list_staleness.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,8 @@
 namespace mountflow::testing {
 namespace {
 
-// One node on which only we start tasks, one of 1 to 9 cores a second, and whose list is `age` old.
+// Passes `lists` node lists, one per second, to `staleness`. Each shows the state at `age` before its
+// arrival. There is one node, on which only this scheduler starts tasks: one of 1 to 9 cores per second.
 void LearnFrom(Micros age, int lists, ListStaleness* staleness) {
   NodeTable::Nodes nodes;
   NodeRecord& node = nodes[1];
@@ -55,13 +56,13 @@
   }
 }
 
-TEST(ListStaleness, KeepsItsGuessForTheFirstLists) {
+TEST(ListStaleness, KeepsItsFirstEstimateForTheFirstLists) {
   ListStaleness staleness;
   LearnFrom(5500 * kMillisecond, 8, &staleness);  // seven changes
   EXPECT_EQ(staleness.ObservedAt(100 * kSecond), 98 * kSecond);
 }
 
-TEST(ClusterStartRate, IsGuessedFromWhatRunsUntilItIsSeen) {
+TEST(ClusterStartRate, IsGuessedFromRunningTasksUntilStartsAreObserved) {
   const Settings settings = DefaultSettings();
   NodeTable::Nodes nodes;
   nodes[1].entry = MakeNodeEntry(1, 20.0);
@@ -73,9 +74,9 @@
   rate.GuessIfUnknown(nodes, settings);
   EXPECT_DOUBLE_EQ(rate.value(), 20.0 / (20.0 * kSecond)) << "once";
   nodes[1].previous_free_cores = 26.0;
-  rate.Learn(nodes, settings, kSecond);  // six started, and it follows by a fifth
+  rate.Learn(nodes, settings, kSecond);  // six starts, weighted by a fifth
   EXPECT_DOUBLE_EQ(rate.value(), 2.0 / kSecond);
-  nodes[1].previous_free_cores = 10.0;  // capacity that came free is no start
+  nodes[1].previous_free_cores = 10.0;  // freed capacity is not a start
   rate.Learn(nodes, settings, kSecond);
   EXPECT_DOUBLE_EQ(rate.value(), 1.6 / kSecond);
 }
--- a/tests/scheduler/list_watch_test.cpp
+++ b/tests/scheduler/list_watch_test.cpp
@@ -1,4 +1,4 @@
-// Calls for the node list.
+// Tests when calls for the node list are due.
 #include "scheduler/list_watch.hpp"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
   watch.NoteList(NodeListKind::kSnapshot);
   watch.NoteCall();
   watch.NoteFailure(now);
-  EXPECT_TRUE(watch.IsDue(now + 1 * kSecond, now)) << "a list starts the backoff anew";
+  EXPECT_TRUE(watch.IsDue(now + 1 * kSecond, now)) << "a list resets the backoff";
 }
 
 TEST(ListWatch, CachedListKeepsTheBackoff) {
--- a/tests/scheduler/load_model_test.cpp
+++ b/tests/scheduler/load_model_test.cpp
@@ -1,4 +1,4 @@
-// Capacity, load and free capacity of nodes.
+// Tests the capacity, load and free capacity of nodes.
 #include "scheduler/load_model.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
     return ready.back();
   }
   ClusterState Cluster() const { return {ready, kNow, kNow, kNow - 2 * kSecond, start_rate}; }
-  // Of a model made now, as the settings are.
+  // Returns the loads according to a new model with the current settings.
   std::vector<NodeLoad> Loads() const {
     const PriorityWeights weights(settings.classes);
     const GroupMembership group(settings);
@@ -55,7 +55,7 @@
   double start_rate = 0.0;
 };
 
-TEST_F(LoadModelTest, MeasuresCapacityAgainstTheKindThatMostNodesAreOf) {
+TEST_F(LoadModelTest, MeasuresCapacityAgainstTheMostCommonKind) {
   settings.node_kinds = {{40.0, 100.0}, {80.0, 200.0}};
   NodeEntry large = MakeNodeEntry(1);
   large.kind = 1;
@@ -66,14 +66,14 @@
   EXPECT_EQ(Loads()[1].capacity, 1.0);
 }
 
-TEST_F(LoadModelTest, LoadIsWhatTheListShowsAndWhatItDoesNotShow) {
+TEST_F(LoadModelTest, LoadIsTheSumOfListedAndUnobservedLoad) {
   NodeRecord* node = Add(MakeNodeEntry(1, 30.0));
   EXPECT_EQ(Loads()[0].load, 40.0) << "ten tasks of the only weight, 4";
   node->own_load.Start({1, 1.0, 2.0, 4.0, kNow});
   EXPECT_EQ(Loads()[0].load, 44.0);
   settings.list_has_free_capacity = false;
   settings.group_size = 3;
-  EXPECT_EQ(Loads()[0].load, 12.0) << "each scheduler is taken to have sent as much";
+  EXPECT_EQ(Loads()[0].load, 12.0) << "each scheduler is assumed to have sent as much";
 }
 
 TEST_F(LoadModelTest, ReportedLoadCountsForFiveSeconds) {
@@ -103,7 +103,7 @@
   EXPECT_FALSE(Fits(14.5, 10.0));
 }
 
-TEST_F(LoadModelTest, PreemptibleTasksLeaveRoomForWhatOthersSentUnobserved) {
+TEST_F(LoadModelTest, PreemptibleTasksLeaveCapacityForUnobservedTasksOfOthers) {
   Add(MakeNodeEntry(1, 4.0));
   ClusterLoad total;
   total.unobserved_tasks_by_capacity = 3.0;
@@ -120,16 +120,15 @@
 TEST_F(LoadModelTest, OthersFillTheLeastLoadedNodesFirst) {
   settings.group_size = 2;
   Add(MakeNodeEntry(1, 40.0));
-  Add(MakeNodeEntry(2, 37.5));  // 10 of weighted load
+  Add(MakeNodeEntry(2, 37.5));  // weighted load 10
   Add(MakeNodeEntry(3, 20.0));
-  start_rate =
-      2.5 / (2.0 * kSecond);  // of all, counted twice, half of it by the other scheduler: 10 in weight
+  start_rate = 2.5 / (2.0 * kSecond);  // doubled, half of it by the other scheduler: weighted load 10
   EXPECT_DOUBLE_EQ(Total().fill_level, 10.0);
   EXPECT_DOUBLE_EQ(Total().unobserved_tasks_by_capacity, 2.5 / 3.0);
-  start_rate *= 3.0;  // 30: ten on the first, and ten more on each of two
+  start_rate *= 3.0;  // weighted load 30: 10 on the first node, then 10 more on each of two
   EXPECT_DOUBLE_EQ(Total().fill_level, 20.0);
   settings.group_size = 1;
-  EXPECT_EQ(Total().fill_level, 0.0) << "there are no others";
+  EXPECT_EQ(Total().fill_level, 0.0) << "there are no other schedulers";
 }
 
 TEST_F(LoadModelTest, NodesThatWarmUpDoNotCountInTheTotal) {
--- a/tests/scheduler/node_table_test.cpp
+++ b/tests/scheduler/node_table_test.cpp
@@ -1,4 +1,4 @@
-// The nodes as the list tells them.
+// Tests the table of listed nodes.
 #include "scheduler/node_table.hpp"
 
 #include <gtest/gtest.h>
@@ -45,7 +45,7 @@
   EXPECT_FALSE(table.Find(2)->listed);
 }
 
-TEST(NodeTable, TellsRestartsOfListedNodes) {
+TEST(NodeTable, ReportsRestartsOfListedNodes) {
   NodeTable table;
   NodeEntry entry = MakeNodeEntry(1);
   EXPECT_TRUE(table.Apply(List(NodeListKind::kSnapshot, {entry}), 10).empty()) << "new, not restarted";
@@ -56,7 +56,7 @@
   EXPECT_TRUE(table.Apply(List(NodeListKind::kDelta, {entry}), 30).empty());
 }
 
-TEST(NodeTable, KeepsWhenFreeCapacityChangedAndWhatItWasBefore) {
+TEST(NodeTable, StoresWhenFreeCapacityChangedAndItsPreviousValue) {
   NodeTable table;
   table.Apply(List(NodeListKind::kSnapshot, {MakeNodeEntry(1, 30.0)}), 10);
   table.Apply(List(NodeListKind::kDelta, {MakeNodeEntry(1, 30.0)}), 20);
@@ -68,7 +68,7 @@
   EXPECT_EQ(table.Find(1)->entry.free_cores, 0.0);
 }
 
-TEST(NodeTable, ForgetsNodesNeitherListedNorWithOwnTasks) {
+TEST(NodeTable, RemovesNodesNeitherListedNorWithOwnTasks) {
   NodeTable table;
   table.Apply(List(NodeListKind::kSnapshot, {MakeNodeEntry(1)}), 10);
   TaskLoad load;
--- a/tests/scheduler/outlier_ejection_test.cpp
+++ b/tests/scheduler/outlier_ejection_test.cpp
@@ -1,4 +1,4 @@
-// Ejection times, failures by class, stale entries and health checks.
+// Tests ejection times, failures by class, stale entries and health checks.
 #include "scheduler/outlier_ejection.hpp"
 
 #include <gtest/gtest.h>
@@ -12,9 +12,9 @@
 
 constexpr Micros kNow = 100 * kSecond;
 
-// Ready nodes that do nothing.
-struct FewNodes {
-  explicit FewNodes(std::size_t count) : records(count) {
+// Ready nodes without tasks.
+struct IdleNodes {
+  explicit IdleNodes(std::size_t count) : records(count) {
     for (NodeRecord& record : records) {
       ready.push_back(&record);
       NodeLoad load{};
@@ -42,12 +42,12 @@
   double start_rate = 0.0;
 };
 
-TEST(OutlierEjectionTime, DoublesWithEachStrikeUpToEightSeconds) {
+TEST(OutlierEjectionTime, DoublesWithEachFailureUpToEightSeconds) {
   NodeHealth health;
   Micros now = kNow;
   for (const Micros seconds : {1, 2, 4, 8, 8}) {
     EXPECT_EQ(OutlierEjection::RecordFailure(&health, now), seconds == 1)
-        << "the first failure alone is told";
+        << "only the first failure is reported";
     EXPECT_EQ(health.ejected_until, now + seconds * kSecond);
     EXPECT_FALSE(OutlierEjection::RecordFailure(&health, now)) << "ejected already";
     now = health.ejected_until;
@@ -58,7 +58,7 @@
   EXPECT_EQ(health.ejected_until, now + kSecond);
 }
 
-TEST(OutlierEjectionTime, OfAClassDoublesUpToThirtyTwoSecondsAndOutlivesASignOfLife) {
+TEST(OutlierEjectionTime, OfAClassDoublesUpToThirtyTwoSecondsAndIsNotClearedByAResponse) {
   NodeHealth health;
   for (const Micros seconds : {8, 16, 32, 32}) {
     OutlierEjection::FailClass(&health, 3, kNow);
@@ -72,10 +72,10 @@
   EXPECT_TRUE(health.class_health.empty());
 }
 
-TEST(OutlierEjectionFilter, LetsANodeBackWithOneAttemptAtATime) {
+TEST(OutlierEjectionFilter, ReadmitsANodeWithOneAttemptAtATime) {
   const Settings settings = DefaultSettings();
   const OutlierEjection ejection(settings);
-  FewNodes nodes(3);
+  IdleNodes nodes(3);
   OutlierEjection::RecordFailure(&nodes.records[0].health, kNow);
   EXPECT_EQ(nodes.Filter(ejection, kNow), (std::vector<bool>{false, true, true}));
   EXPECT_EQ(nodes.Filter(ejection, kNow + kSecond), (std::vector<bool>{true, true, true}));
@@ -83,10 +83,10 @@
   EXPECT_EQ(nodes.Filter(ejection, kNow + kSecond), (std::vector<bool>{false, true, true}));
 }
 
-TEST(OutlierEjectionFilter, TrustsAllWhenMoreThanHalfLookBadButForFailuresByClass) {
+TEST(OutlierEjectionFilter, IgnoresAllButFailuresByClassWhenMoreThanHalfLookFaulty) {
   const Settings settings = DefaultSettings();
   const OutlierEjection ejection(settings);
-  FewNodes nodes(4);
+  IdleNodes nodes(4);
   OutlierEjection::FailClass(&nodes.records[3].health, 2, kNow);
   for (int i = 0; i < 2; ++i) OutlierEjection::RecordFailure(&nodes.records[i].health, kNow);
   EXPECT_EQ(nodes.Filter(ejection, kNow), (std::vector<bool>{false, false, true, true}));
@@ -95,15 +95,15 @@
   EXPECT_EQ(nodes.Filter(ejection, kNow, 2), (std::vector<bool>{true, true, true, false}));
 }
 
-TEST(OutlierEjectionFilter, LeavesOutALoadedNodeWhoseEntryIsStale) {
+TEST(OutlierEjectionFilter, SkipsALoadedNodeWhoseEntryIsStale) {
   Settings settings = DefaultSettings();
   const OutlierEjection ejection(settings);
-  FewNodes nodes(3);
+  IdleNodes nodes(3);
   for (NodeRecord& record : nodes.records) {
     record.entry.free_cores = 20.0;
     record.entry_changed_at = kNow;
   }
-  nodes.start_rate = 9.0 / (10.0 * kSecond);  // in ten seconds three starts a node, counted twice
+  nodes.start_rate = 9.0 / (10.0 * kSecond);  // three starts per node in ten seconds, doubled
   nodes.records[0].entry_changed_at = kNow - 10 * kSecond;
   EXPECT_EQ(nodes.Filter(ejection, kNow), (std::vector<bool>{true, true, true})) << "six are not enough";
   nodes.records[0].entry_changed_at = kNow - 11 * kSecond;
@@ -112,13 +112,13 @@
   EXPECT_EQ(nodes.Filter(ejection, kNow), (std::vector<bool>{true, true, true}));
   nodes.records[0].health.last_alive_at = 0;
   nodes.records[0].entry.free_cores = 40.0;
-  EXPECT_EQ(nodes.Filter(ejection, kNow), (std::vector<bool>{true, true, true})) << "it holds nothing";
+  EXPECT_EQ(nodes.Filter(ejection, kNow), (std::vector<bool>{true, true, true})) << "it has no tasks";
   nodes.records[0].entry.free_cores = 20.0;
   settings.list_has_free_capacity = false;
   EXPECT_EQ(nodes.Filter(ejection, kNow), (std::vector<bool>{true, true, true}));
 }
 
-TEST(OutlierEjectionSilence, IsLongerWhereOnlyTheStartIsTold) {
+TEST(OutlierEjectionSilence, IsLongerWhereOnlyTheStartIsReported) {
   Settings settings = DefaultSettings();
   const OutlierEjection ejection(settings);
   NodeHealth health;
@@ -129,7 +129,7 @@
   EXPECT_TRUE(ejection.IsSilent(health, 2500 * kMillisecond));
 }
 
-TEST(OutlierEjectionSilence, IsToldByTwoFailedHealthChecks) {
+TEST(OutlierEjectionSilence, IsDetectedByTwoFailedHealthChecks) {
   Settings settings = DefaultSettings();
   const OutlierEjection ejection(settings);
   NodeHealth health;
--- a/tests/scheduler/own_tasks_test.cpp
+++ b/tests/scheduler/own_tasks_test.cpp
@@ -1,4 +1,4 @@
-// Own tasks by service and node.
+// Tests the counts of own tasks by service and node.
 #include "scheduler/own_tasks.hpp"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
   EXPECT_EQ(nodes.Find(7)->own_load.task_count(), 2u);
 }
 
-TEST(OwnTasks, RememberAnEndedTaskUntilItIsForgotten) {
+TEST(OwnTasks, CountAnEndedTaskAsRecentUntilItIsForgotten) {
   NodeTable nodes;
   OwnTasks tasks;
   tasks.Start(5, LoadOf(1), &nodes.FindOrAdd(7));
@@ -37,7 +37,7 @@
   EXPECT_EQ(nodes.Find(7)->own_load.present().cores, 0);
 }
 
-TEST(OwnTasks, WithdrawnTaskLeavesNothingBehind) {
+TEST(OwnTasks, RemovedTaskLeavesNothingBehind) {
   NodeTable nodes;
   OwnTasks tasks;
   tasks.Start(5, LoadOf(1), &nodes.FindOrAdd(7));
--- a/tests/scheduler/priority_weights_test.cpp
+++ b/tests/scheduler/priority_weights_test.cpp
@@ -1,4 +1,4 @@
-// Weights of the task classes.
+// Tests the priority weights of the task classes.
 #include "scheduler/priority_weights.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/scheduler/request_table_test.cpp
+++ b/tests/scheduler/request_table_test.cpp
@@ -1,4 +1,4 @@
-// Requests and the state of their attempts.
+// Tests the table of requests and the state of their attempts.
 #include "scheduler/request_table.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
   return task;
 }
 
-TEST(RequestTable, KnowsARequestOnce) {
+TEST(RequestTable, AddsARequestOnce) {
   RequestTable table;
   const RequestRecord* request = table.Add(MakeTask(7), 3.0);
   ASSERT_NE(request, nullptr);
@@ -27,7 +27,7 @@
   EXPECT_EQ(table.Find(8), nullptr);
 }
 
-TEST(RequestTable, FindsTheLatestAttemptInFlightAlone) {
+TEST(RequestTable, FindsOnlyTheLatestAttemptInFlight) {
   RequestTable table;
   NodeRecord node;
   node.entry.node = 4;
@@ -58,7 +58,7 @@
   EXPECT_TRUE(table.pending_starts().empty());
 }
 
-TEST(RequestTable, KeepsTheFirstAttemptThatMayHaveRun) {
+TEST(RequestTable, StoresTheFirstAttemptThatMayHaveRun) {
   RequestTable table;
   NodeRecord nodes[3];
   for (NodeId id = 0; id < 3; ++id) nodes[id].entry.node = id;
@@ -87,7 +87,7 @@
   table.EraseIfDone(7);
 }
 
-TEST(RequestTable, TakesARecoveredTaskForStartedAndAnswered) {
+TEST(RequestTable, TreatsARecoveredTaskAsStartedAndAnswered) {
   RequestTable table;
   RequestRecord* request = table.Add(MakeTask(7), 3.0);
   RequestTable::Recover(request, 4);
--- a/tests/scheduler/scheduler_capacity_filter_test.cpp
+++ b/tests/scheduler/scheduler_capacity_filter_test.cpp
@@ -1,4 +1,4 @@
-// Which nodes have free capacity for a task.
+// Tests which nodes have free capacity for a task.
 #include <gtest/gtest.h>
 
 #include "tests/support/scheduler_fixture.hpp"
@@ -38,13 +38,14 @@
   EXPECT_TRUE(fixture.OnlyAction<StartAttempt>());
 }
 
-// A rejected attempt held no capacity: kept as an ended task, a late list would seem to hide its end.
+// A rejected attempt held no capacity. If it were recorded as an ended task, its end would count as freed
+// capacity that a late list does not show yet.
 TEST(CapacityFilter, RejectedAttemptLeavesNoFreeCapacityBehind) {
   SchedulerFixture fixture(DefaultSettings());
   fixture.UpdateNodes({MakeNodeEntry(1, 4.0)});
   const RequestId id = fixture.Submit(0, 4.0);
   ASSERT_TRUE(fixture.OnlyAction<StartAttempt>());
-  fixture.now += 3 * kSecond;  // longer than a list is late
+  fixture.now += 3 * kSecond;  // longer than the assumed age of a list
   fixture.UpdateNodes({MakeNodeEntry(1, 3.0)});
   fixture.ReportEnded(id, 0, 1, AttemptResult::kRejected, RejectionReason::kQueueFull);
   fixture.now += 4 * kSecond;
@@ -78,7 +79,7 @@
   EXPECT_EQ(fixture.OnlyAction<StartAttempt>()->node, 1u);
 }
 
-// One large task without free capacity must not close a node to the small ones for seconds.
+// The rejection of one large task must not keep small tasks off a node for seconds.
 TEST(CapacityFilter, CapacityRejectionOfALargeTaskSkipsNoSmallerOne) {
   SchedulerFixture fixture(DefaultSettings());
   fixture.UpdateNodes({MakeNodeEntry(1), MakeNodeEntry(2, 20.0)});
@@ -91,7 +92,7 @@
   EXPECT_NE(fixture.OnlyAction<StartAttempt>().value_or(StartAttempt{}).node, 1u);
 }
 
-TEST(CapacityFilter, WithoutFreeCapacityInTheListOwnTasksStandForThoseOfOthers) {
+TEST(CapacityFilter, WithoutFreeCapacityInTheListOthersAreAssumedToSendAsMuch) {
   Settings settings = DefaultSettings();
   settings.list_has_free_capacity = false;
   SchedulerFixture fixture(settings);
@@ -101,7 +102,7 @@
     fixture.Submit(0, 2.0);
     attempts += static_cast<int>(fixture.AllActions<StartAttempt>().size());
   }
-  EXPECT_EQ(attempts, 10);  // 40 cores, two schedulers, two cores each
+  EXPECT_EQ(attempts, 10);  // 40 cores, two schedulers, two cores per task
 }
 
 TEST(CapacityFilter, WithoutFreeCapacityInTheListRecoveredTasksCountToo) {
@@ -113,7 +114,7 @@
   running.task = fixture.MakeTask(0, 18.0);
   running.node = 1;
   fixture.Handle(running);
-  fixture.Submit(0, 2.0);  // 36 of 40 cores are taken to be asked for
+  fixture.Submit(0, 2.0);  // 36 of 40 cores are assumed to be requested
   EXPECT_TRUE(fixture.OnlyAction<StartAttempt>());
   fixture.Submit(0, 2.0);
   EXPECT_TRUE(fixture.OnlyAction<RejectTask>());
--- a/tests/scheduler/scheduler_drain_and_spread_test.cpp
+++ b/tests/scheduler/scheduler_drain_and_spread_test.cpp
@@ -1,4 +1,5 @@
-// Rules 3 and 5: draining nodes get nothing; tasks of one service stay spread over the failure domains.
+// Tests rules 3 and 5: draining nodes get no attempts, and tasks of one service stay spread over the failure
+// domains.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -8,7 +9,7 @@
 namespace mountflow::testing {
 namespace {
 
-TEST(Drain, StartsNothingFromTheMomentThatTheListSaysSo) {
+TEST(Drain, StartsNothingOnANodeListedAsDrainingOrGone) {
   for (NodeState state : {NodeState::kDraining, NodeState::kGone}) {
     SchedulerFixture fixture(DefaultSettings());
     fixture.UpdateNodes({MakeNodeEntry(1)});
@@ -20,7 +21,7 @@
   }
 }
 
-TEST(Drain, TakesANodeAbsentFromASnapshotForGone) {
+TEST(Drain, TreatsANodeAbsentFromASnapshotAsGone) {
   SchedulerFixture fixture(DefaultSettings());
   fixture.UpdateNodes({MakeNodeEntry(1), MakeNodeEntry(2)});
   fixture.UpdateNodes({MakeNodeEntry(2, 0.0)});
@@ -36,7 +37,7 @@
     SchedulerFixture fixture(settings);
     fixture.UpdateNodes(
         {MakeNodeEntry(1), MakeNodeEntry(2, 20.0), MakeNodeEntry(11, 20.0), MakeNodeEntry(101, 20.0)});
-    TaskRecovered running;  // tasks there before count too
+    TaskRecovered running;  // recovered tasks count too
     running.task = fixture.MakeTask(0, 1.0, 5);
     running.node = 1;
     fixture.Handle(running);
--- a/tests/scheduler/scheduler_final_answer_test.cpp
+++ b/tests/scheduler/scheduler_final_answer_test.cpp
@@ -1,4 +1,4 @@
-// Rule 1: each task gets one final answer in time.
+// Tests rule 1: each task gets exactly one final answer, by its deadline.
 #include <gtest/gtest.h>
 
 #include "tests/support/scheduler_fixture.hpp"
@@ -43,7 +43,7 @@
   EXPECT_TRUE(fixture.OnlyAction<StartAttempt>());
 }
 
-TEST(FinalAnswer, StopsAtTheHighestNumberOfAttempts) {
+TEST(FinalAnswer, StopsAtTheMaximumNumberOfAttempts) {
   Settings settings = DefaultSettings();
   settings.max_attempts = 2;
   SchedulerFixture fixture(settings);
--- a/tests/scheduler/scheduler_group_membership_test.cpp
+++ b/tests/scheduler/scheduler_group_membership_test.cpp
@@ -1,4 +1,4 @@
-// Rule 4 while schedulers join and leave.
+// Tests rule 4, the slow-start budget, while schedulers join and leave the group.
 #include <gtest/gtest.h>
 
 #include "tests/support/scheduler_fixture.hpp"
@@ -6,7 +6,7 @@
 namespace mountflow::testing {
 namespace {
 
-// One node that warms up for a minute.
+// One node that is warming up for a minute.
 struct WarmingNodeFixture : SchedulerFixture {
   WarmingNodeFixture() : SchedulerFixture(LongSlowStart()) {
     NodeEntry warming_node = MakeNodeEntry(1);
@@ -20,13 +20,13 @@
   }
 };
 
-// Shares of an old and a new number must not add up: nothing goes to warming nodes until all know of the
-// change.
+// Shares computed from the old and from the new group size must not add up to more than the budget. Warming
+// nodes get no attempts until all schedulers know of the change.
 TEST(GroupMembership, ChangeStopsAttemptsAtWarmingNodesUntilAllSchedulersKnowIt) {
   WarmingNodeFixture fixture;
   fixture.now += 4 * kSecond;
   fixture.Submit();
-  EXPECT_EQ(fixture.AllActions<StartAttempt>().size(), 1u);  // as the settings say
+  EXPECT_EQ(fixture.AllActions<StartAttempt>().size(), 1u);  // membership from the settings
   fixture.Handle(MembershipChange{3, 1});
   const Micros changed = fixture.now;
   for (; fixture.now < changed + 15 * kSecond; fixture.now += kSecond) {
@@ -39,15 +39,16 @@
     fixture.Submit();
     sent += static_cast<int>(fixture.AllActions<StartAttempt>().size());
   }
-  EXPECT_EQ(sent, 2);                      // a budget of 8 for three
-  fixture.Handle(MembershipChange{3, 1});  // told again: no change
+  EXPECT_EQ(sent, 2);                      // budget of 8, three schedulers
+  fixture.Handle(MembershipChange{3, 1});  // repeated event: no change
   fixture.now += 4 * kSecond;
   fixture.Submit();
   EXPECT_EQ(fixture.AllActions<StartAttempt>().size(), 1u);
 }
 
-// A lease that is renewed late, a list that comes late: doubt without any change must cost no wait.
-TEST(GroupMembership, UndisturbedDoubtEndsAtOnce) {
+// The membership becomes uncertain when a lease is renewed late or a list arrives late. Without a change of
+// the group, there must be no wait afterwards.
+TEST(GroupMembership, UndisturbedUncertaintyEndsAtOnce) {
   WarmingNodeFixture fixture;
   fixture.Handle(MembershipChange{3, 1});
   const auto sends = [&fixture] {
@@ -63,12 +64,12 @@
   fixture.Handle(MembershipChange{3, 1, ~Micros{0}, true});
   EXPECT_EQ(sends(), 1u);
   fixture.Handle(MembershipChange{3, -1});
-  fixture.Handle(MembershipChange{3, 1, ~Micros{0}, false});  // somebody joined and left
+  fixture.Handle(MembershipChange{3, 1, ~Micros{0}, false});  // a member joined and left
   EXPECT_EQ(sends(), 0u);
 }
 
-// Danger: a scheduler that was stopped wakes with numbers that were sure before.
-TEST(GroupMembership, IsSureUntilItsTimeAlone) {
+// A process that was suspended must not continue with a membership that was certain before.
+TEST(GroupMembership, IsCertainOnlyUntilItsExpiry) {
   WarmingNodeFixture fixture;
   fixture.Handle(MembershipChange{3, 1});
   fixture.now += 16 * kSecond;
@@ -83,15 +84,15 @@
   EXPECT_EQ(fixture.AllActions<StartAttempt>().size(), 1u);
 }
 
-TEST(GroupMembership, UnsureSchedulerSendsToWarmNodesAlone) {
+TEST(GroupMembership, UncertainSchedulerSendsOnlyToWarmNodes) {
   SchedulerFixture fixture(DefaultSettings());
   NodeEntry warming_node = MakeNodeEntry(1);
   warming_node.started_at = fixture.now - kSecond;
   fixture.UpdateNodes({warming_node});
   fixture.now += 4 * kSecond;
-  for (const MembershipChange unsure :
+  for (const MembershipChange uncertain :
        {MembershipChange{2, -1}, MembershipChange{0, 0}, MembershipChange{2, 2}}) {
-    fixture.Handle(unsure);
+    fixture.Handle(uncertain);
     fixture.now += 1;
     fixture.Submit();
     EXPECT_TRUE(fixture.AllActions<StartAttempt>().empty());
--- a/tests/scheduler/scheduler_idempotency_test.cpp
+++ b/tests/scheduler/scheduler_idempotency_test.cpp
@@ -1,4 +1,4 @@
-// Rule 2: no task takes effect twice.
+// Tests rule 2: no task takes effect twice.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -43,13 +43,13 @@
   }
 }
 
-TEST(Idempotency, TaskWithKeyIsRetriedWithinItsDeduplicationScopeAlone) {
-  // Nodes 1, 2 share a rack; 11 is in another rack of the zone; 101 in another zone.
+TEST(Idempotency, TaskWithKeyIsRetriedOnlyWithinItsDeduplicationScope) {
+  // Nodes 1 and 2 share a rack, 11 is in another rack of the same zone, and 101 is in another zone.
   const auto second = [](DeduplicationScope scope, std::vector<NodeEntry> nodes) -> std::optional<NodeId> {
     SchedulerFixture fixture(WithKeySettings(scope));
     fixture.UpdateNodes({MakeNodeEntry(1)});
     const RequestId id = fixture.Submit();
-    nodes.push_back(MakeNodeEntry(1, 0.0));  // the first is full by now
+    nodes.push_back(MakeNodeEntry(1, 0.0));  // the first node is full by now
     fixture.UpdateNodes(nodes);
     fixture.ReportEnded(id, 0, 1, AttemptResult::kTimedOut);
     if (fixture.OnlyAction<StartAttempt>()) return fixture.OnlyAction<StartAttempt>()->node;
@@ -66,8 +66,9 @@
   EXPECT_EQ(second(DeduplicationScope::kAll, {}), std::nullopt);
 }
 
-// Guards against a node that is forgotten while a repeat is still bound to its rack, or never.
-TEST(Idempotency, ANodeThatIsGoneIsRememberedForAnHourAsTheFirstOfARepeat) {
+// Guards against a node record that is deleted while a retry is still bound to its rack, or that is never
+// deleted.
+TEST(Idempotency, RecordOfAGoneNodeIsRetainedForAnHourForRetries) {
   constexpr Micros kMinute = 60 * kSecond;
   for (const Micros gone_for : {59 * kMinute, 61 * kMinute}) {
     Settings settings = WithKeySettings(DeduplicationScope::kRack);
@@ -95,7 +96,7 @@
   }
 }
 
-TEST(Idempotency, TaskWithKeyIsRetriedWithinItsDeduplicationWindowAlone) {
+TEST(Idempotency, TaskWithKeyIsRetriedOnlyWithinItsDeduplicationWindow) {
   for (const Micros age : {5 * kSecond - 1, 5 * kSecond}) {
     SchedulerFixture fixture(WithKeySettings(DeduplicationScope::kRack));
     fixture.UpdateNodes({MakeNodeEntry(1), MakeNodeEntry(2)});
@@ -118,7 +119,7 @@
   fixture.UpdateNodes({MakeNodeEntry(1), MakeNodeEntry(2), MakeNodeEntry(3)});
   const RequestId id = fixture.Submit();
   const NodeId node = fixture.OnlyAction<StartAttempt>()->node;
-  fixture.TickUntil(fixture.now + 5 * kSecond);  // silence: it is cancelled first
+  fixture.TickUntil(fixture.now + 5 * kSecond);  // the node is silent: the attempt is cancelled first
   EXPECT_TRUE(fixture.AllActions<StartAttempt>().empty());
   ASSERT_EQ(fixture.AllActions<CancelAttempt>().size(), 1u);
   EXPECT_EQ(fixture.AllActions<CancelAttempt>()[0].request, id);
--- a/tests/scheduler/scheduler_node_list_test.cpp
+++ b/tests/scheduler/scheduler_node_list_test.cpp
@@ -1,4 +1,4 @@
-// When the scheduler subscribes to the node list.
+// Tests when the scheduler subscribes to the node list.
 #include <gtest/gtest.h>
 
 #include "tests/support/scheduler_fixture.hpp"
@@ -15,9 +15,10 @@
   fixture.UpdateNodes({}, NodeListKind::kUnavailable);
   EXPECT_TRUE(fixture.AllActions<WatchNodes>().empty());
   fixture.TickUntil(fixture.now + 5 * kSecond);
-  EXPECT_EQ(fixture.AllActions<WatchNodes>().size(), 1u);  // asked again, once, until it is answered
+  EXPECT_EQ(fixture.AllActions<WatchNodes>().size(),
+            1u);  // one retry, and no second one until its result arrives
   fixture.Submit();
-  EXPECT_TRUE(fixture.OnlyAction<StartAttempt>());  // the earlier list remains
+  EXPECT_TRUE(fixture.OnlyAction<StartAttempt>());  // the earlier list remains in use
 }
 
 TEST(NodeList, IsNotWatchedWhereItIsPushed) {
--- a/tests/scheduler/scheduler_node_ranking_test.cpp
+++ b/tests/scheduler/scheduler_node_ranking_test.cpp
@@ -1,4 +1,4 @@
-// Which node the scheduler picks.
+// Tests which node the scheduler picks.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -24,9 +24,9 @@
   Settings settings = DefaultSettings();
   settings.node_kinds = {{40.0, 100.0}, {80.0, 200.0}};
   SchedulerFixture fixture(settings);
-  NodeEntry large = MakeNodeEntry(3, 50.0);  // 30 asked on twice the capacity
+  NodeEntry large = MakeNodeEntry(3, 50.0);  // 30 cores requested, twice the capacity
   large.kind = 1;
-  fixture.UpdateNodes({MakeNodeEntry(1, 18.0), MakeNodeEntry(2, 18.0), large});  // 22 asked
+  fixture.UpdateNodes({MakeNodeEntry(1, 18.0), MakeNodeEntry(2, 18.0), large});  // 22 cores requested
   fixture.Submit();
   EXPECT_EQ(fixture.OnlyAction<StartAttempt>()->node, 3u);
 }
@@ -44,13 +44,14 @@
   EXPECT_EQ(drawn.count(3), 0u);
 }
 
-// Many schedulers see one equal late list: those who pick only its emptiest node would all meet there.
-TEST(NodeRanking, RanksNodesAlikeThatOtherSchedulersFillUnobserved) {
+// Many schedulers see the same late list. If each picked the emptiest node in it, all would pick the same
+// node.
+TEST(NodeRanking, RanksNodesEquallyThatOtherSchedulersFillUnobserved) {
   std::map<NodeId, int> drawn;
   for (std::uint64_t seed = 0; seed < 40; ++seed) {
     SchedulerFixture fixture(DefaultSettings(), seed);
     double free = 40.0;
-    for (int i = 0; i < 12; ++i, fixture.now += kSecond) {  // others start four a second on another node
+    for (int i = 0; i < 12; ++i, fixture.now += kSecond) {  // others start three tasks a second on node 3
       fixture.UpdateNodes({MakeNodeEntry(1, 30.0), MakeNodeEntry(2, 25.0), MakeNodeEntry(3, free -= 3.0)},
                           i == 0 ? NodeListKind::kSnapshot : NodeListKind::kDelta);
     }
@@ -59,7 +60,7 @@
     fixture.Submit(0, 1.0, 5000 + seed);
     ++drawn[fixture.OnlyAction<StartAttempt>()->node];
   }
-  EXPECT_GT(drawn[2], 5);  // by the list 15 of 40 are asked there against 10
+  EXPECT_GT(drawn[2], 5);  // the list shows 15 of 40 cores requested there, and 10 on node 1
   EXPECT_EQ(drawn.count(3), 0u);
 }
 
@@ -73,7 +74,7 @@
     ++sent[node];
     if (i % 2 == 0) fixture.ReportStarted(id, 0, node);
   }
-  // 5 and 15 asked at first: 20 more leave about 20 on each.
+  // 5 and 15 cores are requested at first, so 20 more tasks result in about 20 on each node.
   EXPECT_GE(sent[1], 11);
   EXPECT_LE(sent[1], 18);
 }
@@ -81,14 +82,14 @@
 TEST(NodeRanking, DropsEndedTasksFromTheLoad) {
   SchedulerFixture fixture(DefaultSettings());
   fixture.UpdateNodes({MakeNodeEntry(1, 30.0), MakeNodeEntry(2, 30.0)});
-  std::vector<std::pair<RequestId, NodeId>> placed;
+  std::vector<std::pair<RequestId, NodeId>> running;
   for (int i = 0; i < 16; ++i) {
     const RequestId id = fixture.Submit();
     const NodeId node = fixture.OnlyAction<StartAttempt>()->node;
     fixture.ReportStarted(id, 0, node);
-    placed.emplace_back(id, node);
+    running.emplace_back(id, node);
   }
-  for (const auto& [id, node] : placed) {
+  for (const auto& [id, node] : running) {
     if (node == 1)
       fixture.ReportEnded(id, 0, node, AttemptResult::kCompleted, RejectionReason::kUnspecified, true);
   }
@@ -98,9 +99,9 @@
 
 TEST(NodeRanking, RejectsAtOnceAboveTheCap) {
   Settings settings = DefaultSettings();
-  settings.mean_cores = 4.0;  // the cap is the highest weight x 40 / 4 cores of tasks: ten of them
+  settings.mean_cores = 4.0;  // the cap is the highest weight x 40 / 4 cores: ten tasks
   SchedulerFixture fixture(settings);
-  fixture.UpdateNodes({MakeNodeEntry(1, 1.0)});  // 39 asked count as 9.75; one more is over
+  fixture.UpdateNodes({MakeNodeEntry(1, 1.0)});  // 39 requested cores: 9.75 tasks; one more is over the cap
   fixture.Submit(0, 0.5);
   EXPECT_TRUE(fixture.AllActions<StartAttempt>().empty());
   ASSERT_TRUE(fixture.OnlyAction<RejectTask>());
@@ -111,13 +112,13 @@
   Settings settings = DefaultSettings();
   settings.mean_cores = 4.0;
   SchedulerFixture fixture(settings);
-  fixture.UpdateNodes({MakeNodeEntry(1, 4.0)});  // 36 asked count as 9: the tenth is just within
+  fixture.UpdateNodes({MakeNodeEntry(1, 4.0)});  // 36 requested cores: 9 tasks; a tenth is within the cap
   fixture.Submit(0, 0.5);
   EXPECT_TRUE(fixture.OnlyAction<StartAttempt>());
 }
 
-// Each of many schedulers holds hardly a task of a service, and starts without the program are many times
-// dearer.
+// With many schedulers, each has hardly any task of a service. Starts on nodes without the program cost many
+// times as much.
 TEST(NodeRanking, AllSchedulersAgreeOnTheAffinityNodesOfAService) {
   std::vector<NodeEntry> cluster;
   for (NodeId id = 1; id <= 20; ++id) cluster.push_back(MakeNodeEntry(id, 25.0));
@@ -133,7 +134,7 @@
     EXPECT_EQ(affinity_nodes.size(), 2u);
     all.insert(affinity_nodes.begin(), affinity_nodes.end());
   }
-  EXPECT_GT(all.size(), 12u);  // and services differ in theirs
+  EXPECT_GT(all.size(), 12u);  // different services have different affinity nodes
 }
 
 TEST(NodeRanking, PrefersAFarEmptierNodeToAffinityNodes) {
@@ -146,7 +147,7 @@
   }
 }
 
-// Where own tasks tell where the program is, that is better than the affinity nodes.
+// Own tasks show which nodes have the program. They take precedence over the affinity nodes.
 TEST(NodeRanking, PrefersANodeKnownToHaveTheProgramToAffinityNodes) {
   std::vector<NodeEntry> cluster;
   for (NodeId id = 1; id <= 6; ++id) cluster.push_back(MakeNodeEntry(id, 25.0));
@@ -173,7 +174,7 @@
   }
 }
 
-// Tasks that use far more than they asked make a node look empty; its own report tells.
+// A node whose tasks use far more than they requested looks empty in the list. Its own report shows the use.
 TEST(NodeRanking, RanksANodeAsFullAsItReportsItself) {
   SchedulerFixture fixture(DefaultSettings());
   fixture.UpdateNodes({MakeNodeEntry(1, 30.0), MakeNodeEntry(2, 20.0)});
@@ -188,35 +189,36 @@
   fixture.Handle(ended);
   fixture.Submit();
   EXPECT_EQ(fixture.OnlyAction<StartAttempt>()->node, 2u);
-  fixture.now += 6 * kSecond;  // an old report tells nothing
+  fixture.now += 6 * kSecond;  // an old report is ignored
   fixture.Submit();
   EXPECT_EQ(fixture.OnlyAction<StartAttempt>()->node, 1u);
   ended.report.utilisation = std::nan("");
   fixture.Handle(ended);
 }
 
-// Starts queue one behind the other: a node with pending attempts is slower to start the next than its
-// free capacity tells.
+// Starts queue one behind the other, so a node with pending attempts starts the next one later than its free
+// capacity suggests.
 TEST(NodeRanking, WeighsPendingAttemptsMoreThanRunningTasks) {
   SchedulerFixture fixture(SingleSchedulerSettings());
-  fixture.UpdateNodes({MakeNodeEntry(1, 30.0), MakeNodeEntry(2, 28.0)});  // 10 and 12 asked
+  fixture.UpdateNodes({MakeNodeEntry(1, 30.0), MakeNodeEntry(2, 28.0)});  // 10 and 12 cores requested
   const RequestId first = fixture.Submit();
   ASSERT_EQ(fixture.OnlyAction<StartAttempt>()->node, 1u);
   const RequestId second = fixture.Submit();
-  ASSERT_EQ(fixture.OnlyAction<StartAttempt>()->node, 2u);  // 11 and 3 more against 12
+  ASSERT_EQ(fixture.OnlyAction<StartAttempt>()->node, 2u);  // 11 + 3 on node 1, 12 on node 2
   fixture.ReportStarted(first, 0, 1);
   fixture.ReportStarted(second, 0, 2);
   fixture.Submit();
   EXPECT_EQ(fixture.OnlyAction<StartAttempt>()->node, 1u);  // running they count one each
 }
 
-// The danger: an acceptance comes in milliseconds, the start seconds later. On a day in service 125 tasks
-// were sent to a node that had just come up, and waited 2.6 s in its queue of starts (median).
-TEST(NodeRanking, WeighsAnAcceptedTaskAsPendingUntilItsStartIsTold) {
-  for (const bool told : {false, true}) {
+// An acceptance arrives within milliseconds, but the start can follow seconds later. If accepted tasks do not
+// count as pending, a new node is overloaded: in one case 125 tasks were sent to a node that had just
+// started, and waited a median of 2.6 s in its queue of starts.
+TEST(NodeRanking, WeighsAnAcceptedTaskAsPendingUntilItsStartIsReported) {
+  for (const bool starts_are_reported : {false, true}) {
     SchedulerFixture fixture(SingleSchedulerSettings());
-    fixture.UpdateNodes({MakeNodeEntry(1, 40.0), MakeNodeEntry(2, 38.0)});  // none and 2 asked
-    if (told) {                                                             // where starts are told at all
+    fixture.UpdateNodes({MakeNodeEntry(1, 40.0), MakeNodeEntry(2, 38.0)});  // 0 and 2 cores requested
+    if (starts_are_reported) {
       const RequestId before = fixture.Submit();
       const NodeId node = fixture.OnlyAction<StartAttempt>()->node;
       fixture.ReportStarted(before, 0, node);
@@ -227,9 +229,9 @@
     ASSERT_EQ(fixture.OnlyAction<StartAttempt>()->node, 1u);
     fixture.ReportStarted(first, 0, 1);
     const RequestId second = fixture.Submit();
-    EXPECT_EQ(fixture.OnlyAction<StartAttempt>()->node, told ? 2u : 1u);
+    EXPECT_EQ(fixture.OnlyAction<StartAttempt>()->node, starts_are_reported ? 2u : 1u);
     fixture.ReportStarted(second, 0, fixture.OnlyAction<StartAttempt>()->node);
-    if (!told) continue;
+    if (!starts_are_reported) continue;
     fixture.Handle(TaskProgress{first, 0, 1, ProgressKind::kRunning, 1.0});
     fixture.Handle(TaskProgress{second, 0, 2, ProgressKind::kRunning, 1.0});
     fixture.Submit();
--- a/tests/scheduler/scheduler_outlier_ejection_test.cpp
+++ b/tests/scheduler/scheduler_outlier_ejection_test.cpp
@@ -1,4 +1,4 @@
-// Nodes that look broken get no attempts.
+// Tests that nodes that look faulty get no attempts.
 #include <gtest/gtest.h>
 
 #include "tests/support/scheduler_fixture.hpp"
@@ -18,7 +18,7 @@
   }
 }
 
-TEST(OutlierEjection, GivesANodeWithStrikesOneAttemptAtATime) {
+TEST(OutlierEjection, GivesANodeWithFailuresOneAttemptAtATime) {
   SchedulerFixture fixture(DefaultSettings());
   fixture.UpdateNodes({MakeNodeEntry(1), MakeNodeEntry(2, 10.0), MakeNodeEntry(3, 10.0)});
   const RequestId id = fixture.Submit();
@@ -33,8 +33,8 @@
   EXPECT_EQ(there, 1);
 }
 
-// A hung node answers at once that its queue of attempts is full, and looks emptier by the second.
-TEST(OutlierEjection, TakesAFullQueueForABadSign) {
+// A hung node immediately rejects attempts because its queue is full, and looks emptier with each second.
+TEST(OutlierEjection, TreatsAFullQueueAsAFailure) {
   SchedulerFixture fixture(DefaultSettings());
   fixture.UpdateNodes({MakeNodeEntry(1), MakeNodeEntry(2, 25.0), MakeNodeEntry(3, 25.0)});
   int there = 0;
@@ -51,9 +51,9 @@
   EXPECT_LE(there, 2);
 }
 
-// A hung node takes nothing, ends nothing and looks emptier than those that fill up: the list shows it to
-// all.
-TEST(OutlierEjection, LeavesOutALoadedNodeWhoseListEntryDoesNotChange) {
+// A hung node neither starts nor ends tasks, and looks emptier than the nodes that fill up. All schedulers
+// can see this in the node list.
+TEST(OutlierEjection, SkipsALoadedNodeWhoseListEntryDoesNotChange) {
   for (const bool is_alive : {false, true}) {
     Settings settings = DefaultSettings();
     settings.group_size = 100;
@@ -65,7 +65,7 @@
       fixture.UpdateNodes({MakeNodeEntry(2, 26.0 - swing), MakeNodeEntry(3, 24.0 + swing)},
                           NodeListKind::kDelta);
       if (is_alive && i == 18)
-        fixture.Handle(HealthCheckResult{1, true, 0, {}});  // our own sign of life from it is worth more
+        fixture.Handle(HealthCheckResult{1, true, 0, {}});  // a response to this scheduler takes precedence
     }
     int sent_there = 0;
     for (int i = 0; i < 30; ++i) {
@@ -77,8 +77,8 @@
   }
 }
 
-// A node that fails one class and serves the others looks alive and ever emptier.
-TEST(OutlierEjection, EjectsANodeForTheClassThatItFailsAlone) {
+// A node that fails one class and serves the others responds, and looks emptier and emptier.
+TEST(OutlierEjection, EjectsANodeOnlyForTheClassThatItFails) {
   for (AttemptResult result : {AttemptResult::kError, AttemptResult::kTimedOut}) {
     Settings settings = DefaultSettings();
     settings.classes.push_back(settings.classes[0]);
@@ -89,14 +89,14 @@
     const RequestId failed = fixture.Submit(1);
     ASSERT_TRUE(fixture.OnlyAction<StartAttempt>());
     fixture.now += 100 * kMillisecond;
-    fixture.ReportStarted(other, 0, 1);  // a sign of life meanwhile
+    fixture.ReportStarted(other, 0, 1);  // a response in the meantime
     fixture.ReportEnded(failed, 0, 1, result);
     fixture.now += kSecond;
     fixture.Submit(1);
     EXPECT_FALSE(fixture.OnlyAction<StartAttempt>());
     fixture.Submit(0);
     EXPECT_TRUE(fixture.OnlyAction<StartAttempt>());
-    fixture.now += 8 * kSecond;  // then one more try, and longer after the next failure
+    fixture.now += 8 * kSecond;  // then one more attempt; the next ejection is longer
     const RequestId again = fixture.Submit(1);
     ASSERT_TRUE(fixture.OnlyAction<StartAttempt>());
     fixture.ReportEnded(again, 0, 1, AttemptResult::kError);
@@ -106,14 +106,15 @@
   }
 }
 
-// A node that starts to drain empties at once and would draw everything until the list tells of it.
-TEST(OutlierEjection, LeavesOutANodeThatEvictsTasksOrTakesNone) {
-  for (const bool placed : {true, false}) {
+// A node that starts to drain empties quickly, and would get all attempts until the list shows that it is
+// draining.
+TEST(OutlierEjection, SkipsANodeThatEvictsTasksOrAcceptsNone) {
+  for (const bool accepted : {true, false}) {
     SchedulerFixture fixture(SingleSchedulerSettings());
     fixture.UpdateNodes({MakeNodeEntry(1), MakeNodeEntry(2, 10.0), MakeNodeEntry(3, 10.0)});
     const RequestId id = fixture.Submit();
     ASSERT_EQ(fixture.OnlyAction<StartAttempt>()->node, 1u);
-    if (placed) {
+    if (accepted) {
       fixture.ReportStarted(id, 0, 1);
       fixture.ReportEnded(id, 0, 1, AttemptResult::kLost, RejectionReason::kDrained, true);
     } else {
@@ -126,13 +127,13 @@
       fixture.Submit(0, 0.1);
       EXPECT_NE(fixture.OnlyAction<StartAttempt>()->node, 1u);
     }
-    fixture.now += 2 * kSecond;  // the list knows by now
+    fixture.now += 2 * kSecond;  // the list would show it by now
     fixture.Submit(0, 0.1);
     EXPECT_EQ(fixture.OnlyAction<StartAttempt>()->node, 1u);
   }
 }
 
-TEST(OutlierEjection, TrustsAllNodesWhenMostLookBad) {
+TEST(OutlierEjection, EjectsNoNodeWhenMostLookFaulty) {
   SchedulerFixture fixture(DefaultSettings());
   fixture.UpdateNodes({MakeNodeEntry(1), MakeNodeEntry(2)});
   for (int i = 0; i < 2; ++i) {
@@ -146,7 +147,7 @@
   EXPECT_TRUE(fixture.OnlyAction<StartAttempt>());
 }
 
-TEST(OutlierEjection, TakesNoSlowStartForSilenceWhereOnlyRunningIsTold) {
+TEST(OutlierEjection, DoesNotTreatALateStartAsSilenceWhereOnlyStartsAreReported) {
   Settings settings = DefaultSettings();
   settings.started_means_running = true;
   SchedulerFixture fixture(settings);
@@ -156,7 +157,7 @@
   EXPECT_TRUE(fixture.AllActions<CancelAttempt>().empty());
 }
 
-TEST(OutlierEjection, StartsAHealthCheckWhereItMay) {
+TEST(OutlierEjection, StartsAHealthCheckWhereAllowed) {
   Settings settings = DefaultSettings();
   settings.started_means_running = true;
   settings.may_check_health = true;
--- a/tests/scheduler/scheduler_slow_start_test.cpp
+++ b/tests/scheduler/scheduler_slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Rule 4: nodes that warm up get no more than their budget.
+// Tests rule 4: nodes that are warming up get at most their slow-start budget.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,17 +22,17 @@
     fixture.Submit(0, 0.1);
     attempts += static_cast<int>(fixture.AllActions<StartAttempt>().size());
   }
-  EXPECT_EQ(attempts, 4);  // a budget of 8, two schedulers
+  EXPECT_EQ(attempts, 4);  // budget of 8, two schedulers
   fixture.now += 3 * kSecond;
   fixture.Submit(0, 0.1);
-  EXPECT_TRUE(fixture.AllActions<StartAttempt>().empty());  // the window's last instant
+  EXPECT_TRUE(fixture.AllActions<StartAttempt>().empty());  // last microsecond of the window
   fixture.now += 1;
   fixture.Submit(0, 0.1);
   EXPECT_TRUE(fixture.OnlyAction<StartAttempt>());
 }
 
-// Far more schedulers than the budget has attempts: by turns all together stay within the budget in any
-// window, those that restart in between too, and the node is still used.
+// The group has many more schedulers than the budget has attempts. By taking turns, all of them together,
+// including those that restart, stay within the budget in any window, and the node is still used.
 TEST(SlowStart, TakesTurnsWhereTheGroupIsLargerThanTheBudget) {
   constexpr int kGroupSize = 90;
   Settings settings = DefaultSettings();
@@ -57,7 +57,7 @@
   std::vector<Micros> sent;
   for (; now < started + settings.slow_start_duration; now += 50 * kMillisecond) {
     for (int i = 0; i < kGroupSize; ++i) {
-      if (now == started + 7 * kSecond && i % 3 == 0) {  // a third of the schedulers restart and forget
+      if (now == started + 7 * kSecond && i % 3 == 0) {  // a third of the schedulers restart without state
         settings.self_index = i;
         fixtures[i] = SchedulerFixture(settings, i);
         fixtures[i].now = now;
@@ -74,12 +74,13 @@
     });
     EXPECT_LE(in_window, 21);
   }
-  EXPECT_GE(sent.size(), 40u);  // six turns of nine or ten, less what the restarts cost
+  EXPECT_GE(sent.size(), 40u);  // six turns of nine or ten attempts, minus those lost to the restarts
 }
 
-// The sum of all processes at 2, 16 and 30, with budgets below and above their number: just after the
-// node's start, over a restart of seven in ten, and while each hears of the node up to 2 s late. None
-// beyond the budget, where only 2 * sqrt(budget) + 2 more were chance.
+// Checks the attempts of all schedulers together, for groups of 2, 16 and 30 and budgets below and above the
+// group size. The node has just started, each scheduler learns of it up to 2 s late, and seven in ten
+// schedulers restart. The test allows no attempt beyond the budget. Random variation alone could explain up
+// to 2 * sqrt(budget) + 2 more.
 TEST(SlowStart, AllSchedulersStayWithinTheBudgetOverRestartsAndLateLists) {
   for (const int group : {2, 16, 30}) {
     for (const double budget : {8.0, 21.0, 119.0}) {
@@ -90,28 +91,27 @@
       Micros now = 100 * kSecond;
       warming_node.started_at = now;
       std::vector<SchedulerFixture> fixtures;
-      std::vector<Micros> hears_at;
+      std::vector<Micros> learns_at;
       for (int i = 0; i < group; ++i) {
         settings.self_index = i;
         fixtures.emplace_back(settings, i);
         fixtures.back().now = now;
         fixtures.back().UpdateNodes({MakeNodeEntry(2, 20.0, 0.0)});
-        hears_at.push_back(now + static_cast<Micros>(i * 7919 % 2000) * kMillisecond);
+        learns_at.push_back(now + static_cast<Micros>(i * 7919 % 2000) * kMillisecond);
       }
       std::vector<Micros> sent;
       for (; now < warming_node.started_at + settings.slow_start_duration; now += 50 * kMillisecond) {
         for (int i = 0; i < group; ++i) {
           SchedulerFixture& fixture = fixtures[i];
-          if (now == warming_node.started_at + 5 * kSecond &&
-              i % 10 < 7) {  // restarted, and told what is known
+          if (now == warming_node.started_at + 5 * kSecond && i % 10 < 7) {  // restarts with a cached list
             settings.self_index = i;
             fixture = SchedulerFixture(settings, group + i);
             fixture.now = now;
             fixture.UpdateNodes({MakeNodeEntry(2, 20.0, 0.0), warming_node}, NodeListKind::kCached);
           }
           fixture.now = now;
-          if (hears_at[i] <= now)
-            fixture.UpdateNodes({warming_node}, NodeListKind::kDelta), hears_at[i] = ~Micros{0};
+          if (learns_at[i] <= now)
+            fixture.UpdateNodes({warming_node}, NodeListKind::kDelta), learns_at[i] = ~Micros{0};
           fixture.Submit(0, 0.01);
           for (std::size_t n = fixture.AllActions<StartAttempt>().size(); n > 0; --n) sent.push_back(now);
         }
@@ -178,7 +178,7 @@
   NodeEntry new_node = MakeNodeEntry(3);
   new_node.started_at = fixture.now;
   fixture.UpdateNodes({new_node}, NodeListKind::kDelta);
-  fixture.Submit();  // 20 and 30 asked, so the new one counts as 25
+  fixture.Submit();  // 20 and 30 cores requested, so the new node counts as 25
   EXPECT_EQ(fixture.OnlyAction<StartAttempt>()->node, 1u);
 }
 
--- a/tests/scheduler/scheduler_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -1,4 +1,4 @@
-// Events that make no sense, and determinism.
+// Tests invalid events, and determinism.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -23,7 +23,7 @@
   const Task task = fixture.MakeTask();
   fixture.Submit(task);
   EXPECT_TRUE(fixture.OnlyAction<StartAttempt>());
-  fixture.Submit(task);  // told again
+  fixture.Submit(task);  // duplicate event
   EXPECT_TRUE(fixture.actions.empty());
   fixture.ReportEnded(task.request, 3, 1, AttemptResult::kRejected);  // an attempt never made
   EXPECT_TRUE(fixture.actions.empty());
@@ -44,21 +44,21 @@
   EXPECT_TRUE(fixture.OnlyAction<RejectTask>());
 }
 
-TEST(InvalidInput, TakesANodeEntryWithoutNumbersForFull) {
+TEST(InvalidInput, TreatsANodeEntryWithoutNumbersAsFull) {
   SchedulerFixture fixture(DefaultSettings());
   fixture.UpdateNodes({MakeNodeEntry(1, std::nan(""), std::nan(""))});
   fixture.Submit();
   EXPECT_TRUE(fixture.OnlyAction<RejectTask>());
 }
 
-TEST(InvalidInput, TakesTimeThatGoesBackForNow) {
+TEST(InvalidInput, IgnoresTimeThatGoesBack) {
   SchedulerFixture fixture(DefaultSettings());
   fixture.UpdateNodes({MakeNodeEntry(1)});
   Task task = fixture.MakeTask();
   fixture.now += 10 * kSecond;
   fixture.Handle(TimerFired{1});
   fixture.now -= 10 * kSecond;
-  fixture.Submit(task);  // its deadline has passed on the clock seen before
+  fixture.Submit(task);  // its deadline is before the latest time so far
   EXPECT_TRUE(fixture.AllActions<StartAttempt>().empty());
   EXPECT_TRUE(fixture.HasFinalAnswer());
 }
--- a/tests/scheduler/slow_start_test.cpp
+++ b/tests/scheduler/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// The group of schedulers and the budget of nodes that warm up.
+// Tests the group of schedulers, and the budget of nodes that are warming up.
 #include "scheduler/slow_start.hpp"
 
 #include <gtest/gtest.h>
@@ -19,23 +19,23 @@
   EXPECT_FALSE(group.IsSettled(settled_at - 1));
   EXPECT_TRUE(group.IsSettled(settled_at));
   group.Update({3, 1}, settled_at);
-  EXPECT_TRUE(group.IsSettled(settled_at)) << "told again";
+  EXPECT_TRUE(group.IsSettled(settled_at)) << "repeated event";
 }
 
-TEST(GroupMembershipState, IsUnsettledWithoutAValidIndexAndAfterItsTime) {
+TEST(GroupMembershipState, IsUnsettledWithoutAValidIndexAndAfterItsExpiry) {
   Settings settings = DefaultSettings();
   settings.group_size = 0;
   GroupMembership group(settings);
   EXPECT_EQ(group.size(), 1) << "so that loads may be multiplied by it";
   EXPECT_FALSE(group.IsSettled(0));
-  GroupMembership sure(DefaultSettings());
-  sure.Update({2, 0, 50}, 10);
-  EXPECT_TRUE(sure.IsSettled(49));
-  EXPECT_FALSE(sure.IsSettled(50));
-  sure.Update({2, -1}, 10);
-  EXPECT_FALSE(sure.IsSettled(10));
-  sure.Update({2, 0, ~Micros{0}, true}, 10);
-  EXPECT_TRUE(sure.IsSettled(10)) << "nobody joined or left";
+  GroupMembership certain(DefaultSettings());
+  certain.Update({2, 0, 50}, 10);
+  EXPECT_TRUE(certain.IsSettled(49));
+  EXPECT_FALSE(certain.IsSettled(50));
+  certain.Update({2, -1}, 10);
+  EXPECT_FALSE(certain.IsSettled(10));
+  certain.Update({2, 0, ~Micros{0}, true}, 10);
+  EXPECT_TRUE(certain.IsSettled(10)) << "nobody joined or left";
 }
 
 TEST(SlowStartBudget, CountsOwnAttemptsWithinTheWindow) {
@@ -60,7 +60,7 @@
 TEST(SlowStartBudget, GivesALargeGroupTurnsOfOneWindow) {
   Settings settings = DefaultSettings();
   settings.group_size = 8;
-  settings.slow_start_budget = 4.0;  // teams of two, so four turns
+  settings.slow_start_budget = 4.0;  // teams of two, therefore four turns
   NodeRecord node;
   node.entry.node = 1;
   node.entry.started_at = 100 * kSecond;
@@ -83,7 +83,7 @@
     return SlowStart(settings, group).Allows(node, now);
   };
   EXPECT_TRUE(allows(101 * kSecond));
-  EXPECT_FALSE(allows(99 * kSecond)) << "its start lies ahead";
+  EXPECT_FALSE(allows(99 * kSecond)) << "its start is in the future";
   settings.slow_start_budget = 1.0;
   EXPECT_FALSE(allows(101 * kSecond));
   settings.slow_start_budget = 8.0;
--- a/tests/support/scheduler_fixture.hpp
+++ b/tests/support/scheduler_fixture.hpp
@@ -1,4 +1,5 @@
-// A scheduler whose events come from the test: events in, actions out, without sockets or a clock.
+// A fixture that passes events from a test to a Scheduler and collects its actions, without sockets or a
+// clock.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_SCHEDULER_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_SCHEDULER_FIXTURE_HPP_
 
@@ -12,7 +13,8 @@
 
 namespace mountflow::testing {
 
-// Two schedulers, one kind of 40 cores and 100 memory, one idempotent class.
+// Returns settings for a group of two schedulers, one node kind of 40 cores and 100 units of memory, and one
+// idempotent class.
 inline Settings DefaultSettings() {
   Settings settings;
   settings.classes.resize(1);
@@ -40,13 +42,14 @@
   return settings;
 }
 
-// The same with no other scheduler, whose attempts would count.
+// Returns the same settings without a second scheduler, whose estimated attempts would count as load.
 inline Settings SingleSchedulerSettings() {
   Settings settings = DefaultSettings();
   settings.group_size = 1;
   return settings;
 }
 
+// Returns the entry of a ready node. Ten nodes share a rack, and a hundred share a zone.
 inline NodeEntry MakeNodeEntry(NodeId id, double free_cores = 40.0, double free_memory = 100.0) {
   NodeEntry entry;
   entry.node = id;
@@ -57,13 +60,15 @@
   return entry;
 }
 
+// A scheduler, the current time of the test, and the actions of the latest event.
 class SchedulerFixture {
  public:
   explicit SchedulerFixture(const Settings& settings, std::uint64_t seed = 7) : scheduler_(settings, seed) {}
 
   Micros now = 100 * kSecond;
-  std::vector<Action> actions;  // of the last event
+  std::vector<Action> actions;  // actions of the latest event
 
+  // Passes an event at time `now`, and stores its actions.
   void Handle(const Event& event) {
     actions.clear();
     scheduler_.Handle(now, event, &actions);
@@ -74,7 +79,8 @@
     update.nodes = std::move(nodes);
     Handle(update);
   }
-  // A task of one core and two of memory with eight seconds to its deadline.
+  // Returns a task with a new request id, a deadline in eight seconds and, by default, one core and two units
+  // of memory.
   Task MakeTask(unsigned task_class = 0, double cores = 1.0, std::uint64_t service = 0) {
     Task task;
     task.request = ++last_request_;
@@ -107,7 +113,7 @@
     ended.request_closed = request_closed;
     Handle(ended);
   }
-  // Fires the scheduler's tick until `until`; keeps the actions of all ticks.
+  // Fires the tick of the scheduler until time `until`, and stores the actions of all ticks.
   void TickUntil(Micros until) {
     std::vector<Action> all;
     for (; now < until; now += 100 * kMillisecond) {
@@ -117,7 +123,7 @@
     actions = all;
   }
 
-  // The actions of one type.
+  // Returns the stored actions of type T.
   template <typename T>
   std::vector<T> AllActions() const {
     std::vector<T> found;
@@ -126,7 +132,7 @@
     }
     return found;
   }
-  // The one action of that type; empty where there is none, or several.
+  // Returns the only stored action of type T, or nothing if there is none or more than one.
   template <typename T>
   std::optional<T> OnlyAction() const {
     const auto found = AllActions<T>();
