--- a/include/mountflow/scheduler.hpp
+++ b/include/mountflow/scheduler.hpp
@@ -36,7 +36,7 @@
 
 // ---- Settings ----
 
-// Whether it is safe to run the same task twice.
+// States whether it is safe to run a task twice.
 enum class Idempotency {
   kIdempotent,    // safe
   kWithKey,       // safe within the deduplication scope, whose nodes recognise the task's key
--- a/src/scheduler/outlier_ejection.cpp
+++ b/src/scheduler/outlier_ejection.cpp
@@ -10,8 +10,8 @@
 // Ejection time of a node. It doubles with each consecutive failure, up to the maximum.
 constexpr Micros kBaseEjectionTime = 1 * kSecond;
 constexpr Micros kMaxEjectionTime = 8 * kSecond;
-// The same for one class. It is longer, because such a fault lasts until an operator acts, and because
-// this scheduler sends too few tasks of the class to detect it again soon.
+// Ejection time of a node for one task class. It is longer, because such a fault lasts until an operator
+// acts, and because this scheduler sends too few tasks of the class to detect it again soon.
 constexpr Micros kBaseClassEjectionTime = 8 * kSecond;
 constexpr Micros kMaxClassEjectionTime = 32 * kSecond;
 // Maximum number of doublings, which prevents an overflow.
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -90,7 +90,7 @@
   const Task& task = submitted.task;
   if (requests_.Find(task.request) != nullptr) return;  // duplicate event
   if (task.task_class >= settings_.classes.size() || !IsAmount(task.cores) || !IsAmount(task.memory)) {
-    return Emit(RejectTask{task.request, 0});  // no node can take it, and nothing has run
+    return Emit(RejectTask{task.request, 0});  // invalid for every node, and nothing has run
   }
   StartOrConclude(requests_.Add(task, weights_.Of(task.task_class)));
   requests_.EraseIfDone(task.request);
--- a/src/scheduler/scheduler_impl.hpp
+++ b/src/scheduler/scheduler_impl.hpp
@@ -71,6 +71,7 @@
   // Records a failure of the node, and logs the first one since its latest response.
   void RecordFailure(NodeRecord* node, const char* reason);
 
+  // Returns the current state of the cluster, for one pick.
   ClusterState Cluster() const;
   void Emit(Action action) { actions_->push_back(std::move(action)); }
 
--- a/src/scheduler/slow_start.hpp
+++ b/src/scheduler/slow_start.hpp
@@ -53,6 +53,7 @@
   void set_scheduler_started_at(Micros at) { scheduler_started_at_ = at; }
 
  private:
+  // Reports whether this scheduler may send one more attempt now to a node that is warming up.
   bool AllowsWarmingUp(const NodeRecord& node, Micros now) const;
 
   const Settings& settings_;
--- a/src/scheduler/unobserved_load.hpp
+++ b/src/scheduler/unobserved_load.hpp
@@ -34,7 +34,7 @@
   double cores = 0.0;
   double memory = 0.0;
   double priority_weight = 0.0;
-  Micros sent_at = 0;
+  Micros sent_at = 0;  // when the latest attempt was sent
 };
 
 // Sums over the loads of several tasks.
@@ -63,23 +63,24 @@
 
   // Adds a task that was sent at task.sent_at.
   void Start(const TaskLoad& task) {
-    Count(task, 1, task.sent_at > observed_at_);
+    AddToSums(task, 1, task.sent_at > observed_at_);
     Insert({task, task.sent_at, 1});
   }
 
   // Records that a task ended at `now`.
   void End(const TaskLoad& task, Micros now) {
-    Count(task, -1, now > observed_at_);
+    AddToSums(task, -1, now > observed_at_);
     Insert({task, now, -1});
   }
 
   // Removes a task that never ran, as if it had not been sent.
   void Remove(const TaskLoad& task) {
-    Count(task, -1, task.sent_at > observed_at_);
+    AddToSums(task, -1, task.sent_at > observed_at_);
     Invalidate(task.sent_at, task.request);
   }
 
-  // Removes the changes of a task that ended at `ended_at`, because it no longer needs to be known.
+  // Removes all record of a task that ended at `ended_at`. The sums then no longer include its start or its
+  // end.
   void Forget(const TaskLoad& task, Micros ended_at) {
     if (task.sent_at <= observed_at_ && ended_at > observed_at_) Add(task, 1, &unobserved_);
     Invalidate(task.sent_at, task.request);
@@ -137,7 +138,8 @@
     }
   }
 
-  void Count(const TaskLoad& task, int sign, bool is_unobserved) {
+  // Adds (sign 1) or subtracts (sign -1) a task from the sums.
+  void AddToSums(const TaskLoad& task, int sign, bool is_unobserved) {
     task_count_ += sign;
     Add(task, sign, &present_);
     if (is_unobserved) Add(task, sign, &unobserved_);
@@ -183,10 +185,10 @@
   std::size_t invalidated_count_ = 0;  // changes with sign 0
 };
 
-// Returns the cores that starts and ends of own tasks took on a node between the states that two node lists
-// show. The lists arrived at `previous_at` and `now`, and each shows the state at `age` before its arrival.
-// The result covers the ages 0, 1 ... Ages - 1 times `step`. It is stored as differences: the cores for an
-// age are the sum of the elements up to and including that age.
+// Returns the net number of cores that starts and ends of own tasks took on a node between the states that
+// two node lists show. The lists arrived at `previous_at` and `now`, and each shows the state at `age` before
+// its arrival. The result covers the ages 0, 1 ... Ages - 1 times `step`. It is stored as differences: the
+// cores for an age are the sum of the elements up to and including that age.
 template <std::size_t Ages>
 std::array<FixedPoint, Ages + 1> OwnChangesByAge(const UnobservedLoad& load, Micros previous_at, Micros now,
                                                  Micros step) {
--- a/tests/scheduler/list_staleness_test.cpp
+++ b/tests/scheduler/list_staleness_test.cpp
@@ -12,7 +12,8 @@
 namespace {
 
 // Passes `lists` node lists, one per second, to `staleness`. Each shows the state at `age` before its
-// arrival. There is one node, on which only this scheduler starts tasks: one of 1 to 9 cores per second.
+// arrival. There is one node, on which only this scheduler starts tasks: each second one task of 1 to 9
+// cores.
 void LearnFrom(Micros age, int lists, ListStaleness* staleness) {
   NodeTable::Nodes nodes;
   NodeRecord& node = nodes[1];
--- a/tests/scheduler/scheduler_node_list_test.cpp
+++ b/tests/scheduler/scheduler_node_list_test.cpp
@@ -15,8 +15,7 @@
   fixture.UpdateNodes({}, NodeListKind::kUnavailable);
   EXPECT_TRUE(fixture.AllActions<WatchNodes>().empty());
   fixture.TickUntil(fixture.now + 5 * kSecond);
-  EXPECT_EQ(fixture.AllActions<WatchNodes>().size(),
-            1u);  // one retry, and no second one until its result arrives
+  EXPECT_EQ(fixture.AllActions<WatchNodes>().size(), 1u);  // no second retry before the first has a result
   fixture.Submit();
   EXPECT_TRUE(fixture.OnlyAction<StartAttempt>());  // the earlier list remains in use
 }
--- a/tests/scheduler/slow_start_test.cpp
+++ b/tests/scheduler/slow_start_test.cpp
@@ -35,7 +35,7 @@
   certain.Update({2, -1}, 10);
   EXPECT_FALSE(certain.IsSettled(10));
   certain.Update({2, 0, ~Micros{0}, true}, 10);
-  EXPECT_TRUE(certain.IsSettled(10)) << "nobody joined or left";
+  EXPECT_TRUE(certain.IsSettled(10)) << "no member joined or left";
 }
 
 TEST(SlowStartBudget, CountsOwnAttemptsWithinTheWindow) {
