--- a/src/platform/client_codec.hpp
+++ b/src/platform/client_codec.hpp
@@ -1,4 +1,4 @@
-// The protocol between the scheduler and its clients: one JSON object a line, in both directions.
+// The protocol between the scheduler and its clients: one JSON object per line, in both directions.
 //
 //   {"kind":"launch","uid":"9b1f03aa5c7e2d41","meta":{"class":"batch",...},"reason":16,"body":"..."}
 //
@@ -19,65 +19,69 @@
 
 namespace mountflow::platform {
 
-// Most members of one message's `meta`.
+// Maximum number of members in the `meta` of one message.
 inline constexpr std::size_t kMaxFields = 32;
 
-// The `kind` of a message. The scheduler ignores, and never sends, those without a direction here.
+// The `kind` of a message. The comments name the sender and what it means. The scheduler ignores kinds
+// without a comment and never sends them.
 enum class ClientMessageKind {
   kLaunch,  // client: start a task
   kProgress,
   kAnswer,  // scheduler: the task has started
-  kStop,    // client: cancel or terminate; scheduler: rejected, failed or ended
+  kStop,    // client: cancel the request or terminate the task; scheduler: rejected, failed or ended
   kStopped,
   kHealthCheck,       // client: is the scheduler ready?
-  kHealthCheckReply,  // scheduler: the answer, as a cause code
+  kHealthCheckReply,  // scheduler: the reply, as a cause code
   kNote,
-  kMigrate  // scheduler: the task is stopped, and the client is to request it again
+  kMigrate  // scheduler: the task is being terminated, and the client must request it again
 };
 
+// A message in either direction.
 struct ClientMessage {
   ClientMessageKind kind = ClientMessageKind::kLaunch;
   RequestUid uid = 0;
-  std::map<std::string, std::string> fields;  // numbers as their JSON text
+  std::map<std::string, std::string> fields;  // the members of `meta`; numbers as their JSON text
   std::optional<int> cause;                   // 0 to 255
   std::string description;                    // UTF-8; empty: absent
   bool operator==(const ClientMessage&) const = default;
 };
 
-// Reads messages from the bytes of one connection. How the bytes are split between calls of Feed() makes no
-// difference. Holds less than one message between reads, plus what was fed and not yet taken by Next(). Not
+// Parses messages from the byte stream of one connection. The stream may be split between calls of Feed() at
+// any byte. Buffers less than one message between reads, plus fed bytes that Next() has not consumed. Not
 // thread-safe.
 class ClientMessageReader {
  public:
   enum class State {
-    kMore,      // no whole message is left: feed more
+    kMore,      // no complete message is buffered: feed more bytes
     kMessage,   // a message was read
-    kUnusable,  // a message breaks the protocol, but its uid could be read; the next one may be fine
-    kBroken     // the stream cannot be read; final
+    kUnusable,  // a message violates the protocol, but its uid was read; the next one may be valid
+    kBroken     // the stream cannot be parsed; the reader stays in this state
   };
 
-  // Ignored once the stream is broken.
+  // Appends received bytes. They are ignored once the stream is broken.
   void Feed(std::string_view bytes);
 
-  // Reads the next message into `*message`. After kUnusable only its uid is meaningful. After kUnusable and
-  // kBroken error() says what was expected and what came.
+  // Parses the next message into `*message`. After kUnusable only its uid is meaningful. After kUnusable and
+  // kBroken error() describes what was expected and what was found.
   [[nodiscard]] State Next(ClientMessage* message);
 
-  // Whether bytes were fed that Next() has not consumed.
+  // Reports whether there are fed bytes that Next() has not consumed.
   bool within_message() const { return !buffer_.empty(); }
   const std::string& error() const { return error_; }
 
  private:
   State ReadLine(std::string_view line, ClientMessage* message);
+  // Puts the reader into the final state kBroken.
   State Break(std::string error);
 
   ReadBuffer buffer_;
-  std::size_t searched_ = 0;  // unread bytes that are known to hold no line feed
+  std::size_t searched_ = 0;  // length of the unread prefix that is known to have no line feed
   bool broken_ = false;
   std::string error_;
 };
 
-// One line with its line feed. Text that is not UTF-8 (see IsUtf8()) is written with replacement characters.
+// Encodes a message as one line, with its line feed. Bytes that are not valid UTF-8 (see IsUtf8()) become
+// replacement characters.
 std::string EncodeClientMessage(const ClientMessage& message);
 
 }  // namespace mountflow::platform
--- a/src/platform/dispatcher.hpp
+++ b/src/platform/dispatcher.hpp
@@ -1,13 +1,15 @@
-// Joins the scheduler to the protocols, and alone talks to it: each message of a client or a node becomes the
-// scheduler event that it means, and each action of the scheduler is carried out in the same turn, in
-// order. The dispatcher makes no scheduling decision: what it rejects itself cannot be read as a request or
-// exceeds a bound of the request table.
+// Connects the scheduler to the client and node protocols. No other code calls the scheduler. The dispatcher
+// translates each message of a client or node into scheduler events, and carries out the scheduler's actions
+// in the same turn and in order. It makes no scheduling decisions: the requests that it rejects itself are
+// those that cannot be parsed or that exceed a limit of the request table.
 //
-// Invariants: each attempt ends in exactly one outcome. Each request gets one final answer, unless its client
-// cancelled it. The client of a running task is notified of its end once, unless the client itself ended it.
+// Invariants:
+//   - Each attempt has exactly one outcome.
+//   - Each request gets one final answer, unless its client cancelled it.
+//   - The client of a running task is notified of its end once, unless the client itself ended it.
 //
-// Not thread-safe; the caller passes the time, which must not go back. Bounds: those of RequestTable and
-// NodeDirectory, and as many timers as the scheduler sets.
+// Not thread-safe; the caller passes the time, which must not go backwards. Memory is bounded by the limits
+// of RequestTable and NodeDirectory, and by the number of timers that the scheduler sets.
 #ifndef MOUNTFLOW_PLATFORM_DISPATCHER_HPP_
 #define MOUNTFLOW_PLATFORM_DISPATCHER_HPP_
 
@@ -30,54 +32,64 @@
 
 namespace mountflow::platform {
 
-// A task that is being terminated counts as ended after this when its node does not report the end.
+// A task that is being terminated counts as ended after this time if its node does not report its end.
 inline constexpr Micros kTerminationTimeout = 2'000'000;
 
-// What became of a launch message.
+// The result of handling a launch message. A running task that the request table has no room for gets no
+// answer, although its result is kSubmitted.
 enum class SubmitResult {
-  kSubmitted,       // a final answer was given or will be
-  kAlreadyRunning,  // it runs at the node that it names: no answer is due
-  kDuplicateUid     // its uid is in the table already, and nothing was done
+  kSubmitted,       // the final answer was queued, or will follow
+  kAlreadyRunning,  // the task already runs on the node that the message names: no answer follows
+  kDuplicateUid     // another request has this uid; the message had no effect
 };
 
+// Owns the scheduler, the request table, the node directory and the timers. Not thread-safe.
 class Dispatcher {
  public:
-  // `connections` must outlive the dispatcher.
+  // `connections` must outlive the dispatcher. `seed` seeds the scheduler.
   Dispatcher(const settings::WireSettings& wire, std::uint64_t seed, NodeConnections* connections,
              std::size_t max_description_bytes = kDefaultMaxDescriptionBytes);
 
-  // Call once, first. `cached_changes` are laid over each other: the scheduler starts with one cached list.
+  // Must be called once, before any message or node list is passed in. Merges `cached_changes` in order into
+  // one cached node list, with which the scheduler starts.
   void Start(Micros now, const std::vector<NodeListEvent>& cached_changes);
+  // Applies a snapshot or delta of the node list.
   void ApplyNodeList(Micros now, const NodeListEvent& change);
-  // A launch message, from the connection that it came on.
+  // Handles a launch message that was received on `conn` from `host`.
   [[nodiscard]] SubmitResult Submit(Micros now, ConnId conn, ClientHost host, const ClientMessage& message);
-  // The client no longer wants the request, or ends its running task. An unknown uid is ignored.
+  // Cancels a request, or terminates its running task, on behalf of the client. An unknown uid is ignored.
   void Cancel(Micros now, RequestUid uid);
-  // Nobody waits any more for the final answers of requests that came on this connection.
+  // Cancels the unanswered requests of a closed connection, because no client waits for their answers.
   void OnClientDisconnected(Micros now, ConnId conn);
-  // Takes the events of the node connections; call it after each call into those.
+  // Handles the events of the node connections. Must be called after each call of a NodeConnections method.
   void HandleNodeEvents(Micros now);
+  // Handles the timers of the scheduler and of requests that are due.
   void Tick(Micros now);
-  [[nodiscard]] Micros NextDue() const;  // of Tick; kNever: nothing is due
+  // Returns the time at which Tick() must be called next; kNever: no timer is set.
+  [[nodiscard]] Micros NextDue() const;
   // Fails every request that has no final answer yet.
   void FailUnanswered(Micros now);
 
-  // Answers whether the client of a connection has closed it, also where nothing was read of that yet.
+  // Sets the function that reports whether the client of a connection has closed it. It must also report a
+  // close that was not read from the socket yet.
   void SetClientHasLeft(std::function<bool(ConnId)> client_has_left) {
     client_has_left_ = std::move(client_has_left);
   }
-  // Gets each event and action as one line, as it happens.
+  // Sets the function that receives the time and text of each event and action, as one line each.
   void SetTrace(std::function<void(Micros, const std::string&)> trace) { trace_ = std::move(trace); }
 
+  // Returns and clears the queued messages for clients.
   [[nodiscard]] std::vector<ClientNotification> TakeNotifications() { return notifications_.Take(); }
+  // Returns and clears the log records. Records beyond a limit between two calls are dropped.
   [[nodiscard]] std::vector<logging::LogRecord> TakeLogRecords();
 
   [[nodiscard]] const RequestTable& requests() const { return requests_; }
   [[nodiscard]] std::size_t scheduler_timers() const { return scheduler_timers_.size(); }
-  // When the latest launch message came that wants an answer.
+  // Returns the time of the latest launch message for a task that was not already running.
   [[nodiscard]] Micros last_submitted_at() const { return last_submitted_at_; }
 
  private:
+  // How an attempt, or the running task that it started, ended.
   struct AttemptOutcome {
     AttemptResult result = AttemptResult::kCompleted;
     bool request_closed = false;
@@ -104,8 +116,9 @@
   void OnProgress(const Request& request, const NodeMessage& message);
   void OnTimer(Request& request);
 
-  // dispatcher_actions.cpp: feeds the pending events to the scheduler and carries out its actions, unless
-  // that is going on already.
+  // Passes the pending events to the scheduler and carries out its actions. Returns at once if called while
+  // it already runs, because the outer call handles the new events. Defined in dispatcher_actions.cpp, like
+  // TraceTurn() and Execute().
   void RunScheduler();
   void TraceTurn(const Event& event, const std::vector<Action>& actions);
   void Execute(const StartAttempt& action);
@@ -115,7 +128,8 @@
   void Execute(const MigrateTask& action);
   void Execute(const mountflow::SetTimer& action);
   void Execute(const LogLine& action);
-  // Nodes answer health checks on their connections alone, and the node list is watched unasked.
+  // These actions need no work: NodeConnections sends health checks itself, and the daemon always watches the
+  // node list.
   void Execute(const StartHealthCheck&) {}
   void Execute(const WatchNodes&) {}
   void Execute(const ListNodes&) {}
--- a/src/platform/message_mapping.hpp
+++ b/src/platform/message_mapping.hpp
@@ -1,5 +1,6 @@
-// Translates the fields of protocol messages into the types of the decision library. Free functions without
-// state or I/O. They are strict: a field that does not have the protocol's form is an error or has no value.
+// Converts the fields of protocol messages to the types of the scheduler library. These are free functions
+// without state or I/O. Parsing is strict: a field that does not have the form that the protocol requires is
+// an error or has no value.
 #ifndef MOUNTFLOW_PLATFORM_MESSAGE_MAPPING_HPP_
 #define MOUNTFLOW_PLATFORM_MESSAGE_MAPPING_HPP_
 
@@ -16,57 +17,59 @@
 
 namespace mountflow::platform {
 
-// The longest time that a client may wait for its final answer.
+// The longest time that a client may wait for its final answer, in microseconds.
 inline constexpr Micros kMaxClientWait = 600'000'000;
 
-// A client's launch request.
+// A parsed launch request of a client.
 struct LaunchRequest {
-  Task task;               // without its request id
-  std::string running_at;  // name of the node that runs the task already; empty: it is yet to be started
+  Task task;               // its request id is not set
+  std::string running_at;  // name of the node on which the task already runs; empty: it must be started
 };
 
-// Why a launch request cannot be used.
+// Describes why a launch request cannot be used.
 struct LaunchRequestError {
   enum class Code {
     kUnknownClass,
     kUnknownTenant,
     kBadKey,
     kBadDeduplicationKey,
-    kBadExtras,    // a part without the form name:value, or cores or memory absent or out of range
+    kBadExtras,    // a part is not of the form name:value, or cores or memory is absent or out of range
     kBadTimeLeft,  // absent, not a number of milliseconds, or over kMaxClientWait
   };
   Code code = Code::kUnknownClass;
-  std::string got;         // the field's text
-  std::string running_at;  // as in LaunchRequest, as far as it was read before the error
+  std::string got;         // the text of the invalid field
+  std::string running_at;  // as in LaunchRequest, if it was parsed before the error
 };
 
-// "key: expected 16 hex digits, got 'abc'"
+// Returns the error as text: "key: expected 16 hex digits, got 'abc'".
 std::string Describe(const LaunchRequestError& error);
 
-// The deadline is `now` plus the time that the client has left. A task that runs already needs no time left:
-// its client's time may be long over, and its deadline is then `now`.
+// Parses a launch request. The deadline of the task is `now` plus the client's remaining time. A task that
+// already runs needs no remaining time, because its client's deadline may have passed long ago. Without a
+// valid remaining time its deadline is `now`.
 tl::expected<LaunchRequest, LaunchRequestError> ReadLaunchRequest(const ClientMessage& message,
                                                                   const settings::WireSettings& wire,
                                                                   Micros now);
 
-// The load report of a node's message. Parts of an unknown name or form are left out.
+// Parses the load report in a node's message. Parts with an unknown name or form are ignored.
 LoadReport ReadReport(const NodeMessage& message);
 
-// Reads a number of a node's report or note: decimal or scientific, with a sign or not, finite. Where it
-// returns false, `*value` holds what could be read of the text's beginning, or is left as it is.
+// Parses a number from a load report or progress message of a node: finite, in decimal or scientific
+// notation, with an optional minus sign. If it returns false, `*value` holds the value that the text begins
+// with, which may be infinite or NaN, or is unchanged.
 bool ReadReportedNumber(std::string_view text, double* value);
 
-// The index of `name`; empty: it is not among the names.
+// Returns the index of `name` in `names`, or no value if it is not among them.
 std::optional<unsigned> IndexOf(const std::vector<std::string>& names, std::string_view name);
 
-// The reason as a node words it; kUnspecified where it is unknown.
+// Returns the rejection reason for a node's text, or kUnspecified if the text is unknown.
 RejectionReason ReadRejectionReason(std::string_view text);
 
-// The kind of a note as a node words it; empty where it is unknown.
+// Returns the kind of progress for a node's text, or no value if the text is unknown.
 std::optional<ProgressKind> ReadProgressKind(std::string_view text);
 
-// What a cause code means for an attempt that had started its task, or had not. A code that says nothing of
-// whether the task ran counts as lost.
+// Returns the result that a cause code means for an attempt. `started` tells whether the attempt had started
+// its task. Codes that do not show whether the task ran map to kLost.
 AttemptResult ResultOfCause(int cause, bool started);
 
 }  // namespace mountflow::platform
--- a/src/platform/request_table.hpp
+++ b/src/platform/request_table.hpp
@@ -1,6 +1,6 @@
-// The requests of clients and the running tasks that came of them: typed records, found by id and by the
-// client's uid, counted by client connection. The table decides nothing and sends nothing; the dispatcher
-// alone changes it.
+// The table of client requests and of the running tasks that they started. Records are found by request id
+// and by the client's uid, and are counted per client connection. The table makes no decisions and sends
+// nothing. Only the dispatcher modifies it.
 //
 // Not thread-safe. A reference to a Request is valid until that request is removed.
 #ifndef MOUNTFLOW_PLATFORM_REQUEST_TABLE_HPP_
@@ -18,25 +18,26 @@
 
 namespace mountflow::platform {
 
-// Requests without a final answer, of all clients: some seconds of the highest rate that one scheduler is
-// given.
+// Maximum number of requests without a final answer, over all clients. It holds a few seconds of requests at
+// the highest rate that one scheduler receives.
 inline constexpr std::size_t kMaxUnanswered = 2048;
-// The same of one connection, so that one client cannot take the part of all the others.
+// Maximum number of requests without a final answer per connection, so that one client cannot use up the
+// limit for all clients.
 inline constexpr std::size_t kMaxUnansweredPerConnection = 512;
-// Records in all. Running tasks live as long as they like, so they count here and not above.
+// Maximum number of records. Running tasks count only here, because their lifetime has no bound.
 inline constexpr std::size_t kMaxRequests = 16384;
-// Descriptions of requests without a final answer, in bytes, where the caller names no other bound:
-// kMaxUnanswered descriptions of the largest size would fill the smallest memory limit of the program.
+// Default limit on the total size of the descriptions of requests without a final answer, in bytes.
+// kMaxUnanswered descriptions of the maximum size would fill the program's smallest memory limit.
 inline constexpr std::size_t kDefaultMaxDescriptionBytes = 2 << 20;
 
 enum class RequestState {
   kPending,          // no attempt is in flight
-  kAttemptInFlight,  // an attempt was begun and has no outcome yet
-  kRunning,          // the task runs at `node`
-  kTerminating       // the task is being terminated, by its client or for a migration: no notification is due
+  kAttemptInFlight,  // an attempt was started and has no outcome yet
+  kRunning,          // the task runs on `node`
+  kTerminating       // the client or a migration is ending the task, so its end causes no notification
 };
 
-// What a node is sent to start the task.
+// The part of a client's request that is sent to a node to start the task.
 struct LaunchPayload {
   std::string task_class;
   std::string task_name;
@@ -44,55 +45,66 @@
   std::string description;
 };
 
+// A request, and the running task that it started.
 struct Request {
   RequestId id = 0;
   RequestUid uid = 0;
-  // Where the final answer goes, and notifications about the running task at first.
+  // The connection that receives the final answer. It is also the first choice for notifications about the
+  // running task.
   ConnId conn = 0;
   ClientHost host = 0;
   RequestState state = RequestState::kPending;
-  bool answered = false;  // the final answer is given, or nobody waits for it any more
-  Micros deadline = 0;    // of the final answer
-  // Of the latest attempt.
+  bool answered = false;  // the final answer was given, or the client no longer waits for it
+  Micros deadline = 0;    // for the final answer
+  // The number, node and start time of the latest attempt.
   unsigned attempt = 0;
   NodeId node = 0;
   Micros attempt_started_at = 0;
-  Micros timer_at = kNever;  // when the attempt times out, or a terminated task counts as ended
-  LaunchPayload payload;     // empty once the task runs
+  // When the attempt times out, or when a task that is being terminated counts as ended. kNever: no timer.
+  Micros timer_at = kNever;
+  LaunchPayload payload;  // empty once the task runs
 
+  // Reports whether an attempt is in flight or has started the task.
   [[nodiscard]] bool HasAttempt() const { return state != RequestState::kPending; }
   [[nodiscard]] bool IsRunning() const {
     return state == RequestState::kRunning || state == RequestState::kTerminating;
   }
 };
 
+// Stores the records and enforces the limits above. Not thread-safe.
 class RequestTable {
  public:
+  // `max_description_bytes` limits the total size of the descriptions of requests without a final answer.
   explicit RequestTable(std::size_t max_description_bytes) : max_description_bytes_(max_description_bytes) {}
 
-  // Whether a request of this connection may enter under the bounds above.
+  // Reports whether one more request from this connection, with a description of this size, stays within the
+  // limits.
   [[nodiscard]] bool HasRoomForRequest(ConnId conn, std::size_t description_bytes) const;
+  // Reports whether a record for a recovered running task can be added.
   [[nodiscard]] bool HasRoomForRunningTask() const { return requests_.size() < kMaxRequests; }
 
-  // A new record under the next id. `uid` must not be in the table.
+  // Adds a record under the next id. `uid` must not be in the table.
   Request& Add(RequestUid uid, ConnId conn, ClientHost host);
-  // Null: there is none.
+  // Find() and FindByUid() return null when there is no such request.
   [[nodiscard]] Request* Find(RequestId id);
   [[nodiscard]] Request* FindByUid(RequestUid uid);
   [[nodiscard]] bool Contains(RequestUid uid) const { return by_uid_.count(uid) > 0; }
+  // Removes a record. An unknown id is ignored.
   void Remove(RequestId id);
 
-  // A request whose client waits for its final answer; `payload` counts against the bound on descriptions.
+  // Counts a request of the table as unanswered and stores its payload. The payload's description counts
+  // against the limit on description bytes.
   void AddUnanswered(const Request& request, LaunchPayload payload);
-  // No answer is due any more. Again changes nothing.
+  // Records that no final answer is due any more. Has no effect on a request that is already marked.
   void MarkAnswered(Request& request);
-  // The task runs, or no longer does: it counts for the connection of its client.
+  // Add a running task to, and remove it from, the count of its client's connection.
   void CountRunning(const Request& request) { ++running_by_conn_[request.conn]; }
   void UncountRunning(const Request& request);
-  // Gives back what only a further attempt would need.
+  // Frees the payload, which only a further attempt would need.
   void ReleasePayload(Request& request);
 
-  // In the order of their ids for each connection.
+  // Return the ids of unanswered requests, of one connection or of all. The ids of each connection are in
+  // ascending order.
   [[nodiscard]] std::set<RequestId> UnansweredOn(ConnId conn) const;
   [[nodiscard]] std::vector<RequestId> Unanswered() const;
 
--- a/src/platform/timer_queue.hpp
+++ b/src/platform/timer_queue.hpp
@@ -1,8 +1,8 @@
-// Times at which something named by an id is due, earliest first; equal times in the order of the ids. It
-// holds no clock: the caller passes the time.
+// A queue of timers, each a time and an id. The earliest timer comes first, and timers with equal times are
+// ordered by id. The queue reads no clock: the caller passes the time.
 //
-// Not shared with job_manager/: there equal times keep the order of adding, here that of the ids, whatever
-// was added first; the order of the actions of one tick, and with it every recorded run, depends on it.
+// This queue is separate from the one in job_manager/, which keeps equal times in the order of adding. The
+// order of the actions within one tick depends on this order, and so does every recorded run.
 #ifndef MOUNTFLOW_PLATFORM_TIMER_QUEUE_HPP_
 #define MOUNTFLOW_PLATFORM_TIMER_QUEUE_HPP_
 
@@ -15,16 +15,18 @@
 
 namespace mountflow::platform {
 
+// Not thread-safe. `Id` must be ordered by operator<.
 template <typename Id>
 class TimerQueue {
  public:
-  // Adding what is there already changes nothing.
+  // Adds a timer. Has no effect if the same time and id are already in the queue.
   void Add(Micros at, Id id) { timers_.insert({at, id}); }
+  // Removes a timer. Has no effect if the time and id are not in the queue.
   void Remove(Micros at, Id id) { timers_.erase({at, id}); }
 
-  // kNever: there is none.
+  // Returns the time of the earliest timer; kNever: the queue is empty.
   [[nodiscard]] Micros NextDue() const { return timers_.empty() ? kNever : timers_.begin()->first; }
-  // Takes the earliest timer out where it is due by `now`.
+  // Removes the earliest timer and returns its id, if it is due by `now`. Otherwise returns no value.
   [[nodiscard]] std::optional<Id> TakeDue(Micros now) {
     if (timers_.empty() || timers_.begin()->first > now) return std::nullopt;
     const Id id = timers_.begin()->second;
