--- a/src/platform/client_codec.cpp
+++ b/src/platform/client_codec.cpp
@@ -34,7 +34,7 @@
   return it == kKinds.end() ? "" : it->name;
 }
 
-// A member of a message was read, or why it breaks the protocol.
+// Success, or the description of how a member of a message violates the protocol.
 using MemberResult = tl::expected<void, std::string>;
 
 tl::unexpected<std::string> Expected(const std::string& expected, const std::string& got) {
@@ -125,7 +125,7 @@
 }
 
 ClientMessageReader::State ClientMessageReader::ReadLine(std::string_view line, ClientMessage* message) {
-  // Without exceptions: what is not JSON, or not UTF-8, is a discarded value.
+  // Does not throw: input that is not JSON or not UTF-8 gives a discarded value, which is no object.
   const json object = json::parse(line.begin(), line.end(), nullptr, false);
   if (!object.is_object()) return Break("line: expected a JSON object, got " + Quote(line));
   const auto uid_member = object.find("uid");
@@ -151,7 +151,7 @@
   for (const auto& [name, value] : message.fields) line["meta"][name] = value;
   if (message.cause) line["reason"] = *message.cause;
   if (!message.description.empty()) line["body"] = message.description;
-  // Callers check text of peers with IsUtf8() before; here the writer must not throw.
+  // Callers check the text of peers with IsUtf8(). The replace mode ensures that dump() never throws.
   return line.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
--- a/src/platform/client_connections.cpp
+++ b/src/platform/client_connections.cpp
@@ -6,19 +6,20 @@
 namespace mountflow::platform {
 namespace {
 
-// The four numbers of IP:PORT as one; addresses of another form count as one host.
+// Returns the IPv4 address of IP:PORT as one number. An address of another form gives a number that several
+// hosts may share.
 ClientHost HostOf(const std::string& address) {
   constexpr ClientHost kLowByte = 255;
   ClientHost host = 0;
-  ClientHost part = 0;
-  for (const char symbol : address) {
-    if (symbol >= '0' && symbol <= '9') {
-      part = part * 10 + static_cast<ClientHost>(symbol - '0');
+  ClientHost octet = 0;
+  for (const char character : address) {
+    if (character >= '0' && character <= '9') {
+      octet = octet * 10 + static_cast<ClientHost>(character - '0');
       continue;
     }
-    host = host << 8 | (part & kLowByte);
-    part = 0;
-    if (symbol == ':') break;
+    host = host << 8 | (octet & kLowByte);
+    octet = 0;
+    if (character == ':') break;
   }
   return host;
 }
@@ -39,8 +40,9 @@
   connection.accepted_at = now;
 }
 
-// Some clients ask once and keep their connection for good, and new ones must still come in. A connection
-// whose tasks still run is evicted last: notifications about them might find no other.
+// Some clients send one request and keep their connection open forever, and new clients must still be able to
+// connect. A connection with running tasks is evicted last, because it may be the only one for notifications
+// about them.
 bool ClientConnections::EvictIfFull(Micros now) {
   if (connections_.size() < max_connections_) return true;
   ConnId evicted = 0;
@@ -53,9 +55,8 @@
   }
   if (evicted == 0) return false;
   CloseConnection(now, evicted,
-                  smallest.last_message_at == 0
-                      ? "evicted: it sent nothing, and the connection limit is reached"
-                      : "evicted: least recently used, and the connection limit is reached");
+                  smallest.last_message_at == 0 ? "evicted at the connection limit: it has sent no message"
+                                                : "evicted at the connection limit: least recently used");
   return true;
 }
 
@@ -83,7 +84,7 @@
   if (HasConnection(conn)) backlog_.insert(conn);
 }
 
-// Returns false also when no whole message is left.
+// Also returns false when no complete message is left.
 bool ClientConnections::ReadMessage(Micros now, ConnId conn) {
   const auto found = connections_.find(conn);
   if (found == connections_.end()) return false;
@@ -110,9 +111,10 @@
 }
 
 bool ClientConnections::HandleUnusable(Micros now, ConnId conn, RequestUid uid) {
-  // The request that has this uid keeps its own final answer; a second one under the uid would break that.
+  // The request with this uid gets its own final answer. A second answer with the same uid could be mistaken
+  // for it.
   if (dispatcher_->requests().Contains(uid)) {
-    CloseConnection(now, conn, "a message that cannot be used, under a uid in use");
+    CloseConnection(now, conn, "invalid message with the uid of another request");
     return false;
   }
   Send(conn, MakeNegativeAnswer(uid, kCauseInvalidRequest));
@@ -136,15 +138,15 @@
       return true;
     }
     default:
-      return true;  // the other kinds say nothing that the scheduler needs
+      return true;  // the scheduler does not use the other kinds
   }
 }
 
 bool ClientConnections::HandleLaunch(Micros now, ConnId conn, const ClientMessage& message) {
   const SubmitResult result = dispatcher_->Submit(now, conn, connections_.at(conn).host, message);
   if (result == SubmitResult::kDuplicateUid) {
-    // An answer to the second request would be taken for one to the first.
-    CloseConnection(now, conn, "a second request under a uid in use");
+    // The client could mistake an answer to the second request for an answer to the first.
+    CloseConnection(now, conn, "second request with the uid of another request");
     return false;
   }
   if (result == SubmitResult::kAlreadyRunning) OnTaskStarted(conn);
@@ -181,9 +183,10 @@
 
 // ---- Notifications ----
 
-// A final answer goes on the connection of its request alone. A notification goes there too, else on the
-// newest connection from the same host on which a task was started. What is written to a connection that its
-// client has just closed is lost, and the client would wait for ever: such a connection does not count.
+// A final answer is sent only on the connection of its request. A notification about a running task is sent
+// there as well, or else on the newest connection from the same host on which a task was started. For
+// notifications, a connection that its client has closed is skipped: bytes written to it would be lost, and
+// the client would wait for the notification forever.
 ConnId ClientConnections::ConnectionFor(const ClientNotification& notification) const {
   const bool any_connection = notification.any_connection;
   if (HasConnection(notification.conn) && (!any_connection || !transport_->HungUp(notification.conn))) {
@@ -214,7 +217,7 @@
   } else if (notification.any_connection && undelivered_.size() < kMaxUndelivered) {
     undelivered_.push_back({now + kUndeliveredTimeout, notification.host, std::move(notification.message)});
   } else if (notification.any_connection) {
-    LogDropped("too many wait for a connection of their client");
+    LogDropped("too many notifications wait for a connection from their client");
   }
 }
 
@@ -223,16 +226,16 @@
 }
 
 void ClientConnections::TraceDelivery(Micros now, const ClientNotification& notification, ConnId to) const {
-  const char* way = " goes to another connection of its host";
+  const char* route = " goes to another connection of its host";
   if (to == 0) {
-    way = " waits for a connection of its host";
+    route = " waits for a connection of its host";
   } else if (to == notification.conn) {
-    way = " goes to its connection";
+    route = " goes to its connection";
   }
-  trace_(now, "notification about " + WriteHex(notification.message.uid) + way);
+  trace_(now, "notification about " + WriteHex(notification.message.uid) + route);
 }
 
-// Notifications that waited for a connection of this host go on this one.
+// Sends the notifications that wait for a connection from the same host on this connection.
 void ClientConnections::OnTaskStarted(ConnId conn) {
   Connection& connection = connections_.at(conn);
   connection.started_task = true;
@@ -269,11 +272,11 @@
     const auto found = connections_.find(conn);
     if (found == connections_.end()) continue;
     if (found->second.last_message_at == 0) {
-      CloseConnection(now, conn, "no message in time");
+      CloseConnection(now, conn, "timed out waiting for the first message");
     } else if (dispatcher_->requests().unanswered_on(conn) == 0) {
-      CloseConnection(now, conn, "a message did not end in time");
+      CloseConnection(now, conn, "timed out waiting for the rest of a message");
     } else {
-      found->second.partial_since = now;  // final answers are due on it: it gets more time
+      found->second.partial_since = now;  // final answers are due on it, so the timeout starts again
     }
   }
   for (; !undelivered_.empty() && undelivered_.front().expires_at <= now; undelivered_.pop_front()) {
--- a/src/platform/dispatcher.cpp
+++ b/src/platform/dispatcher.cpp
@@ -11,10 +11,11 @@
 namespace mountflow::platform {
 namespace {
 
-// Of one turn: a flood of lines must not take the memory of requests.
+// Maximum number of log records per turn, so that a flood of records does not use up memory that requests
+// need.
 constexpr std::size_t kMaxLogRecords = 100;
 
-// Empty: absent.
+// Returns the value of a field, or an empty string if the message does not have it.
 std::string FieldOf(const ClientMessage& message, const std::string& name) {
   const auto field = message.fields.find(name);
   return field == message.fields.end() ? std::string() : field->second;
@@ -107,7 +108,8 @@
   return SubmitNew(request->task, message, conn, host);
 }
 
-// Its client speaks of a running task on another connection: notifications go there from now on.
+// Makes the connection on which a client has named its running task again the first choice for notifications
+// about the task.
 void Dispatcher::MoveToConnection(Request& request, ConnId conn, ClientHost host) {
   if (!request.IsRunning()) return;
   requests_.UncountRunning(request);
@@ -118,7 +120,7 @@
 
 SubmitResult Dispatcher::Recover(Task task, const std::string& node_name, RequestUid uid, ConnId conn,
                                  ClientHost host) {
-  if (!requests_.HasRoomForRunningTask()) return SubmitResult::kSubmitted;
+  if (!requests_.HasCapacityForRunningTask()) return SubmitResult::kSubmitted;
   Request& request = requests_.Add(uid, conn, host);
   request.state = RequestState::kRunning;
   request.answered = true;
@@ -136,7 +138,7 @@
 }
 
 SubmitResult Dispatcher::SubmitNew(Task task, const ClientMessage& message, ConnId conn, ClientHost host) {
-  if (!requests_.HasRoomForRequest(conn, message.description.size())) {
+  if (!requests_.HasCapacityForRequest(conn, message.description.size())) {
     notifications_.AddFinalAnswer(conn, MakeNegativeAnswer(message.uid, kCauseRejected));
     return SubmitResult::kSubmitted;
   }
@@ -195,8 +197,8 @@
 
 // ---- Records ----
 
-// The one place that tells the scheduler how an attempt or a running task ended. `request` may be gone
-// afterwards.
+// Reports the end of an attempt or running task to the scheduler. No other function does so. `request` may be
+// removed by this call.
 void Dispatcher::EndAttempt(Request& request, const AttemptOutcome& outcome) {
   if (!request.HasAttempt()) return;
   const bool was_running = request.IsRunning();
@@ -225,7 +227,7 @@
   requests_.Remove(request.id);
 }
 
-// kNever: none.
+// Replaces the timer of a request. kNever removes it.
 void Dispatcher::SetTimer(Request& request, Micros at) {
   if (request.timer_at != kNever) request_timers_.Remove(request.timer_at, request.id);
   request.timer_at = at;
@@ -267,8 +269,8 @@
     if (trace_) trace_(now_, "message about an unknown task " + WriteHex(event.uid));
     return;
   }
-  // Attempts of one request go to several nodes under one uid: only the node of the attempt that is in flight
-  // counts.
+  // All attempts of a request have the same uid and may be sent to different nodes. Only messages from the
+  // node of the latest attempt count.
   if (!request->HasAttempt() || request->node != event.node) return;
   switch (event.kind) {
     case Kind::kStarted:
@@ -317,7 +319,7 @@
 void Dispatcher::OnEnded(Request& request, const NodeMessage& message) {
   const int cause = message.cause.value_or(kCauseFailed);
   const AttemptResult result = ResultOfCause(cause, request.IsRunning());
-  // A client that ended its task, or was asked to migrate it, gets no further notification.
+  // A client that ended its task, or was notified to migrate it, gets no further notification.
   if (request.state == RequestState::kRunning && result != AttemptResult::kCancelled) {
     NotifyClient(request, ClientMessageKind::kStop, cause);
   }
@@ -360,9 +362,9 @@
 }
 
 void Dispatcher::OnTimer(Request& request) {
-  // A terminated task of whose end nothing was heard.
+  // The node did not report the end of a terminated task in time.
   if (request.IsRunning()) return EndAttempt(request, {AttemptResult::kCancelled, true});
-  // The node must know that the attempt is cancelled before the next one begins elsewhere.
+  // The cancellation must be sent before the scheduler can start the next attempt on another node.
   connections_->CancelAttempt(now_, request.node, request.uid);
   EndAttempt(request, {AttemptResult::kTimedOut});
 }
--- a/src/platform/dispatcher.hpp
+++ b/src/platform/dispatcher.hpp
@@ -35,8 +35,8 @@
 // A task that is being terminated counts as ended after this time if its node does not report its end.
 inline constexpr Micros kTerminationTimeout = 2'000'000;
 
-// The result of handling a launch message. A running task that the request table has no room for gets no
-// answer, although its result is kSubmitted.
+// The result of handling a launch message. A running task for which the request table has no
+// capacity gets no answer, although its result is kSubmitted.
 enum class SubmitResult {
   kSubmitted,       // the final answer was queued, or will follow
   kAlreadyRunning,  // the task already runs on the node that the message names: no answer follows
--- a/src/platform/dispatcher_actions.cpp
+++ b/src/platform/dispatcher_actions.cpp
@@ -1,4 +1,4 @@
-// The actions of the scheduler, carried out on the node connections and answered to clients.
+// The part of the dispatcher that passes events to the scheduler and carries out its actions.
 #include <algorithm>
 #include <utility>
 #include <variant>
@@ -12,7 +12,8 @@
 
 constexpr Micros kMicrosPerMilli = 1000;
 
-// `wait`: how long the scheduler will wait for the node's answer.
+// Returns the message that starts an attempt. `wait` is how long the scheduler waits for the node's answer,
+// in microseconds.
 NodeMessage MakeLaunchMessage(const Request& request, Micros wait) {
   const LaunchPayload& payload = request.payload;
   NodeMessage message;
@@ -29,7 +30,7 @@
 }  // namespace
 
 void Dispatcher::RunScheduler() {
-  if (scheduler_runs_) return;  // an event that an action caused waits for its turn
+  if (scheduler_runs_) return;  // the outer call handles events that an action caused
   scheduler_runs_ = true;
   std::vector<Action> actions;
   while (!pending_events_.empty()) {
@@ -65,8 +66,8 @@
   request->attempt = action.attempt;
   request->node = action.node;
   request->attempt_started_at = now_;
-  // The client may have left while the request waited to be read, or between two attempts, and nothing was
-  // read of that yet: nobody waits for an attempt that begins now.
+  // The client may have closed its connection before the request was read, or between two attempts, without
+  // the close being read yet. No client would wait for the answer to this attempt, so it is not started.
   if (client_has_left_ && client_has_left_(request->conn)) {
     pending_events_.push_back(TaskCancelled{action.request});
     requests_.MarkAnswered(*request);
@@ -77,7 +78,7 @@
   SetTimer(*request, deadline);
   const Micros wait = deadline > now_ ? deadline - now_ : 0;
   std::string bytes = EncodeNodeMessage(MakeLaunchMessage(*request, wait));
-  // Too long for the protocol: no node can get it, so it never ran.
+  // The message exceeds the maximum size of the protocol, so it cannot be sent and the task never ran.
   if (bytes.empty()) return EndAttempt(*request, {AttemptResult::kNotSent});
   connections_->Launch(now_, action.node, request->uid, std::move(bytes));
 }
--- a/src/platform/graceful_shutdown.cpp
+++ b/src/platform/graceful_shutdown.cpp
@@ -45,7 +45,7 @@
 }
 
 void GracefulShutdown::FinishTurn(Micros now, bool unsent) {
-  // The end of the process is the end of its sockets: what clients have not taken would never reach them.
+  // The kernel closes the sockets when the process exits, and bytes that were not sent by then are lost.
   const bool flushing = unsent && now < StopBy() + kFlushTime;
   Apply(flushing ? Input::kFlushing : Input::kIdle);
 }
--- a/src/platform/message_mapping.cpp
+++ b/src/platform/message_mapping.cpp
@@ -11,13 +11,13 @@
 
 using Code = LaunchRequestError::Code;
 
-constexpr double kMaxTaskSize = 1e6;  // cores, or units of memory
+constexpr double kMaxTaskSize = 1e6;  // in cores, or in units of memory
 constexpr std::size_t kMaxNumberBytes = 24;
 constexpr std::size_t kMaxReportedNumberBytes = 40;
 constexpr std::size_t kMaxNodeNameBytes = 256;
 constexpr double kMicrosPerMilli = 1000.0;
 
-// Cause codes of the protocols.
+// Cause codes of the client and node protocols.
 constexpr int kCauseCompleted = 16;
 constexpr int kCauseCancelled = 31;
 constexpr int kCauseRejected = 34;
@@ -42,14 +42,14 @@
   return AttemptResult::kLost;
 }
 
-// Reads a finite number that fills `text`.
+// Parses a finite number. All of `text` must belong to it.
 bool ReadWholeText(std::string_view text, double* value) {
   const char* const end = text.data() + text.size();
   const auto result = std::from_chars(text.data(), end, *value);
   return result.ec == std::errc() && result.ptr == end && std::isfinite(*value);
 }
 
-// Reads decimal digits with or without a fraction: no sign, no exponent.
+// Parses a decimal number with an optional fraction, without sign or exponent.
 std::optional<double> ReadNumber(std::string_view text) {
   const auto allowed = [](char character) {
     return (character >= '0' && character <= '9') || character == '.';
@@ -61,8 +61,8 @@
   return value;
 }
 
-// Calls visit(name, value) for each part of "name:value;...". Stops and returns false where a part does not
-// have this form or visit() returns false.
+// Calls visit(name, value) for each part of "name:value;...". Stops and returns false if a part does not have
+// this form or visit() returns false.
 template <typename Visit>
 bool ForEachPair(std::string_view text, Visit visit) {
   for (std::size_t begin = 0; begin < text.size();) {
@@ -76,7 +76,7 @@
   return true;
 }
 
-// Reads one launch request, field by field, in the order of the protocol's table.
+// Parses the fields of one launch request in a fixed order. The first invalid field determines the error.
 class LaunchRequestReader {
  public:
   LaunchRequestReader(const ClientMessage& message, const settings::WireSettings& wire, Micros now)
@@ -93,7 +93,7 @@
   }
 
  private:
-  // The text of a field; empty: absent.
+  // Returns the text of a field, or an empty text if the message does not have it.
   std::string_view Field(const char* name) const {
     const auto it = message_.fields.find(name);
     return it == message_.fields.end() ? std::string_view{} : std::string_view{it->second};
@@ -109,7 +109,7 @@
     return index.has_value();
   }
 
-  // Without tenants in the settings the field is not looked at.
+  // The field is ignored if the settings define no tenants.
   bool ReadTenant() {
     if (wire_.tenant_names.empty()) return true;
     const std::optional<unsigned> index = IndexOf(wire_.tenant_names, Field("tenant"));
@@ -117,7 +117,8 @@
     return index.has_value();
   }
 
-  // The key is passed on to the node as it is. Only classes that are idempotent with a key need one.
+  // Checks the form only, because the key is sent to the node unchanged. It is required only for classes that
+  // are idempotent with key.
   bool CheckDeduplicationKey() const {
     const std::string_view key = Field("idem");
     const TaskClass& task_class = wire_.settings.classes[request_.task.task_class];
--- a/src/platform/request_table.cpp
+++ b/src/platform/request_table.cpp
@@ -4,7 +4,7 @@
 
 namespace mountflow::platform {
 
-bool RequestTable::HasRoomForRequest(ConnId conn, std::size_t description_bytes) const {
+bool RequestTable::HasCapacityForRequest(ConnId conn, std::size_t description_bytes) const {
   return requests_.size() < kMaxRequests && unanswered_ < kMaxUnanswered &&
          unanswered_on(conn) < kMaxUnansweredPerConnection &&
          description_bytes_ + description_bytes <= max_description_bytes_;
@@ -64,7 +64,7 @@
 
 void RequestTable::ReleasePayload(Request& request) {
   description_bytes_ -= request.payload.description.size();
-  // Assigning an empty string keeps the memory; this gives it back.
+  // Moves the payload out, because assigning empty strings to it would not free their memory.
   const LaunchPayload released = std::exchange(request.payload, {});
 }
 
--- a/src/platform/request_table.hpp
+++ b/src/platform/request_table.hpp
@@ -79,9 +79,9 @@
 
   // Reports whether one more request from this connection, with a description of this size, stays within the
   // limits.
-  [[nodiscard]] bool HasRoomForRequest(ConnId conn, std::size_t description_bytes) const;
+  [[nodiscard]] bool HasCapacityForRequest(ConnId conn, std::size_t description_bytes) const;
   // Reports whether a record for a recovered running task can be added.
-  [[nodiscard]] bool HasRoomForRunningTask() const { return requests_.size() < kMaxRequests; }
+  [[nodiscard]] bool HasCapacityForRunningTask() const { return requests_.size() < kMaxRequests; }
 
   // Adds a record under the next id. `uid` must not be in the table.
   Request& Add(RequestUid uid, ConnId conn, ClientHost host);
--- a/tests/platform/platform_request_table_test.cpp
+++ b/tests/platform/platform_request_table_test.cpp
@@ -1,4 +1,4 @@
-// Records of requests: look-up, counts by connection, and the bounds.
+// Tests of the request table: look-up, counts per connection, and limits.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -37,19 +37,19 @@
   EXPECT_FALSE(table.Contains(78));
 }
 
-TEST(RequestTable, NeverGivesAnIdTwice) {
+TEST(RequestTable, NeverReusesAnId) {
   RequestTable table(100);
   const RequestId first = table.Add(1, kConn, kHost).id;
   table.Remove(first);
   EXPECT_NE(table.Add(1, kConn, kHost).id, first);
 }
 
-TEST(RequestTable, ForgetsARemovedRequestAndGivesItsDescriptionBack) {
+TEST(RequestTable, RemovesARequestAndItsDescriptionBytes) {
   RequestTable table(100);
   const RequestId id = AddUnanswered(table, 7, kConn, 40).id;
   EXPECT_EQ(table.description_bytes(), 40u);
   table.Remove(id);
-  table.Remove(id);  // again changes nothing
+  table.Remove(id);  // has no effect
   EXPECT_EQ(table.description_bytes(), 0u);
   EXPECT_EQ(table.size(), 0u);
   EXPECT_FALSE(table.Contains(7));
@@ -76,7 +76,7 @@
   EXPECT_EQ(table.UnansweredOn(kOtherConn).size(), 1u);
   EXPECT_EQ(table.Unanswered().size(), 3u);
   table.MarkAnswered(first);
-  table.MarkAnswered(first);  // again changes nothing
+  table.MarkAnswered(first);  // has no effect
   EXPECT_TRUE(first.answered);
   EXPECT_EQ(table.unanswered(), 2u);
   EXPECT_EQ(table.unanswered_on(kConn), 1u);
@@ -92,40 +92,40 @@
   EXPECT_EQ(table.running_on(kConn), 2u);
   table.UncountRunning(request);
   table.UncountRunning(request);
-  table.UncountRunning(request);  // none is left
+  table.UncountRunning(request);  // has no effect, because the count is 0
   EXPECT_EQ(table.running_on(kConn), 0u);
 }
 
 TEST(RequestTable, BoundsUnansweredRequestsOfOneConnectionAndOfAll) {
   RequestTable table(100);
   for (RequestUid uid = 1; uid <= kMaxUnansweredPerConnection; ++uid) {
-    EXPECT_TRUE(table.HasRoomForRequest(kConn, 0));
+    EXPECT_TRUE(table.HasCapacityForRequest(kConn, 0));
     AddUnanswered(table, uid);
   }
-  EXPECT_FALSE(table.HasRoomForRequest(kConn, 0));
-  EXPECT_TRUE(table.HasRoomForRequest(kOtherConn, 0));
+  EXPECT_FALSE(table.HasCapacityForRequest(kConn, 0));
+  EXPECT_TRUE(table.HasCapacityForRequest(kOtherConn, 0));
   for (RequestUid uid = kMaxUnansweredPerConnection + 1; uid <= kMaxUnanswered; ++uid) {
     AddUnanswered(table, uid, 100 + uid);
   }
-  EXPECT_FALSE(table.HasRoomForRequest(kOtherConn, 0));
-  EXPECT_TRUE(table.HasRoomForRunningTask());
+  EXPECT_FALSE(table.HasCapacityForRequest(kOtherConn, 0));
+  EXPECT_TRUE(table.HasCapacityForRunningTask());
 }
 
 TEST(RequestTable, BoundsTheBytesOfDescriptions) {
   RequestTable table(100);
   AddUnanswered(table, 1, kConn, 60);
-  EXPECT_TRUE(table.HasRoomForRequest(kConn, 40));
-  EXPECT_FALSE(table.HasRoomForRequest(kConn, 41));
+  EXPECT_TRUE(table.HasCapacityForRequest(kConn, 40));
+  EXPECT_FALSE(table.HasCapacityForRequest(kConn, 41));
 }
 
 TEST(RequestTable, BoundsAllRecords) {
   RequestTable table(100);
   for (RequestUid uid = 1; uid <= kMaxRequests; ++uid) table.Add(uid, kConn, kHost);
-  EXPECT_FALSE(table.HasRoomForRunningTask());
-  EXPECT_FALSE(table.HasRoomForRequest(kConn, 0));
+  EXPECT_FALSE(table.HasCapacityForRunningTask());
+  EXPECT_FALSE(table.HasCapacityForRequest(kConn, 0));
 }
 
-TEST(Request, TellsFromItsStateWhetherItHasAnAttemptAndRuns) {
+TEST(Request, DerivesHasAttemptAndIsRunningFromItsState) {
   Request request;
   EXPECT_FALSE(request.HasAttempt());
   EXPECT_FALSE(request.IsRunning());
