--- a/tests/platform/client_codec_test.cpp
+++ b/tests/platform/client_codec_test.cpp
@@ -42,14 +42,14 @@
   const char* name;
   std::string bytes;
   State expected;
-  const char* error;  // what error() begins with
+  const char* error;  // expected beginning of error()
 };
 
 void PrintTo(const InputCase& input, std::ostream* out) { *out << input.name; }
 
 class ClientCodecInputTest : public ::testing::TestWithParam<InputCase> {};
 
-TEST_P(ClientCodecInputTest, GivesItsStateAndError) {
+TEST_P(ClientCodecInputTest, ReportsStateAndError) {
   const InputCase& input = GetParam();
   ClientMessageReader reader;
   ClientMessage message;
@@ -61,7 +61,7 @@
   }
   if (input.expected == State::kBroken) {
     reader.Feed(EncodeClientMessage({}));
-    EXPECT_EQ(reader.Next(&message), State::kBroken) << "a broken stream stays so";
+    EXPECT_EQ(reader.Next(&message), State::kBroken) << "a broken stream stays broken";
     EXPECT_FALSE(reader.within_message());
   }
 }
@@ -104,7 +104,7 @@
 INSTANTIATE_TEST_SUITE_P(ClientCodec, ClientCodecInputTest, ::testing::ValuesIn(kInputCases),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(ClientCodec, AcceptsAsManyFieldsAsTheLimitAndNoMore) {
+TEST(ClientCodec, AcceptsFieldsUpToTheLimit) {
   ClientMessage written;
   written.uid = kUid;
   for (std::size_t i = 0; i < kMaxFields; ++i) written.fields["f" + std::to_string(i)] = "v";
--- a/tests/platform/client_connections_test.cpp
+++ b/tests/platform/client_connections_test.cpp
@@ -1,4 +1,5 @@
-// The connections of clients: what is read, rejected, evicted and notified.
+// Tests of ClientConnections: reading and rejecting messages, evicting connections, and sending
+// notifications.
 #include "tests/support/platform_fixture.hpp"
 
 namespace mountflow::testing {
@@ -8,7 +9,7 @@
   PlatformFixture fixture;
   const ConnId conn = fixture.StartTask(kUid);
   fixture.client_connections.OnClosed(fixture.now, fixture.client);
-  // From the same host, but no task was started on it.
+  // Connection 2 is from the same host, but no task was started on it yet. Connection 3 is from another host.
   fixture.client_connections.Accept(fixture.now, 2, "10.9.0.1:6");
   fixture.client_connections.Accept(fixture.now, 3, "10.9.0.2:6");
   fixture.NodeSends(conn, EndedBytes(kUid, 41));
@@ -24,12 +25,13 @@
   PlatformFixture fixture;
   const ConnId conn = fixture.LaunchAttempt(kUid);
   fixture.client_connections.OnClosed(fixture.now, fixture.client);
-  // Nobody waits for it any more.
+  // No client waits for the answer, so the attempt is cancelled.
   EXPECT_EQ(fixture.transport.SentToNode(conn).at(0).kind, NodeMessageKind::kStop);
   EXPECT_EQ(fixture.dispatcher.requests().size(), 0u);
 }
 
-// Each row of malformed input gets a rejection or a close, and nothing reaches a node.
+// For each malformed input the scheduler rejects the request or closes the connection, and sends nothing to a
+// node.
 TEST(ClientConnectionsTest, RejectsOrClosesOnMalformedInput) {
   const auto with = [](const std::string& from, const std::string& to) {
     std::string line = LaunchLine(kUid);
@@ -72,14 +74,14 @@
   }
 }
 
-// The danger: a second answer under one uid.
+// Guards against two answers with the same uid.
 TEST(ClientConnectionsTest, ClosesOnASecondRequestUnderOneUid) {
   PlatformFixture fixture;
   fixture.LaunchAttempt(kUid);
   fixture.client_connections.Accept(fixture.now, 2, "10.9.0.7:1");
   fixture.ClientSends(LaunchLine(kUid, "service", 2000, "", "other"), 2);
   EXPECT_EQ(fixture.transport.closed, std::vector<ConnId>{2});
-  EXPECT_TRUE(fixture.dispatcher.requests().Contains(kUid));  // the first request is unanswered as before
+  EXPECT_TRUE(fixture.dispatcher.requests().Contains(kUid));  // the first request still waits for its answer
   fixture.ClientSends(LaunchLine(kUid), fixture.client);
   EXPECT_EQ(fixture.transport.closed.back(), fixture.client);
   EXPECT_EQ(fixture.dispatcher.requests().unanswered(), 0u);
@@ -94,7 +96,8 @@
   EXPECT_TRUE(fixture.client_connections.HasConnection(fixture.client));  // it has sent a message
   fixture.AdvanceTime(kFirstMessageTimeout);
   EXPECT_EQ(fixture.client_connections.connection_count(), 1u);
-  // Clients that ask once and stay for good keep nobody out, and none that waits for an answer is closed.
+  // Clients that send one message and stay connected do not block new clients. No client that waits for an
+  // answer is disconnected.
   fixture.LaunchAttempt(kUid + 0x100);
   for (ConnId conn = 1000; conn < 1100; ++conn) {
     fixture.now += kMilli;
@@ -111,7 +114,7 @@
       "{\"kind\":\"check\",\"uid\":\"0000000000000001\",\"meta\":{},\"reason\":0}\n{\"kind\":", 500);
   EXPECT_EQ(fixture.transport.SentToClient(500).at(0).cause, 1);
   fixture.AdvanceTime(kPartialMessageTimeout);
-  EXPECT_FALSE(fixture.client_connections.HasConnection(500));  // half a message
+  EXPECT_FALSE(fixture.client_connections.HasConnection(500));  // its second message is incomplete
 }
 
 TEST(ClientConnectionsTest, FailsHealthChecksDuringShutdown) {
@@ -124,8 +127,9 @@
   EXPECT_EQ(answers[0].cause, 0);
 }
 
-// The danger: a client's only connection is evicted while its task runs, and the notification of the task's
-// end finds no connection within the 8 s. In a long run two were lost so.
+// Guards against losing a notification: if a client's only connection is evicted while its task runs, the
+// notification of the task's end may find no connection within 8 s. In a long run, 2 notifications were lost
+// this way.
 TEST(ClientConnectionsTest, EvictsAConnectionWithRunningTasksLast) {
   PlatformFixture fixture;
   const ConnId conn = fixture.StartTask(kUid);
@@ -142,11 +146,11 @@
   EXPECT_EQ(fixture.dispatcher.requests().running_on(fixture.client), 0u);
   fixture.now += kMilli;
   fixture.client_connections.Accept(fixture.now, 900, "10.9.0.9:1");
-  // Now it is the least recently used one.
+  // The connection has no running task any more and is the least recently used one.
   EXPECT_FALSE(fixture.client_connections.HasConnection(fixture.client));
 }
 
-// The danger: descriptions alone, 2,048 of 16 KiB, would fill the smallest memory limit.
+// Guards against running out of memory: 2,048 descriptions of 16 KiB would fill the smallest memory limit.
 TEST(ClientConnectionsTest, BoundsTheMemoryOfDescriptions) {
   PlatformFixture fixture;
   for (RequestUid uid = 1; uid <= 300; ++uid) {
@@ -159,7 +163,7 @@
   EXPECT_EQ(fixture.dispatcher.requests().size(), 0u);
 }
 
-// What one connection sends beyond its part of a turn waits for the next.
+// Messages of one connection beyond the limit per turn wait for the next turn.
 TEST(ClientConnectionsTest, ReadsAFloodInPieces) {
   PlatformFixture fixture;
   std::string flood;
--- a/tests/platform/client_notifications_test.cpp
+++ b/tests/platform/client_notifications_test.cpp
@@ -1,4 +1,4 @@
-// What is queued for clients.
+// Tests of the queue of messages for clients.
 #include "platform/client_notifications.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
   ASSERT_EQ(taken.size(), 2u);
   EXPECT_TRUE(notifications.Take().empty());
   EXPECT_EQ(taken[0].conn, 5u);
-  EXPECT_FALSE(taken[0].any_connection);  // an answer goes on the connection of its request alone
+  EXPECT_FALSE(taken[0].any_connection);  // an answer is sent only on the connection of its request
   EXPECT_EQ(taken[0].message.kind, ClientMessageKind::kStop);
   EXPECT_EQ(taken[0].message.uid, 77u);
   EXPECT_EQ(taken[0].message.cause, kCauseRejected);
@@ -24,7 +24,7 @@
   EXPECT_EQ(taken[1].message.cause, kCauseFailed);
 }
 
-TEST(ClientNotifications, GivesACauseWithAStopAlone) {
+TEST(ClientNotifications, SetsACauseOnlyForStop) {
   ClientNotifications notifications;
   notifications.AddTaskNotification(6, 9, 78, ClientMessageKind::kMigrate, kCauseFailed);
   EXPECT_FALSE(notifications.Take().at(0).message.cause.has_value());
--- a/tests/platform/dispatcher_test.cpp
+++ b/tests/platform/dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// Requests and running tasks, from the message of a client to that of a node and back.
+// Tests of the dispatcher: requests and running tasks, from client messages to node messages and back.
 #include "tests/support/platform_fixture.hpp"
 
 namespace mountflow::testing {
@@ -26,7 +26,7 @@
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].kind, ClientMessageKind::kAnswer);
   EXPECT_EQ(answers[0].description, "c=\xc3\xa9\r\n");
-  // The end is told once, though it comes on this connection and on the next one too.
+  // The client is notified of the end once, although the node reports it twice.
   fixture.NodeSends(conn, EndedBytes(kUid, 16));
   fixture.NodeSends(conn, EndedBytes(kUid, 16));
   const auto notifications = fixture.transport.SentToClient(fixture.client);
@@ -36,24 +36,24 @@
   EXPECT_EQ(fixture.dispatcher.requests().size(), 0u);
 }
 
-// The danger: a running task is recovered with no time left, as its client waits for nothing, and a rejection
-// of that launch message ended the task. 164 of 200 were lost so at a start.
+// Guards against losing running tasks at a restart. The client of a running task waits for no answer and has
+// no remaining time. When such launch messages were rejected, clients lost 164 of 200 running tasks.
 TEST(DispatcherTest, RecoversARunningTaskWhateverTimeIsLeft) {
   for (const int time_left : {0, -5000}) {
     PlatformFixture fixture;
     fixture.ClientSends(LaunchLine(kUid, "service", time_left, ";at:m-1"));
-    fixture.ClientSends(LaunchLine(kUid, "service", time_left, ";at:m-1"));  // again: it is known
+    fixture.ClientSends(LaunchLine(kUid, "service", time_left, ";at:m-1"));  // a repetition has no effect
     EXPECT_TRUE(fixture.transport.SentToClient(fixture.client).empty());
     ASSERT_EQ(fixture.dispatcher.requests().size(), 1u);
     const ConnId conn = fixture.transport.ConnTo("10.0.0.1:1");
-    ASSERT_NE(conn, 0u);  // its end must be able to come
+    ASSERT_NE(conn, 0u);  // the node reports the task's end on it
     fixture.Establish(conn);
-    // A node sees a connection only with its first message: without one, ends came a second late.
+    // A node notices a connection only by its first message. Without one, ends were reported a second late.
     EXPECT_EQ(fixture.transport.SentToNode(conn).at(0).kind, NodeMessageKind::kHealthCheck);
     fixture.NodeSends(conn, EndedBytes(kUid, 16));
     EXPECT_EQ(fixture.transport.SentToClient(fixture.client).at(0).kind, ClientMessageKind::kStop);
   }
-  PlatformFixture fixture;  // a task whose node nobody knows is lost, and leaves nothing behind
+  PlatformFixture fixture;  // a task on an unknown node counts as lost, and its record is removed
   fixture.ClientSends(LaunchLine(kUid, "service", 100, ";at:s-unknown"));
   EXPECT_EQ(fixture.dispatcher.requests().size(), 1u);
   fixture.AdvanceTime(kNodeLostTimeout + kSec);
@@ -72,7 +72,7 @@
   ASSERT_NE(second, 0u);
   fixture.Establish(second);
   ASSERT_EQ(fixture.transport.SentToNode(second).at(0).uid, kUid);
-  // A late message about the first attempt is not taken for one about the second.
+  // Late messages about the first attempt do not affect the second.
   fixture.NodeSends(first, StartedBytes(kUid));
   fixture.NodeSends(first, EndedBytes(kUid, 47));
   EXPECT_TRUE(fixture.transport.SentToClient(fixture.client).empty());
@@ -84,7 +84,8 @@
   EXPECT_TRUE(fixture.transport.SentToClient(fixture.client).empty());
 }
 
-// Both cancel the attempt at its node; the client's deadline is the attempt's.
+// A timeout and a cancellation both cancel the attempt on its node. The attempt times out at the client's
+// deadline.
 TEST(DispatcherTest, CancelsAnAttemptAtItsNodeOnTimeoutAndOnCancel) {
   for (const bool cancelled : {false, true}) {
     PlatformFixture fixture;
@@ -93,7 +94,7 @@
       fixture.ClientSends(StopLine(kUid));
     } else {
       fixture.NodeSends(conn, NodeMessageBytes(NodeMessageKind::kProgress, kUid));
-      for (int i = 0; i < 4; ++i) {  // the node is heard of, so the scheduler waits to the end
+      for (int i = 0; i < 4; ++i) {  // the node responds, so the scheduler waits until the deadline
         fixture.AdvanceTime(500 * kMilli);
         fixture.NodeSends(conn, NodeMessageBytes(NodeMessageKind::kHealthCheckReply, 1, 1));
       }
--- a/tests/platform/graceful_shutdown_test.cpp
+++ b/tests/platform/graceful_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// The state machine of a graceful shutdown.
+// Tests of the state machine of a graceful shutdown.
 #include "platform/graceful_shutdown.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 constexpr Micros kLongDeadline = 60'000'000;
 constexpr Micros kStopBy = kStart + kMaxRequestDeadline + kStopMargin;
 
-// In its final turn, with nothing left to do.
+// Returns a shutdown in its final turn, without unfinished work.
 GracefulShutdown InFinalTurn() {
   GracefulShutdown shutdown(kLongDeadline);
   shutdown.Begin(kStart);
@@ -56,7 +56,7 @@
   }
 }
 
-TEST(GracefulShutdown, AsksForNothingWhileItServes) {
+TEST(GracefulShutdown, NeedsNoChecksWhileServing) {
   GracefulShutdown shutdown(kLongDeadline);
   EXPECT_EQ(shutdown.state(), State::kServing);
   EXPECT_EQ(shutdown.NextCheck(kStart), kNever);
@@ -67,7 +67,7 @@
   GracefulShutdown shutdown(kLongDeadline);
   EXPECT_TRUE(shutdown.Begin(kStart));
   EXPECT_FALSE(shutdown.Begin(kStart + 1));
-  EXPECT_TRUE(shutdown.CheckWork(kStart + kDrainTime, {}));  // counted from the first
+  EXPECT_TRUE(shutdown.CheckWork(kStart + kDrainTime, {}));  // the drain time starts at the first signal
 }
 
 TEST(GracefulShutdown, ServesUntilTheLoadBalancerHasSeenAFailingHealthCheck) {
@@ -89,8 +89,8 @@
   EXPECT_TRUE(shutdown.CheckWork(now, {.last_arrival_at = now - kQuietTime}));
 }
 
-// Guards against an exit between two requests of clients that go on, of which the second would be lost.
-TEST(GracefulShutdown, ServesOnWhileRequestsComeLessThan150MillisecondsApart) {
+// Guards against an exit between two requests of a client that is still sending: the second would be lost.
+TEST(GracefulShutdown, KeepsServingWhileRequestsArriveLessThan150MillisecondsApart) {
   constexpr Micros kMillisecond = 1'000;
   constexpr Micros kInterval = 149 * kMillisecond;
   GracefulShutdown shutdown(kLongDeadline);
@@ -103,7 +103,7 @@
   EXPECT_TRUE(shutdown.CheckWork(kStart + kDrainTime, {.last_arrival_at = kStart + 650 * kMillisecond}));
 }
 
-TEST(GracefulShutdown, FailsWhatIsUnansweredInTimeBeforeTheKill) {
+TEST(GracefulShutdown, FailsUnansweredRequestsBeforeTheKill) {
   GracefulShutdown shutdown(kLongDeadline);
   shutdown.Begin(kStart);
   const Work busy{true, true, kStopBy};
@@ -111,7 +111,7 @@
   EXPECT_TRUE(shutdown.CheckWork(kStopBy, busy));
 }
 
-// Guards against answers that are given up earlier than 0.2 s before SIGKILL, which comes after 3.7 s.
+// Guards against failing requests earlier than 0.2 s before SIGKILL, which follows 3.7 s after the signal.
 TEST(GracefulShutdown, WaitsThreeAndAHalfSecondsForTheAnswersOfLongRequests) {
   GracefulShutdown shutdown(kLongDeadline);
   shutdown.Begin(kStart);
@@ -128,11 +128,12 @@
   EXPECT_TRUE(shutdown.CheckWork(kStart + kShortDeadline + kStopMargin, busy));
 }
 
-// The danger: a turn that a timer began has read nothing, and a request that lay in the kernel got no answer.
-TEST(GracefulShutdown, StopsOnlyAfterOneMoreTurnThatBringsNothing) {
+// Guards against losing a request: a turn that a timer started has read nothing, so a request in a socket
+// buffer would get no answer.
+TEST(GracefulShutdown, StopsOnlyAfterOneMoreTurnWithoutNewWork) {
   GracefulShutdown shutdown = InFinalTurn();
   const Micros now = kStart + kDrainTime + 1;
-  EXPECT_EQ(shutdown.NextCheck(now), now);  // at once
+  EXPECT_EQ(shutdown.NextCheck(now), now);  // immediately
   EXPECT_TRUE(shutdown.CheckWork(now, {}));
   shutdown.FinishTurn(now, false);
   EXPECT_EQ(shutdown.state(), State::kStopped);
--- a/tests/platform/message_mapping_test.cpp
+++ b/tests/platform/message_mapping_test.cpp
@@ -109,7 +109,7 @@
 INSTANTIATE_TEST_SUITE_P(MessageMapping, UnusableLaunchRequestTest, ::testing::ValuesIn(UnusableFields()),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(MessageMapping, ReadsALoadReportAndLeavesOutUnknownParts) {
+TEST(MessageMapping, ReadsALoadReportAndIgnoresUnknownParts) {
   NodeMessage message;
   message.params[kReport] = "x0:1;x1:-2;pending:3e0;other:7;cpu_share:much;x1";
   const LoadReport report = ReadReport(message);
@@ -157,7 +157,7 @@
   for (const auto& [text, kind] : expected) EXPECT_EQ(ReadProgressKind(text), kind) << text;
 }
 
-TEST(MessageMapping, TakesACauseThatDoesNotSayWhetherTheTaskRanAsLost) {
+TEST(MessageMapping, MapsCausesThatDoNotShowWhetherTheTaskRanToLost) {
   struct Expected {
     int cause;
     AttemptResult before_start;
--- a/tests/platform/platform_long_run_test.cpp
+++ b/tests/platform/platform_long_run_test.cpp
@@ -1,4 +1,4 @@
-// A long run of ever new requests, clients and nodes under a controlled clock.
+// A long run under a controlled clock, in which requests, clients and nodes come and go all the time.
 #include <malloc.h>
 
 #include <random>
@@ -8,11 +8,11 @@
 namespace mountflow::testing {
 namespace {
 
-// No table and no memory grows with what has ended.
+// Guards against leaks: tables and memory must not grow with the number of past requests, clients and nodes.
 TEST(PlatformLongRun, KeepsNothingOfPastRequests) {
   PlatformFixture fixture;
   std::mt19937_64 random(2026);
-  std::map<std::string, std::vector<std::pair<Micros, RequestUid>>> ends;  // of tasks, by address of the node
+  std::map<std::string, std::vector<std::pair<Micros, RequestUid>>> ends;  // when tasks end, by node address
   [[maybe_unused]] std::size_t bytes_at_half = 0;  // not measured under the sanitizers
   std::size_t started = 0;
   std::size_t max_requests = 0;
@@ -21,7 +21,7 @@
   constexpr int kSteps = 20'000;
   for (int step = 0; step < kSteps; ++step) {
     fixture.AdvanceTime(40 * kMilli);
-    if (step % 50 == 0) {  // a node goes, a new one comes, now and then at its address
+    if (step % 50 == 0) {  // a new node replaces one of the two, sometimes at an address used before
       const std::size_t which = random() % 2;
       NodeListEvent change;
       ListedNode gone;
@@ -59,7 +59,7 @@
         ++started;
         break;
       }
-      for (const auto& [at, uid] : std::vector(ends[address])) {  // told again on each connection
+      for (const auto& [at, uid] : std::vector(ends[address])) {  // reported again on each connection
         if (at <= fixture.now && fixture.transport.outgoing.count(conn) > 0)
           fixture.NodeSends(conn, EndedBytes(uid, 16));
       }
--- a/tests/platform/platform_races_test.cpp
+++ b/tests/platform/platform_races_test.cpp
@@ -1,5 +1,5 @@
-// Races in the platform's parts, under a controlled clock: something ends while work on it is unfinished.
-// docs/platform.md, "What is owed when something ends", names each with its test.
+// Races between the platform's components under a controlled clock: a client, connection, node or attempt
+// ends while work on it is unfinished. docs/platform.md lists these races with the names of their tests.
 #include "tests/support/platform_fixture.hpp"
 
 namespace mountflow::testing {
@@ -22,8 +22,8 @@
 
 // ---- The client leaves ----
 
-// The danger: what a client sent and its close lie in the kernel together when the scheduler is behind, and
-// the requests went out to nodes for nobody.
+// Guards against attempts for a client that has left: if the scheduler reads late, a client's requests and
+// its close are in the socket buffer together, and the requests were sent to nodes although no client waited.
 TEST(PlatformRaces, SendsNoRequestReadAfterItsClientLeft) {
   PlatformFixture fixture;
   fixture.transport.hung_up.insert(fixture.client);
@@ -31,7 +31,7 @@
   EXPECT_TRUE(fixture.transport.outgoing.empty());
   EXPECT_EQ(fixture.dispatcher.requests().size(), 0u);
   EXPECT_EQ(fixture.dispatcher.requests().unanswered(), 0u);
-  // A running task is recovered all the same: it runs whoever told of it.
+  // A running task is recovered even if its client has left, because it runs in any case.
   fixture.ClientSends(LaunchLine(kOtherUid, "service", 0, ";at:m-1"));
   EXPECT_EQ(fixture.dispatcher.requests().size(), 1u);
 }
@@ -63,20 +63,21 @@
   }
 }
 
-// ---- Bytes that wait in the event loop ----
+// ---- Unwritten bytes in the event loop ----
 
-// The danger: a node that does not read. The attempt waited in the event loop, was cancelled, and the node
-// read both later: an attempt that began after its client had left, or beside the next one.
+// Guards against an attempt that starts after its cancellation, on a node that reads late. The attempt waited
+// in the event loop and was cancelled, and the node read both messages later. The task then started after its
+// client had left, or at the same time as the next attempt.
 TEST(PlatformRaces, NeverCompletesAnAttemptCancelledBeforeItIsWritten) {
   PlatformFixture fixture;
   fixture.transport.kernel_accepts = false;
-  const ConnId conn = fixture.LaunchAttempt(kUid);  // sent, and the kernel has not all of it
+  const ConnId conn = fixture.LaunchAttempt(kUid);  // sent, but the kernel has not accepted all bytes
   fixture.ClientSends(LaunchLine(kOtherUid));
   const bool same = fixture.transport.outgoing.size() == 1;
   fixture.ClientSends(StopLine(kOtherUid));
   if (same) {
     EXPECT_TRUE(fixture.transport.SentToNode(conn).empty())
-        << "one that waits is not sent, nor is its cancellation";
+        << "neither the waiting attempt nor its cancellation is sent";
   }
   fixture.ClientSends(StopLine(kUid));
   ASSERT_FALSE(fixture.transport.closed.empty());
@@ -97,7 +98,7 @@
   std::vector<RequestUid> order;
   for (int i = 0; i < 3; ++i) {
     const auto sent = fixture.transport.SentToNode(conn);
-    ASSERT_EQ(sent.size(), 1u) << "one that the kernel has not accepted, at most";
+    ASSERT_EQ(sent.size(), 1u) << "at most one attempt that the kernel has not accepted";
     order.push_back(sent[0].uid);
     fixture.transport.unwritten.erase(conn);
     fixture.node_connections.OnWritten(fixture.now, conn);
@@ -105,8 +106,8 @@
   EXPECT_EQ(order, (std::vector<RequestUid>{14, 12, 13}));
 }
 
-// The danger: a message under the uid of an attempt that was not sent yet took it from the attempts and left
-// it among the unsent ones: the next send threw.
+// Guards against a message with the uid of an attempt that is not sent yet. It removed the attempt but left
+// its uid in the list of unsent attempts, and the next send threw an exception.
 TEST(PlatformRaces, TakesNoMessageForAnAttemptThatIsNotSent) {
   for (const NodeMessageKind kind : {NodeMessageKind::kAnswer, NodeMessageKind::kStop}) {
     FakeTransport transport;
@@ -130,8 +131,9 @@
   }
 }
 
-// The danger: an unwritten attempt was taken by the kernel along with a later health check, was not known to
-// be written, and the end of its connection was reported as "never ran": a second node ran it too.
+// Guards against running a task twice. The kernel accepted an unwritten attempt together with a later health
+// check, but the attempt was not marked as written. When its connection ended, it was reported as "never
+// ran", and a second node ran it too.
 TEST(PlatformRaces, CountsBytesTakenAlongByALaterSendAsWritten) {
   PlatformFixture fixture;
   fixture.transport.kernel_accepts = false;
@@ -142,13 +144,13 @@
   fixture.EndNodeConnection(conn);
   const auto answers = fixture.transport.SentToClient(fixture.client);
   ASSERT_EQ(answers.size(), 1u);
-  EXPECT_EQ(answers[0].cause, kCauseFailed);  // no promise that asking again is harmless
+  EXPECT_EQ(answers[0].cause, kCauseFailed);  // not kCauseRejected, because a retry may not be safe
 }
 
 // ---- Notifications about running tasks ----
 
-// The danger: the client has closed the connection, nothing was read of that yet, and a notification written
-// there is lost.
+// Guards against losing a notification that is written to a connection whose client has closed it, before the
+// close is read.
 TEST(PlatformRaces, NotifiesOnNoConnectionThatItsClientClosed) {
   PlatformFixture fixture;
   const ConnId conn = fixture.StartTask(kUid);
@@ -158,7 +160,7 @@
   fixture.NodeSends(conn, EndedBytes(kUid, 16));
   EXPECT_TRUE(fixture.transport.SentToClient(fixture.client).empty());
   ASSERT_EQ(fixture.transport.SentToClient(2).size(), 1u);
-  // And without another one: it waits for the next.
+  // Without another open connection, the notification waits for the next one.
   fixture.transport.hung_up.insert(2);
   fixture.NodeSends(fixture.transport.ConnTo("10.0.0.1:1"), EndedBytes(kOtherUid, 16));
   EXPECT_TRUE(fixture.transport.SentToClient(2).empty());
@@ -176,13 +178,13 @@
   fixture.transport.kernel_accepts = false;
   fixture.ClientSends(LaunchLine(kUid, "nobody's class"));
   EXPECT_TRUE(fixture.client_connections.HasUnfinishedWork());
-  fixture.transport.hung_up.insert(fixture.client);  // nobody is there to read them
+  fixture.transport.hung_up.insert(fixture.client);  // no client is left to read them
   EXPECT_FALSE(fixture.client_connections.HasUnfinishedWork());
 }
 
-// The danger: the process of a node is replaced by one of another node at its address. A connection made
-// after that reaches the new node, which answers every health check; of the tasks at the old one nobody was
-// notified.
+// Guards against unreported ends of tasks when another node takes over the address of a node whose process is
+// gone. A connection opened after that reaches the new node, which answers every health check, so the clients
+// of the old node's tasks were never notified.
 TEST(PlatformRaces, LosesTasksAtAnAddressThatAnotherNodeTook) {
   enum class How { kReopened, kConnecting, kWithoutConnection, kRecovered };
   for (const How how : {How::kReopened, How::kConnecting, How::kWithoutConnection, How::kRecovered}) {
@@ -196,16 +198,16 @@
         const ConnId conn = fixture.StartTask(kUid);
         name = fixture.transport.outgoing.at(conn) == "10.0.0.1:1" ? "m-1" : "m-2";
         fixture.EndNodeConnection(conn);
-        if (how != How::kWithoutConnection) fixture.AdvanceTime(1);  // reconnects at once
+        if (how != How::kWithoutConnection) fixture.AdvanceTime(1);  // reconnects immediately
       }
       const std::string address = name == "m-1" ? "10.0.0.1:1" : "10.0.0.2:1";
       if (how == How::kReopened) fixture.Establish(fixture.transport.ConnTo(address));
-      NodeListEvent gone, fresh;
+      NodeListEvent gone, added;
       gone.nodes = {Listed(name, address)};
       gone.nodes[0].status = "gone";
-      fresh.nodes = {Listed("m-9", address)};
+      added.nodes = {Listed("m-9", address)};
       if (removed_first) fixture.dispatcher.ApplyNodeList(fixture.now, gone);
-      fixture.dispatcher.ApplyNodeList(fixture.now, fresh);  // with or without news that the old one is gone
+      fixture.dispatcher.ApplyNodeList(fixture.now, added);  // the old node may still be listed
       fixture.client_connections.DeliverNotifications(fixture.now);
       const auto answers = fixture.transport.SentToClient(fixture.client);
       ASSERT_EQ(answers.size(), 1u) << static_cast<int>(how) << removed_first;
@@ -215,14 +217,14 @@
   }
 }
 
-// While the connection of its attempt is up it leads to the old process, whatever the node list says of the
-// address.
+// The connection on which an attempt was sent leads to the old process while it is open, even if the node
+// list gives its address to another node.
 TEST(PlatformRaces, KeepsAnOlderConnectionWithTheOldProcess) {
   PlatformFixture fixture;
   const ConnId conn = fixture.StartTask(kUid);
-  NodeListEvent fresh;
-  fresh.nodes = {Listed("m-9", fixture.transport.outgoing.at(conn))};
-  fixture.dispatcher.ApplyNodeList(fixture.now, fresh);
+  NodeListEvent added;
+  added.nodes = {Listed("m-9", fixture.transport.outgoing.at(conn))};
+  fixture.dispatcher.ApplyNodeList(fixture.now, added);
   EXPECT_EQ(fixture.dispatcher.requests().size(), 1u);
   fixture.NodeSends(conn, EndedBytes(kUid, 16));
   EXPECT_EQ(fixture.transport.SentToClient(fixture.client).at(0).cause, 16);
@@ -230,7 +232,8 @@
 
 // ---- Node lists ----
 
-// A snapshot after a silence lacks nodes on which tasks run: those tasks are lost, the others go on.
+// A snapshot may lack nodes on which tasks run, for example after a long gap between updates. The tasks of
+// those nodes are lost, and the other tasks keep running.
 TEST(PlatformRaces, LosesTasksOfANodeThatASnapshotLacks) {
   for (const bool connected : {false, true}) {
     PlatformFixture fixture;
@@ -241,12 +244,13 @@
                  second = fixture.transport.ConnTo("10.0.0.2:1");
     fixture.Establish(second);
     if (connected) fixture.Establish(first);
-    NodeListEvent whole;
-    whole.whole = true;
-    whole.nodes = {Listed("m-2", "10.0.0.2:1", 1)};
-    fixture.dispatcher.ApplyNodeList(fixture.now, whole);
+    NodeListEvent snapshot;
+    snapshot.whole = true;
+    snapshot.nodes = {Listed("m-2", "10.0.0.2:1", 1)};
+    fixture.dispatcher.ApplyNodeList(fixture.now, snapshot);
     fixture.client_connections.DeliverNotifications(fixture.now);
-    // While connected the node still tells of its tasks itself; with the connection they are lost.
+    // While its connection is open, the node still reports on its tasks. When the connection ends, they are
+    // lost.
     if (connected) {
       EXPECT_TRUE(fixture.transport.SentToClient(fixture.client).empty());
       fixture.EndNodeConnection(first);
@@ -260,8 +264,8 @@
 
 // ---- More nodes than descriptors ----
 
-// Tasks run at 400 nodes and there are connections for 80. A node tells of an end on the next connection that
-// is made: each must get its turn in time, with connections that take a while to be established.
+// Tasks run on 400 nodes, but only 80 connections are allowed. A node reports the end of a task on its next
+// connection, so each node must be connected often enough, although connections take some time to establish.
 TEST(PlatformRaces, HearsEveryEndInTimeWithMoreNodesThanDescriptors) {
   constexpr unsigned kNodes = 400;
   FakeTransport transport;
@@ -272,35 +276,35 @@
   for (NodeId m = 1; m <= kNodes; ++m)
     node_connections.SetNodeAddress(now, m, "10.1.0." + std::to_string(m) + ":1");
   for (NodeId m = 1; m <= kNodes; ++m) node_connections.AddRunningTask(now, m);
-  std::map<ConnId, Micros> coming;  // connections on their way, and when they are established
-  std::map<NodeId, Micros> last, worst;
-  for (NodeId m = 1; m <= kNodes; ++m) last[m] = now;
+  std::map<ConnId, Micros> connecting;  // connections that are being established, and when that is done
+  std::map<NodeId, Micros> last_connected_at, longest_gaps;
+  for (NodeId m = 1; m <= kNodes; ++m) last_connected_at[m] = now;
   std::uint64_t opened = 0;
-  ConnId seen = transport.last_conn;
+  ConnId last_seen_conn = transport.last_conn;
   const Micros until = now + 30 * kSec;
   while (now < until) {
-    while (seen < transport.last_conn) {
-      ++seen;
-      coming[seen] = now + 2 * kMilli + seen * 7919 % 40 * kMilli;
+    while (last_seen_conn < transport.last_conn) {
+      ++last_seen_conn;
+      connecting[last_seen_conn] = now + 2 * kMilli + last_seen_conn * 7919 % 40 * kMilli;
     }
     Micros due = node_connections.NextDue();
-    for (const auto& [conn, at] : coming) due = std::min(due, at);
+    for (const auto& [conn, at] : connecting) due = std::min(due, at);
     now = std::max(now, due);
-    for (auto it = coming.begin(); it != coming.end();) {
+    for (auto it = connecting.begin(); it != connecting.end();) {
       if (it->second > now) {
         ++it;
         continue;
       }
       const ConnId conn = it->first;
-      it = coming.erase(it);
+      it = connecting.erase(it);
       if (transport.outgoing.count(conn) == 0) continue;
       const std::string address = transport.outgoing.at(conn);
       const NodeId m = static_cast<NodeId>(std::stoul(address.substr(7, address.find(':') - 7)));
       node_connections.OnConnected(now, conn);
-      if (!transport.SentToNode(conn).empty()) {  // only now a node tells what it has
+      if (!transport.SentToNode(conn).empty()) {  // a node reports only after it has received a message
         node_connections.OnBytes(now, conn, NodeMessageBytes(NodeMessageKind::kHealthCheckReply, 1, 1));
-        worst[m] = std::max(worst[m], now - last[m]);
-        last[m] = now;
+        longest_gaps[m] = std::max(longest_gaps[m], now - last_connected_at[m]);
+        last_connected_at[m] = now;
         ++opened;
       }
     }
@@ -310,8 +314,9 @@
     ASSERT_LE(transport.outgoing.size(), 80u);
   }
   Micros longest = 0;
-  for (NodeId m = 1; m <= kNodes; ++m) longest = std::max({longest, worst[m], now - last[m]});
-  EXPECT_LT(longest, 6 * kSec);  // 8 s are allowed, of which the client's side needs its part
+  for (NodeId m = 1; m <= kNodes; ++m)
+    longest = std::max({longest, longest_gaps[m], now - last_connected_at[m]});
+  EXPECT_LT(longest, 6 * kSec);  // of the 8 s allowed, part is needed to notify the client
   RecordProperty("worst_ms", static_cast<int>(longest / kMilli));
   RecordProperty("opened_a_second", static_cast<int>(opened / 30));
   std::printf("worst %d ms, %d connections a second\n", static_cast<int>(longest / kMilli),
--- a/tests/platform/platform_timer_queue_test.cpp
+++ b/tests/platform/platform_timer_queue_test.cpp
@@ -1,4 +1,4 @@
-// Timers in the order in which they are due.
+// Tests of the timer queue: the order in which timers are due.
 #include <gtest/gtest.h>
 
 #include "platform/timer_queue.hpp"
@@ -12,12 +12,12 @@
   EXPECT_EQ(timers.TakeDue(kNever), std::nullopt);
 }
 
-TEST(TimerQueue, GivesDueTimersInOrderOfTimeAndId) {
+TEST(TimerQueue, ReturnsDueTimersInOrderOfTimeAndId) {
   TimerQueue<int> timers;
   timers.Add(20, 1);
   timers.Add(10, 3);
   timers.Add(10, 2);
-  timers.Add(10, 2);  // again changes nothing
+  timers.Add(10, 2);  // has no effect
   EXPECT_EQ(timers.size(), 3u);
   EXPECT_EQ(timers.NextDue(), 10u);
   EXPECT_EQ(timers.TakeDue(9), std::nullopt);
--- a/tests/support/codec_fixture.hpp
+++ b/tests/support/codec_fixture.hpp
@@ -1,4 +1,4 @@
-// What the tests of the platform's two message codecs share: reading a stream in pieces, generated text.
+// Helpers for the tests of the client and node codecs: reading a stream in pieces, and generating text.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_CODEC_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_CODEC_FIXTURE_HPP_
 
@@ -12,7 +12,7 @@
 
 namespace mountflow::testing {
 
-// The messages that a reader finds in a stream, and whether it took the stream for broken.
+// The messages that a reader found in a stream, and whether it reported the stream as broken.
 template <typename Message>
 struct ReadStream {
   std::vector<Message> messages;
@@ -37,7 +37,7 @@
   return stream;
 }
 
-// Generated UTF-8 of at most `max_bytes`, with sequences of one, two and three bytes.
+// Generates valid UTF-8 text of at most `max_bytes` bytes, with sequences of one, two and three bytes.
 inline std::string GenerateText(std::size_t max_bytes) {
   const auto code_points =
       *rc::gen::container<std::vector<std::uint32_t>>(rc::gen::inRange<std::uint32_t>(0, 0x2fff));
@@ -56,7 +56,7 @@
   return text;
 }
 
-// A size for ReadInPieces(), from one byte to all of `bytes`.
+// Generates a piece size for ReadInPieces(), from one byte to the size of `bytes`.
 inline std::size_t GeneratePieceSize(const std::string& bytes) {
   return *rc::gen::inRange<std::size_t>(1, bytes.size() + 1);
 }
--- a/tests/support/platform_fakes.hpp
+++ b/tests/support/platform_fakes.hpp
@@ -1,5 +1,5 @@
-// Fakes of what surrounds the platform's program, on loopback, written from the protocol's pages: nodes, the
-// change log of the node list, clients. They log what passes on their sockets.
+// Fakes of the peers of the platform program on loopback sockets: nodes, the change log of the node list, and
+// clients. They implement the documented protocols and log the messages on their sockets.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_FAKES_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_FAKES_HPP_
 
@@ -19,7 +19,8 @@
 
 namespace mountflow::testing {
 
-// A node: listens, and answers each attempt as `reply` says. Without one it accepts.
+// A fake node. It listens and answers each attempt with the result of `reply`, or accepts it if `reply` is
+// empty.
 class FakeNode : public event_loop::ConnectionHandler {
  public:
   FakeNode(event_loop::EventLoop* loop, std::string name, unsigned rack, MessageLog* log)
@@ -28,13 +29,13 @@
     address = "127.0.0.1:" + std::to_string(loop_->PortOf(listener_));
   }
 
-  // The process ends: connections are reset, new ones refused.
+  // Simulates the end of the node's process: connections are reset, and new ones are refused.
   void Kill() {
     if (listener_ != 0) loop_->CloseListener(std::exchange(listener_, 0));
     for (const auto& [conn, reader] : connections) loop_->Abort(conn);
     connections.clear();
   }
-  // On the newest connection.
+  // Sends bytes on the newest connection.
   void Send(const std::string& bytes) {
     if (!connections.empty()) loop_->Send(connections.rbegin()->first, bytes);
   }
@@ -47,7 +48,7 @@
     stop.cause = static_cast<std::uint8_t>(cause);
     Send(EncodeNodeMessage(stop));
   }
-  // The bytes of an answer: the task runs.
+  // Returns the encoded answer that the task of an attempt runs.
   std::string Accept(RequestUid uid) {
     running.insert(uid);
     Log(LoggedMessage::Kind::kAttemptEnded, uid, 0);
@@ -57,7 +58,7 @@
     answer.params[kDescription] = "accepted by " + name;
     return EncodeNodeMessage(answer);
   }
-  // The bytes of an answer: the attempt ended.
+  // Returns the encoded answer that an attempt ended.
   std::string Reject(RequestUid uid, int cause, const std::string& reason = "") {
     Log(LoggedMessage::Kind::kAttemptEnded, uid, cause);
     NodeMessage stop;
@@ -91,7 +92,7 @@
   std::string name;
   std::string address;
   unsigned rack;
-  // The bytes to answer an attempt with; "reset": the connection is reset.
+  // Returns the bytes that answer an attempt, or "reset" to reset the connection.
   std::function<std::string(const NodeMessage&)> reply;
   bool silent = false;
   bool answers_health_checks = true;
@@ -103,7 +104,7 @@
   std::set<RequestUid> running;
 
  protected:
-  // The client of an attempt or of a running task wants it no more.
+  // Handles the cancellation of an attempt or the termination of a running task.
   virtual void HandleStop(event_loop::ConnId conn, RequestUid uid) {
     stops.push_back(uid);
     if (running.erase(uid) > 0) {
@@ -152,7 +153,7 @@
   event_loop::ListenerId listener_ = 0;
 };
 
-// The change log of the node list: numbered events, long poll.
+// A fake change log of the node list: numbered events, served by long polling.
 class FakeChangeLog : public event_loop::ConnectionHandler {
  public:
   explicit FakeChangeLog(event_loop::EventLoop* loop) : loop_(loop) {
@@ -167,9 +168,9 @@
     const auto waiting = std::exchange(waiting_, {});
     for (const auto& [conn, since] : waiting) Answer(conn, since);
   }
-  // All events, as a configuration holds them.
+  // Returns all events as JSON, in the form used in a configuration.
   std::string AllEvents() const { return ReplyBody(0); }
-  // Whether anybody listens there; what is open is closed.
+  // Starts or stops listening. Stopping also closes the open connections.
   void SetListening(bool listening) {
     if (listening) {
       listener_ = loop_->Listen(address, this).value_or(0);
@@ -214,8 +215,8 @@
   std::uint64_t first_number = 1;
   std::vector<std::string> events;
   std::vector<std::uint64_t> requested_since;
-  int replies_to_cut = 0;  // in the middle
-  bool silent = false;     // requests are read and never answered
+  int replies_to_cut = 0;  // number of replies that are cut short, with the connection closed
+  bool silent = false;     // if set, requests are read but never answered
 
  private:
   std::string ReplyBody(std::uint64_t since) const {
@@ -244,7 +245,7 @@
   std::map<event_loop::ConnId, std::uint64_t> waiting_;
 };
 
-// A client with one connection, and what it received there.
+// A fake client with one connection. It stores the messages that it received.
 class FakeClient : public event_loop::ConnectionHandler {
  public:
   FakeClient(event_loop::EventLoop* loop, const std::string& to, MessageLog* log) : loop_(loop), log_(log) {
@@ -252,7 +253,7 @@
   }
   ~FakeClient() override { loop_->Close(conn); }
 
-  // `time_left` in milliseconds. With `more` extras the request is not logged.
+  // Sends a launch message. `time_left` is in milliseconds. With `more` extras the request is not logged.
   void Launch(RequestUid uid, const std::string& task_class, int time_left,
               const std::string& service = "00000000b4d65521", const std::string& more = "") {
     launched.insert(uid);
@@ -297,7 +298,8 @@
     loop_->Send(conn, EncodeClientMessage(message));
   }
   void SendRaw(const std::string& bytes) { loop_->Send(conn, bytes); }
-  // What was sent is with the kernel, and the connection is closed.
+  // Closes the connection after the sent bytes are written, and logs that the client has left each of its
+  // unanswered requests.
   void Leave() {
     for (const LoggedMessage& message : MessageLog(*log_)) {
       const bool own_request =
--- a/tests/support/platform_fixture.hpp
+++ b/tests/support/platform_fixture.hpp
@@ -1,5 +1,5 @@
-// The parts of the platform's program under a controlled clock, with a fake transport in place of the
-// sockets.
+// A fixture that connects the components of the platform program, with a controlled clock and a fake
+// transport instead of sockets.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_FIXTURE_HPP_
 
@@ -23,16 +23,17 @@
 
 inline constexpr Micros kMilli = 1000;
 inline constexpr Micros kSec = 1'000'000;
-inline constexpr RequestUid kUid = 0x9b1f03aa5c7e2d41u;  // of the request that a test is about
+inline constexpr RequestUid kUid = 0x9b1f03aa5c7e2d41u;  // the uid of the main request of a test
 
+// Records sent bytes and opened connections. Tests set how the kernel and the peers behave.
 class FakeTransport : public Transport {
  public:
   ConnId Connect(const std::string& address) override {
     outgoing[++last_conn] = address;
     return last_conn;
   }
-  // While the kernel accepts nothing, what is sent stays unwritten; the next send that it accepts takes all
-  // along.
+  // While the kernel accepts nothing, sent bytes stay unwritten. The next send that it accepts also writes
+  // the earlier bytes of the connection.
   void Send(ConnId conn, std::string_view bytes) override {
     if (digest != nullptr) {
       if (conn != last_digested) digest->Add(conn);
@@ -59,13 +60,13 @@
     log.push_back(logging::FormatKeyValue(record));
   }
 
-  // What was sent on a connection since the last look.
+  // Return the bytes or messages that were sent on a connection since the last of these calls for it.
   std::string Sent(ConnId conn) { return std::exchange(sent[conn], {}); }
   std::vector<NodeMessage> SentToNode(ConnId conn) { return ReadSent<NodeMessageReader, NodeMessage>(conn); }
   std::vector<ClientMessage> SentToClient(ConnId conn) {
     return ReadSent<ClientMessageReader, ClientMessage>(conn);
   }
-  // The open connection to an address; 0: there is none.
+  // Returns the open connection to an address; 0: there is none.
   ConnId ConnTo(const std::string& address) const {
     for (const auto& [conn, connected_address] : outgoing) {
       if (connected_address == address) return conn;
@@ -73,13 +74,13 @@
     return 0;
   }
 
-  Digest* digest = nullptr;  // of all bytes sent, where it is wanted
-  ConnId last_digested = 0;  // whose bytes came last
+  Digest* digest = nullptr;  // of all sent bytes; null: none is computed
+  ConnId last_digested = 0;  // the connection of the last bytes in the digest
   ConnId last_conn = 1000;
   bool kernel_accepts = true;
   std::set<ConnId> unwritten;
-  std::set<ConnId> hung_up;                // closed by their other end, and nothing was read of that yet
-  std::map<ConnId, std::string> outgoing;  // open connections that the parts asked for, with their addresses
+  std::set<ConnId> hung_up;                // closed by the peer; the close was not read yet
+  std::map<ConnId, std::string> outgoing;  // open connections to nodes, with their addresses
   std::map<ConnId, std::string> sent;
   std::vector<ConnId> closed;
   std::vector<std::string> log;
@@ -96,6 +97,7 @@
   }
 };
 
+// Encodes a message of a node. A negative `cause` means no cause.
 inline std::string NodeMessageBytes(NodeMessageKind kind, RequestUid uid, int cause = -1,
                                     std::map<std::uint8_t, std::string> params = {}) {
   NodeMessage message;
@@ -106,11 +108,11 @@
   return EncodeNodeMessage(message);
 }
 
-// A node says that the task of an attempt runs.
+// Encodes the message by which a node reports that the task of an attempt runs.
 inline std::string StartedBytes(RequestUid uid) {
   return NodeMessageBytes(NodeMessageKind::kAnswer, uid, -1, {{kDescription, "yes"}});
 }
-// A node says that an attempt or a running task ended.
+// Encodes the message by which a node reports that an attempt or a running task ended.
 inline std::string EndedBytes(RequestUid uid, int cause, std::map<std::uint8_t, std::string> params = {}) {
   return NodeMessageBytes(NodeMessageKind::kStop, uid, cause, std::move(params));
 }
@@ -130,7 +132,8 @@
    {"name":"batch","effect":"safe","hard_limit_us":3200000,"aim_us":1500000,"worth":1.0}],
   "safety":{"answer_slack_us":5000,"drain_grace_us":2000000},"stats":{"names":["x0","x1","pending","cpu_share"]}}})";
 
-// A launch line of a client. `time_left` in milliseconds; `more` extras; `body` as JSON text.
+// Returns a launch message of a client. `time_left` is in milliseconds, `more` is appended to the extras, and
+// `body` is JSON text.
 inline std::string LaunchLine(RequestUid uid, const std::string& task_class = "service", int time_left = 2000,
                               const std::string& more = "", const std::string& body = "a\\r\\nb") {
   return R"({"kind":"launch","uid":")" + WriteHex(uid) + R"(","meta":{"class":")" + task_class +
@@ -139,12 +142,13 @@
          R"(","extras":"cores:1;memory:2;service:00000000b4d65521)" + more + R"("},"body":")" + body +
          "\"}\n";
 }
+// Returns a stop message of a client.
 inline std::string StopLine(RequestUid uid, int cause = 16) {
   return R"({"kind":"stop","uid":")" + WriteHex(uid) + R"(","meta":{},"reason":)" + std::to_string(cause) +
          "}\n";
 }
 
-// The parts joined as the program joins them.
+// The components of the platform program, connected as in the program. Connection 1 belongs to a client.
 struct PlatformFixture {
   FakeTransport transport;
   PlatformConfig config = ReadPlatformConfig(kPlatformConfig, nullptr, nullptr);
@@ -178,7 +182,7 @@
     dispatcher.HandleNodeEvents(now);
     client_connections.DeliverNotifications(now);
   }
-  // With every timer on the way.
+  // Advances the clock by `length` microseconds and handles each timer at its time.
   void AdvanceTime(Micros length) {
     const Micros until = now + length;
     for (;;) {
@@ -194,7 +198,8 @@
     }
     now = until;
   }
-  // A request whose attempt is in flight. Returns the connection that it was sent on, with its message read.
+  // Launches a request. Returns the node connection on which its attempt was sent, and consumes the sent
+  // launch message.
   ConnId LaunchAttempt(RequestUid uid, const std::string& task_class = "service") {
     ClientSends(LaunchLine(uid, task_class));
     for (const auto& [conn, address] : std::map<ConnId, std::string>(transport.outgoing)) {
@@ -206,7 +211,8 @@
     ADD_FAILURE() << "no node got the attempt";
     return 0;
   }
-  // A running task whose client was notified. Returns the connection of its node.
+  // Launches a request whose node starts the task, and consumes the answer to the client. Returns the
+  // connection of the node.
   ConnId StartTask(RequestUid uid, const std::string& task_class = "service") {
     const ConnId conn = LaunchAttempt(uid, task_class);
     NodeSends(conn, StartedBytes(uid));
