--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -6,11 +6,11 @@
 namespace mountflow::admission {
 namespace {
 
-constexpr Micros kWindow = 100'000;      // averaging time of the busy share, shortest measurement of the cost
-constexpr double kSaturatedShare = 0.9;  // busy share from which the jobs ahead count as waiting time
-constexpr std::size_t kMinAnswers = 20;  // answers that a measurement of the cost needs
-constexpr double kSmoothing = 0.3;       // weight of one measurement
-constexpr double kMaxChange = 2.0;       // factor by which one measurement may differ from the estimate
+constexpr Micros kWindow = 100'000;      // averaging time of the busy share; shortest measurement of the cost
+constexpr double kSaturatedShare = 0.9;  // busy share from which jobs ahead add to the expected wait
+constexpr std::size_t kMinAnswers = 20;  // fewest answers for a measurement of the cost
+constexpr double kSmoothing = 0.3;       // weight of one measurement in the estimate
+constexpr double kMaxChange = 2.0;       // largest factor between one measurement and the estimate
 constexpr double kMinCostPerJob = 10.0;  // microseconds
 constexpr double kMaxCostPerJob = 100'000.0;  // microseconds
 constexpr Micros kMinRetryAfter = 20'000;
@@ -65,8 +65,8 @@
 void AdmissionController::UpdateCostPerJob() {
   if (answers_in_window_ < kMinAnswers) return;
   const double measured = static_cast<double>(worked_in_window_) / static_cast<double>(answers_in_window_);
-  // Danger: a stall (slow storage, a suspended process) is not the cost of a job, so one measurement may move
-  // the estimate only a little.
+  // A stall (slow storage, a suspended process) says nothing about the cost of a job, so the influence of one
+  // measurement is limited.
   const double bounded = std::clamp(measured, cost_per_job_ / kMaxChange, cost_per_job_ * kMaxChange);
   cost_per_job_ += kSmoothing * (bounded - cost_per_job_);
   cost_per_job_ = std::clamp(cost_per_job_, kMinCostPerJob, kMaxCostPerJob);
@@ -110,8 +110,8 @@
   const Micros now = submission.now;
   next_retry_at_ = std::max(next_retry_at_, now + std::max(drained_in, kMinRetryAfter));
   next_retry_at_ += static_cast<Micros>(cost_per_job_);
-  // Beyond the longest Retry-After all clients get the same time: the schedule does not grow without
-  // bound.
+  // When the schedule reaches the longest Retry-After, all further clients get the same time; otherwise the
+  // schedule would grow without bound.
   next_retry_at_ = std::min(next_retry_at_, now + options_.max_retry_after);
   AdmissionDecision decision{result, 0};
   if (next_retry_at_ < submission.deadline) decision.retry_after = next_retry_at_ - now;
--- a/tests/admission/admission_test.cpp
+++ b/tests/admission/admission_test.cpp
@@ -1,5 +1,5 @@
-// Admission control: which submissions are rejected, when, and what Retry-After they get. No sockets; the
-// test sets the time.
+// Tests admission control: which submissions are rejected, and which Retry-After they get. The tests use no
+// sockets and set the time themselves.
 #include "admission/admission.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,8 @@
 constexpr Micros kClientTime = 8 * kSecond;
 constexpr Micros kIteration = 10'000;
 
-// Event loop iterations of 10 ms: `worked` of each, `answers` in each.
+// Records `count` event loop iterations of 10 ms, each with `worked` microseconds of work and `answers` final
+// answers.
 void RunIterations(AdmissionController* controller, Micros* now, int count, Micros worked, int answers) {
   for (int i = 0; i < count; ++i) {
     for (int answer = 0; answer < answers; ++answer) controller->RecordAnswer();
@@ -43,7 +44,7 @@
 TEST(AdmissionController, RejectsOnlySubmissionsThatWouldWaitTooLongWhenSaturated) {
   AdmissionController controller({});
   Micros now = 100 * kSecond;
-  RunIterations(&controller, &now, 200, 10'000, 50);  // 200 us a job
+  RunIterations(&controller, &now, 200, 10'000, 50);  // 200 us for each job
   ASSERT_TRUE(controller.saturated());
   EXPECT_TRUE(controller.Decide(ArrivingAt(now, 100, 2'000)).admitted()) << "0.42 s of work";
   const AdmissionDecision rejected = controller.Decide(ArrivingAt(now, 1'000, 2'000));  // 0.6 s
@@ -59,7 +60,7 @@
   RunIterations(&controller, &now, 200, 10'000, 50);
   SubmissionState submission = ArrivingAt(now, 1'000, 0);  // 0.2 s
   EXPECT_TRUE(controller.Decide(submission).admitted());
-  submission.deadline = now + 400'000;  // a quarter of it is 0.1 s
+  submission.deadline = now + 400'000;  // a quarter of this time is 0.1 s
   EXPECT_FALSE(controller.Decide(submission).admitted());
 }
 
@@ -98,7 +99,7 @@
     const AdmissionDecision rejected = controller.Decide(ArrivingAt(now, 5'000, 0));
     ASSERT_LT(rejected.retry_after, kClientTime);
   }
-  // Times that clients were told expire when they have passed.
+  // Retry times that were sent to earlier clients no longer count once they have passed.
   now += 40 * kSecond;
   RunIterations(&controller, &now, 200, 10'000, 50);
   EXPECT_LT(controller.Decide(ArrivingAt(now, 5'000, 0)).retry_after, 2 * kSecond);
