--- a/src/retry/retry.cpp
+++ b/src/retry/retry.cpp
@@ -7,7 +7,7 @@
 
 RetryDecision GiveUp(GiveUpReason reason) { return {RetryAction::kGiveUp, 0, reason}; }
 
-// Whether a second run could do harm while an earlier attempt may still run.
+// Reports whether a retry could do harm because an earlier attempt may still run.
 bool NeedsReconciliation(const RequestEnded& ended) {
   if (ended.idempotency == Idempotency::kIdempotent) return false;
   return ended.unresolved_attempt || ended.result == RequestResult::kFailed;
@@ -33,8 +33,8 @@
 
 RetryDecision RetryState::Decide(const RetryPolicy& policy, const RequestEnded& ended) {
   if (!ended.rerunnable) return GiveUp(GiveUpReason::kNotRerunnable);
-  // Danger: a task that is not idempotent and may have run must never start again, whatever its client
-  // allows. Only the certainty that no attempt ran could permit it, and a lost task is proof of the contrary.
+  // A task that is not idempotent and may have run must never start again, even if its client allows retries.
+  // A retry is safe only if it is certain that no attempt ran; a lost task has run.
   if (ended.idempotency == Idempotency::kNotIdempotent && ended.result != RequestResult::kRejected) {
     return GiveUp(GiveUpReason::kMayHaveRun);
   }
@@ -43,7 +43,7 @@
   const bool reconcile = NeedsReconciliation(ended);
   Micros wait = std::max(Backoff(policy, ended.result), ended.retry_after);
   if (reconcile) wait = std::max(wait, policy.reconciliation_wait);
-  // Clients that were rejected together must not come back together.
+  // Jitter keeps clients that were rejected at the same time from retrying at the same time.
   wait += static_cast<Micros>(static_cast<double>(wait) * policy.jitter * ended.random_draw);
   if (ended.now + wait >= ended.deadline) return GiveUp(GiveUpReason::kDeadline);
 
--- a/src/retry/retry.hpp
+++ b/src/retry/retry.hpp
@@ -1,8 +1,9 @@
-// Retry decisions: whether, and when, a job that got no running task from a launch request, or lost the one
-// it had, requests a launch again.
+// Retry decisions: whether, and when, a job sends another launch request after one that started no task, or
+// after its running task was lost.
 //
-// Pure decisions, free of I/O, clocks and threads; the caller supplies the random draw. The scheduler is not
-// involved: a retry is a new launch request to it, and each launch request has its own final answer.
+// The decisions are deterministic: the code does no I/O, reads no clock and starts no thread, and the caller
+// supplies the random draw. The scheduler takes no part in them: a retry is a new launch request to the
+// scheduler, and each launch request has its own final answer.
 #ifndef MOUNTFLOW_RETRY_RETRY_HPP_
 #define MOUNTFLOW_RETRY_RETRY_HPP_
 
@@ -14,58 +15,59 @@
 namespace mountflow::retry {
 
 struct RetryPolicy {
-  unsigned max_retries = 8;            // in a row, without a task started in between; 0: never
-  Micros initial_backoff = 1'000'000;  // after a rejection or failure, doubled with each retry in a row
-  Micros max_backoff = 30'000'000;     // upper bound of the doubling
-  Micros lost_task_backoff =
-      200'000;           // after a running task was lost: one node had the fault, not the cluster
-  double jitter = 0.25;  // each wait is stretched by up to this share of itself, at random
-  Micros reconciliation_wait =
-      3'000'000;  // the least wait where an attempt may have run and a second run could do harm
+  unsigned max_retries = 8;            // consecutive retries without a task start in between; 0: none
+  Micros initial_backoff = 1'000'000;  // after a rejection or failure; doubled with each consecutive retry
+  Micros max_backoff = 30'000'000;     // upper bound of the doubled backoff
+  // Backoff after a running task was lost. It is short because the fault concerned one node, not the cluster.
+  Micros lost_task_backoff = 200'000;
+  double jitter = 0.25;  // each wait is extended at random by up to this share of itself
+  // Minimum wait if an attempt may have run and a second run could do harm.
+  Micros reconciliation_wait = 3'000'000;
 };
 
 enum class RequestResult {
-  kRejected,  // nothing ran; a retry is harmless
+  kRejected,  // no attempt ran, so a retry is harmless
   kFailed,    // an attempt may have run
   kLost       // the task ran and was then evicted, terminated, migrated, or lost with its node
 };
 
-// A launch request that ended without a task that runs on.
+// A launch request that ended without a running task, or whose running task was lost.
 struct RequestEnded {
   RequestResult result = RequestResult::kRejected;
   Idempotency idempotency = Idempotency::kNotIdempotent;
   bool rerunnable = false;          // the client allows retries
   bool unresolved_attempt = false;  // an attempt may still run or be accepted
-  Micros retry_after = 0;           // the wait that the rejection requested
+  Micros retry_after = 0;           // minimum wait that the rejection requested
   Micros now = 0;
-  Micros deadline = 0;       // the client waits no longer
+  Micros deadline = 0;       // time at which the client stops waiting
   double random_draw = 0.0;  // in [0, 1)
 };
 
 enum class RetryAction {
-  kRetry,                     // at `at`
-  kRetryAfterReconciliation,  // at `at` at the earliest, and only once every earlier attempt is known not to
-                              // run
-  kGiveUp                     // the last result is final
+  kRetry,  // retry at the time `at`
+  // Retry at the time `at` or later, once every earlier attempt is known not to run.
+  kRetryAfterReconciliation,
+  kGiveUp  // do not retry: the last result is final
 };
 
 enum class GiveUpReason { kNone, kNotRerunnable, kMayHaveRun, kRetriesExhausted, kDeadline };
 
-// The text that clients read, also part of stored job comments; empty for kNone.
+// Returns the text that clients read; it is also part of stored job comments. Empty for kNone.
 [[nodiscard]] std::string_view Describe(GiveUpReason reason);
 
 struct RetryDecision {
   RetryAction action = RetryAction::kGiveUp;
-  Micros at = 0;
-  GiveUpReason reason = GiveUpReason::kNone;  // of kGiveUp
+  Micros at = 0;                              // time of the retry; 0 for kGiveUp
+  GiveUpReason reason = GiveUpReason::kNone;  // kNone unless the action is kGiveUp
 };
 
-// Counts one job's retries. Not thread-safe.
+// Decides about the retries of one job and counts them. Not thread-safe.
 class RetryState {
  public:
-  // Decides once for each launch request that ended; a retry that is granted counts.
+  // Decides whether to retry a launch request that ended; called once for each. Counts the retry if it is
+  // granted.
   [[nodiscard]] RetryDecision Decide(const RetryPolicy& policy, const RequestEnded& ended);
-  // The job's task started: the count and the backoff begin anew.
+  // Resets the retry count and the backoff because the job's task started.
   void TaskStarted() { retries_in_row_ = 0; }
   [[nodiscard]] unsigned retries_in_row() const { return retries_in_row_; }
 
--- a/tests/retry/retry_test.cpp
+++ b/tests/retry/retry_test.cpp
@@ -1,4 +1,4 @@
-// Retries of launch requests: which are granted, when, and how often.
+// Tests which retries of launch requests are granted, when, and how often.
 #include "retry/retry.hpp"
 
 #include <gtest/gtest.h>
@@ -32,7 +32,7 @@
   EXPECT_EQ(waits, (std::vector<Micros>{1'000'000, 2'000'000, 4'000'000, 8'000'000, 10'000'000, 10'000'000,
                                         10'000'000}));
   EXPECT_EQ(state.Decide(policy, ended).action, RetryAction::kGiveUp);
-  state.TaskStarted();  // the count and the backoff begin anew
+  state.TaskStarted();  // resets the retry count and the backoff
   EXPECT_EQ(state.Decide(policy, ended).at - ended.now, 1'000'000u);
 }
 
@@ -55,11 +55,11 @@
     ended.result = result;
     EXPECT_EQ(state.Decide({}, ended).action, RetryAction::kGiveUp);
   }
-  ended.result = RequestResult::kRejected;  // a rejection is the certainty that nothing ran
+  ended.result = RequestResult::kRejected;  // a rejection means that no attempt ran
   EXPECT_EQ(state.Decide({}, ended).action, RetryAction::kRetry);
 }
 
-TEST(RetryState, ReconcilesKeyedTaskInDoubtFirstAndIdempotentTaskNot) {
+TEST(RetryState, ReconcilesTaskWithKeyBeforeRetryButNotIdempotentTask) {
   RequestEnded ended = Rejected();
   ended.result = RequestResult::kFailed;
   ended.idempotency = Idempotency::kWithKey;
@@ -92,7 +92,7 @@
   EXPECT_EQ(state.Decide({}, ended).at - ended.now, 2 * RetryPolicy{}.initial_backoff);
 }
 
-TEST(GiveUpReason, IsGivenWithEachRefusedRetryAndDescribedToClient) {
+TEST(GiveUpReason, IsGivenWithEachDeniedRetryAndDescribedToClient) {
   EXPECT_EQ(Describe(GiveUpReason::kNone), "");
   RequestEnded ended = Rejected();
   ended.rerunnable = false;
