--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -16,7 +16,8 @@
   names.erase(std::unique(names.begin(), names.end()), names.end());
 
   MembershipChange change;
-  // While uncertain the last size is retained: the scheduler uses it for more than the slow-start budget.
+  // An uncertain view does not change the size, because the scheduler uses it for more than the slow-start
+  // budget.
   change.size = reported_.size;
   next_timer_ = ~Micros{0};
   if (IsCertain(view)) {
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,4 +1,5 @@
-// Group membership is certain only when it can be.
+// Tests group membership: the index of this scheduler is reported only while the view and the lease are
+// valid, and each change is reported once.
 #include "membership/membership.hpp"
 
 #include <gtest/gtest.h>
@@ -44,7 +45,7 @@
   EXPECT_EQ(index_after([](GroupView* view) { view->known = false; }), -1);
   EXPECT_EQ(index_after([](GroupView* view) { view->view_age = 6 * kSecond; }), -1);
   EXPECT_EQ(index_after([](GroupView* view) { view->lease_expires_at = view->now; }),
-            -1);  // others may count 2
+            -1);  // the others may count two members
   EXPECT_EQ(index_after([](GroupView* view) { view->names = {"d0", "d2"}; }), -1);
   EXPECT_EQ(index_after([](GroupView* view) { view->names.clear(); }), -1);
 }
