--- a/src/node_sessions/attempt_exchange.cpp
+++ b/src/node_sessions/attempt_exchange.cpp
@@ -11,7 +11,7 @@
 
 using pbs_protocol::RequestType;
 
-constexpr std::size_t kScriptPieceBytes = 64 << 10;  // of a script, in one request
+constexpr std::size_t kScriptPieceBytes = 64 << 10;  // most bytes of a script in one JobScript request
 constexpr std::int64_t kLargestRejectionReason = static_cast<std::int64_t>(RejectionReason::kDrained);
 
 pbs_protocol::Request MakeRequest(RequestType type, const SessionContext& context, const std::string& name) {
@@ -39,14 +39,15 @@
   const auto add = [&request](const char* key, std::string value) {
     request.attributes.push_back({key, "", std::move(value), pbs_protocol::Op::kSet});
   };
-  add("until", std::to_string(attempt.deadline));  // a commit that comes later is rejected
+  add("until", std::to_string(attempt.deadline));  // the node rejects a commit after this time
   add("report_to", context.options.report_to);
   add("server", job_manager_options.server);
   add("class_priority", std::to_string(job_manager_options.settings.classes[spec.task_class].priority));
   return request;
 }
 
-// The requests that carry the script; an empty one is one empty piece. Returns how many.
+// Appends the requests that carry the script and returns their number. An empty script is sent as one empty
+// piece.
 unsigned EncodeScript(const SessionContext& context, const std::string& script, const std::string& name,
                       std::string* bytes) {
   unsigned pieces = 0;
@@ -62,7 +63,8 @@
   return pieces;
 }
 
-// Nodes write the text of a rejection as "text\tx0=.. x1=..", the latter being their load.
+// Converts an error reply of a node to a rejection. Its text has the form "text\tx0=.. x1=..", where the part
+// after the tab is the load report of the node.
 job_manager::AttemptRejected ReadRejection(const job_manager::AttemptId& attempt,
                                            const pbs_protocol::Reply& reply) {
   job_manager::AttemptRejected rejection;
--- a/src/node_sessions/attempt_exchange.hpp
+++ b/src/node_sessions/attempt_exchange.hpp
@@ -1,4 +1,4 @@
-// The exchange of requests and replies that starts one attempt at a node.
+// The requests that start an attempt on a node, and the interpretation of their replies.
 #ifndef MOUNTFLOW_NODE_SESSIONS_ATTEMPT_EXCHANGE_HPP_
 #define MOUNTFLOW_NODE_SESSIONS_ATTEMPT_EXCHANGE_HPP_
 
@@ -12,38 +12,41 @@
 
 namespace mountflow::node_sessions {
 
-// The requests of an attempt up to and including ReadyToCommit.
+// The encoded requests of an attempt up to and including ReadyToCommit.
 struct Submission {
   std::string bytes;
-  unsigned requests = 0;  // each gets one reply
+  unsigned requests = 0;  // number of requests in `bytes`; each gets one reply
 };
 
-// Nothing when the job manager does not know the attempt (any more).
+// Returns nothing if the job manager does not know the attempt.
 [[nodiscard]] std::optional<Submission> EncodeSubmission(const SessionContext& context,
                                                          const job_manager::AttemptId& attempt);
+// Returns the encoded Commit request of an attempt.
 [[nodiscard]] std::string EncodeCommit(const SessionContext& context, const job_manager::AttemptId& attempt);
 
 enum class AttemptStep : std::uint8_t { kIdle, kSubmitting, kReady, kCommitting };
 
-// The state of one attempt connection, which serves one attempt after the other. What a reply means:
+// The state of one attempt connection, which serves one attempt at a time. A reply has these effects:
 //
-//   step          reply                                  next step     message
-//   kIdle         any                                    (not awaited)
-//   kSubmitting   any but the last                       kSubmitting   none
-//   kSubmitting   the last, all without error            kReady        Ready
-//   kSubmitting   the last, some with an error           kIdle         Refused, with the first error
-//   kReady        any                                    (not awaited)
-//   kCommitting   without error                          kIdle         Committed
-//   kCommitting   an error                               kIdle         Refused
+//   step          reply                          next step     message
+//   kIdle         any                            (no reply is awaited)
+//   kSubmitting   any but the last               kSubmitting   none
+//   kSubmitting   last, no reply was an error    kReady        AttemptPrepared
+//   kSubmitting   last, some reply was an error  kIdle         AttemptRejected, with the first error
+//   kReady        any                            (no reply is awaited)
+//   kCommitting   success                        kIdle         AttemptCommitted
+//   kCommitting   error                          kIdle         AttemptRejected
 class AttemptExchange {
  public:
-  // Only in kIdle: the submission was sent, and `replies` are awaited.
+  // Records that the submission of `attempt` was sent and that `replies` replies are awaited. The step must
+  // be kIdle.
   void Begin(const job_manager::AttemptId& attempt, unsigned replies);
-  // The commit was sent.
+  // Records that the commit was sent. The step must be kReady.
   void BeginCommit() { step_ = AttemptStep::kCommitting; }
 
   [[nodiscard]] bool AwaitsReply() const;
-  // Only when a reply is awaited. Nothing when further ones are needed.
+  // Handles a reply and returns the message for the job manager; nothing if further replies are awaited. Must
+  // be called only if AwaitsReply().
   [[nodiscard]] std::optional<job_manager::NodeMessage> OnReply(pbs_protocol::Reply reply);
 
   [[nodiscard]] AttemptStep step() const { return step_; }
@@ -52,8 +55,8 @@
  private:
   AttemptStep step_ = AttemptStep::kIdle;
   job_manager::AttemptId attempt_;
-  unsigned awaited_replies_ = 0;                    // of the submission
-  std::optional<pbs_protocol::Reply> first_error_;  // of the submission
+  unsigned awaited_replies_ = 0;                    // remaining replies to the submission
+  std::optional<pbs_protocol::Reply> first_error_;  // first error reply to the submission
 };
 
 }  // namespace mountflow::node_sessions
--- a/src/node_sessions/attempt_sessions.cpp
+++ b/src/node_sessions/attempt_sessions.cpp
@@ -8,7 +8,7 @@
   context_->messages.emplace_back(job_manager::AttemptDisconnected{attempt, false});
 }
 
-// ---- From the job manager ----
+// ---- Requests of the job manager ----
 
 void AttemptSessions::Submit(Micros now, const job_manager::PrepareAttempt& request,
                              const std::string& address) {
@@ -26,7 +26,7 @@
 
 void AttemptSessions::Commit(const job_manager::CommitAttempt& request) {
   const auto found = connection_of_attempt_.find(KeyOf(request.attempt));
-  if (found == connection_of_attempt_.end()) {  // its connection broke meanwhile
+  if (found == connection_of_attempt_.end()) {  // the connection ended before the commit
     ReportNotSent(request.attempt);
     return;
   }
@@ -50,7 +50,7 @@
   StartWaiting(now, node_id);
 }
 
-void AttemptSessions::LimitWait(const job_manager::AttemptId& attempt, Micros deadline) {
+void AttemptSessions::SetReplyDeadline(const job_manager::AttemptId& attempt, Micros deadline) {
   const auto found = connection_of_attempt_.find(KeyOf(attempt));
   if (found != connection_of_attempt_.end()) context_->connections.SetDeadline(found->second, deadline);
 }
@@ -106,7 +106,7 @@
   }
 }
 
-// ---- From the connections ----
+// ---- Events of the connections ----
 
 void AttemptSessions::OnReply(Micros now, ConnId id, pbs_protocol::Reply reply) {
   AttemptExchange& exchange = exchanges_.at(id);
--- a/src/node_sessions/attempt_sessions.hpp
+++ b/src/node_sessions/attempt_sessions.hpp
@@ -1,5 +1,6 @@
-// The attempts at all nodes: each has a connection of its own while its start lasts, since replies come in
-// order and a slow one would hold up others. Connections are kept for later attempts.
+// The attempts that are being started on all nodes. Each has its own connection until its start is complete,
+// because replies arrive in order and a slow reply would delay those behind it. Idle connections are reused
+// for later attempts.
 #ifndef MOUNTFLOW_NODE_SESSIONS_ATTEMPT_SESSIONS_HPP_
 #define MOUNTFLOW_NODE_SESSIONS_ATTEMPT_SESSIONS_HPP_
 
@@ -17,52 +18,64 @@
 
 namespace mountflow::node_sessions {
 
-// An attempt beyond max_connections waits; one beyond max_waiting is reported as Broken and not sent, so it
-// never runs.
+// Starts attempts on nodes. If a node already has max_connections attempts, a further attempt waits. If
+// max_waiting attempts wait, a further one is not sent, so it never runs, and is reported as
+// AttemptDisconnected. Not thread-safe.
 class AttemptSessions {
  public:
+  // `context` must outlive this object.
   explicit AttemptSessions(SessionContext* context) : context_(context) {}
 
-  // `address` is the node's.
+  // Submits an attempt to the node at `address`.
   void Submit(Micros now, const job_manager::PrepareAttempt& request, const std::string& address);
+  // Sends the commit of a prepared attempt. Reports AttemptDisconnected if the attempt has no connection any
+  // more.
   void Commit(const job_manager::CommitAttempt& request);
-  // Before the commit: a connection that is lost then leaves no job at the node.
+  // Abandons an attempt whose commit was not sent: it no longer waits, or its connection is closed. A node
+  // discards a job whose connection closes before the commit.
   void Abandon(Micros now, const job_manager::AbandonAttempt& request);
-  // The attempt is being stopped: the reply to its commit may never come, and its connection is not kept for
-  // it for ever.
-  void LimitWait(const job_manager::AttemptId& attempt, Micros deadline);
+  // Sets the deadline of the attempt's connection. Called when the attempt is being stopped, because the
+  // reply to its commit may never arrive.
+  void SetReplyDeadline(const job_manager::AttemptId& attempt, Micros deadline);
 
-  // The address of the node has changed: connections to the old one are of no use.
+  // Closes the idle connections to a node whose address has changed; later connections use `new_address`.
   void CloseIdle(NodeId node, const std::string& new_address);
-  // The connections are closed by the caller, which calls ForgetConnection for each.
+  // Removes a node and its waiting attempts. The caller closes the connections to the node and calls
+  // ForgetConnection for each.
   void ForgetNode(NodeId node) { nodes_.erase(node); }
+  // Removes an attempt connection and its attempt without a message. Does nothing for other connections.
   void ForgetConnection(ConnId id);
 
+  // Reports whether the attempt connection awaits a reply. The connection must exist.
   [[nodiscard]] bool AwaitsReply(ConnId id) const { return exchanges_.at(id).AwaitsReply(); }
+  // Handles a reply on an attempt connection, which must await one.
   void OnReply(Micros now, ConnId id, pbs_protocol::Reply reply);
-  // The connection to `node` is gone, whoever ended it.
+  // Handles the end of a connection to `node`, which either side may have closed.
   void OnClosed(Micros now, ConnId id, NodeId node);
 
  private:
   using AttemptKey = std::pair<std::uint64_t, std::uint32_t>;  // job, attempt number
   struct Node {
     std::string address;
-    std::vector<ConnId> idle;  // the last used at the end
-    std::size_t busy = 0;      // connections with an attempt
+    std::vector<ConnId> idle;  // the most recently used connection is last
+    std::size_t busy = 0;      // number of connections with an attempt
     std::deque<job_manager::AttemptId> waiting;
   };
 
   static AttemptKey KeyOf(const job_manager::AttemptId& attempt) { return {attempt.job, attempt.number}; }
+  // Reports the attempt to the job manager as disconnected before its commit was sent.
   void ReportNotSent(const job_manager::AttemptId& attempt);
   void Start(Micros now, NodeId node_id, Node& node, const job_manager::AttemptId& attempt);
+  // Returns an idle connection to the node, or opens a new one.
   [[nodiscard]] ConnId TakeConnection(Micros now, NodeId node_id, Node& node);
-  // The connection has no attempt any more: it is kept or closed.
+  // Marks the connection of a finished attempt as idle, or closes it if the node has enough idle connections.
   void Release(Micros now, ConnId id, const job_manager::AttemptId& attempt);
+  // Starts waiting attempts while the node has fewer than max_connections attempts.
   void StartWaiting(Micros now, NodeId node_id);
 
   SessionContext* context_;
   std::map<NodeId, Node> nodes_;
-  std::map<ConnId, AttemptExchange> exchanges_;  // of each attempt connection
+  std::map<ConnId, AttemptExchange> exchanges_;  // state of each attempt connection
   std::map<AttemptKey, ConnId> connection_of_attempt_;
 };
 
--- a/src/node_sessions/control_exchange.cpp
+++ b/src/node_sessions/control_exchange.cpp
@@ -14,7 +14,8 @@
 using pbs_protocol::RequestType;
 
 constexpr unsigned kManageCommandDelete = 1;
-constexpr unsigned kUnreadableClass = std::numeric_limits<unsigned>::max();  // the job manager rejects it
+constexpr unsigned kUnknownClass =
+    std::numeric_limits<unsigned>::max();  // the job manager rejects a task of this class
 
 bool IsSuccess(const pbs_protocol::Reply& reply) { return reply.code == pbs_protocol::Code::kNone; }
 
@@ -38,7 +39,7 @@
     request.type = RequestType::kStatusJob;
     request.id = context.job_manager->AttemptName(query.attempt);
   }
-  void operator()(const job_manager::ReconcileNode& /*sync*/) const {
+  void operator()(const job_manager::ReconcileNode& /*reconcile*/) const {
     request.type = RequestType::kStatusJob;
     request.attributes.push_back(
         {"server", "", context.job_manager->options().server, pbs_protocol::Op::kEq});
@@ -48,14 +49,14 @@
     request.type = RequestType::kSelectJobs;
     request.attributes.push_back({"key", "", find.key, pbs_protocol::Op::kEq});
   }
-  void operator()(const job_manager::CheckNodeHealth& /*probe*/) const {
+  void operator()(const job_manager::CheckNodeHealth& /*check*/) const {
     request.type = RequestType::kStatusServer;
   }
 };
 
 // ---- Decoding ----
 
-// One job that the node holds. Nothing when it is not an attempt of ours.
+// Converts a job that a node reports as held. Returns nothing if the job is not an attempt of this daemon.
 std::optional<job_manager::ReportedAttempt> ReadHeldJob(const SessionContext& context,
                                                         const pbs_protocol::StatusObject& object) {
   job_manager::ReportedAttempt held;
@@ -71,24 +72,24 @@
   const std::string queue(pbs_protocol::ValueOf(object.attributes, "queue"));
   const pbs_server::AttributeResult decoded =
       pbs_server::DecodeSubmission(attributes, queue, context.vocabulary, &held.spec);
-  if (!decoded) held.spec.task_class = kUnreadableClass;
+  if (!decoded) held.spec.task_class = kUnknownClass;
   return held;
 }
 
-job_manager::NodeReconciled ReadSync(const SessionContext& context, NodeId node,
-                                     const pbs_protocol::Reply& reply) {
-  job_manager::NodeReconciled synced;
-  synced.node = node;
+job_manager::NodeReconciled ReadReconciliation(const SessionContext& context, NodeId node,
+                                               const pbs_protocol::Reply& reply) {
+  job_manager::NodeReconciled reconciled;
+  reconciled.node = node;
   for (const pbs_protocol::StatusObject& object : reply.objects) {
     if (object.type == pbs_protocol::ObjectType::kServer) {
       const auto started = pbs_server::ParseCount(pbs_protocol::ValueOf(object.attributes, "started"));
-      if (started) synced.started = *started;
+      if (started) reconciled.started = *started;
       continue;
     }
     std::optional<job_manager::ReportedAttempt> held = ReadHeldJob(context, object);
-    if (held) synced.held.push_back(std::move(*held));
+    if (held) reconciled.held.push_back(std::move(*held));
   }
-  return synced;
+  return reconciled;
 }
 
 struct ReplyMapper {
@@ -106,8 +107,8 @@
   std::optional<NodeMessage> operator()(const job_manager::QueryAttempt& query) const {
     return job_manager::QueryAnswered{query.attempt, IsSuccess(reply)};
   }
-  std::optional<NodeMessage> operator()(const job_manager::ReconcileNode& /*sync*/) const {
-    return ReadSync(context, node, reply);
+  std::optional<NodeMessage> operator()(const job_manager::ReconcileNode& /*reconcile*/) const {
+    return ReadReconciliation(context, node, reply);
   }
   std::optional<NodeMessage> operator()(const job_manager::FindKey& find) const {
     job_manager::FindKeyAnswered found;
@@ -120,12 +121,12 @@
     }
     return found;
   }
-  std::optional<NodeMessage> operator()(const job_manager::CheckNodeHealth& /*probe*/) const {
-    job_manager::NodeHealthChecked probed{node, IsSuccess(reply), elapsed, {}};
+  std::optional<NodeMessage> operator()(const job_manager::CheckNodeHealth& /*check*/) const {
+    job_manager::NodeHealthChecked checked{node, IsSuccess(reply), elapsed, {}};
     if (!reply.objects.empty()) {
-      probed.report = pbs_server::ParseLoad(pbs_protocol::ValueOf(reply.objects[0].attributes, "load"));
+      checked.report = pbs_server::ParseLoad(pbs_protocol::ValueOf(reply.objects[0].attributes, "load"));
     }
-    return probed;
+    return checked;
   }
 };
 
@@ -141,7 +142,7 @@
   std::optional<NodeMessage> operator()(const job_manager::QueryAttempt& query) const {
     return job_manager::QueryFailed{query.attempt};
   }
-  std::optional<NodeMessage> operator()(const job_manager::ReconcileNode& /*sync*/) const {
+  std::optional<NodeMessage> operator()(const job_manager::ReconcileNode& /*reconcile*/) const {
     return job_manager::ReconcileFailed{node};
   }
   std::optional<NodeMessage> operator()(const job_manager::FindKey& find) const {
@@ -151,7 +152,7 @@
     not_reached.key = find.key;
     return not_reached;
   }
-  std::optional<NodeMessage> operator()(const job_manager::CheckNodeHealth& /*probe*/) const {
+  std::optional<NodeMessage> operator()(const job_manager::CheckNodeHealth& /*check*/) const {
     return job_manager::NodeHealthChecked{node, false, 0, {}};
   }
 };
--- a/src/node_sessions/control_sessions.cpp
+++ b/src/node_sessions/control_sessions.cpp
@@ -46,16 +46,17 @@
   context_->connections.SetDeadline(id, deadline);
 }
 
-// A control connection that broke may mean that the node died: its list of attempts must be read again.
+// A closed control connection may mean that the node failed, so ReconcileFailed is reported even if no
+// reconciliation was pending: the job manager must read the node's list of attempts again.
 void ControlSessions::OnClosed(NodeId node_id) {
   Node& node = nodes_[node_id];
   node.connection = 0;
-  bool sync_failed = false;
+  bool reconcile_failed = false;
   for (const PendingControl& pending : std::exchange(node.pending, {})) {
-    sync_failed |= std::holds_alternative<job_manager::ReconcileNode>(pending.request);
+    reconcile_failed |= std::holds_alternative<job_manager::ReconcileNode>(pending.request);
     ReportFailure(node_id, pending.request);
   }
-  if (!sync_failed) context_->messages.emplace_back(job_manager::ReconcileFailed{node_id});
+  if (!reconcile_failed) context_->messages.emplace_back(job_manager::ReconcileFailed{node_id});
 }
 
 void ControlSessions::CloseIfIdle(NodeId node_id) {
--- a/src/node_sessions/control_sessions.hpp
+++ b/src/node_sessions/control_sessions.hpp
@@ -1,4 +1,4 @@
-// The control connections: one a node, for everything but the start of attempts.
+// The control connections: one for each node, for all requests except those that start attempts.
 #ifndef MOUNTFLOW_NODE_SESSIONS_CONTROL_SESSIONS_HPP_
 #define MOUNTFLOW_NODE_SESSIONS_CONTROL_SESSIONS_HPP_
 
@@ -12,30 +12,33 @@
 
 namespace mountflow::node_sessions {
 
-// A request beyond max_controls is reported as failed. Without any reply for control_timeout the connection
-// is closed.
+// Sends control requests to nodes. A request beyond max_controls pending ones is reported as failed. A
+// connection that awaits replies and gets none for control_timeout is closed. Not thread-safe.
 class ControlSessions {
  public:
+  // `context` must outlive this object.
   explicit ControlSessions(SessionContext* context) : context_(context) {}
 
-  // `address` is the node's.
+  // Sends a request to the node at `address`; opens a connection if there is none.
   void Send(Micros now, NodeId node, const std::string& address, const ControlRequest& request);
-  // For a node whose address is not known.
+  // Reports a request as failed, for example because the address of the node is not known.
   void ReportFailure(NodeId node, const ControlRequest& request);
 
-  // The address of the node has changed: closes the connection unless replies are awaited.
+  // Closes the connection to a node whose address has changed, unless replies are awaited.
   void CloseIfIdle(NodeId node);
-  // The connection is closed by the caller.
+  // Removes a node and its pending requests without messages. The caller closes the connection.
   void ForgetNode(NodeId node) { nodes_.erase(node); }
 
   [[nodiscard]] bool AwaitsReply(NodeId node) const;
+  // Handles a reply on the control connection of `node`, which must await one.
   void OnReply(Micros now, ConnId id, NodeId node, const pbs_protocol::Reply& reply);
-  // The connection is gone, whoever ended it.
+  // Handles the end of the control connection, which either side may have closed: reports all pending
+  // requests as failed.
   void OnClosed(NodeId node);
 
  private:
   struct Node {
-    ConnId connection = 0;  // 0: none
+    ConnId connection = 0;  // 0: no connection
     std::deque<PendingControl> pending;
   };
 
--- a/src/node_sessions/node_sessions.cpp
+++ b/src/node_sessions/node_sessions.cpp
@@ -7,7 +7,8 @@
 namespace mountflow::node_sessions {
 namespace {
 
-// A stopped attempt whose commit has no reply keeps its connection for so many times the control timeout.
+// The connection of a stopped attempt whose commit got no reply is closed after this multiple of the control
+// timeout.
 constexpr Micros kStopTimeoutFactor = 2;
 
 }  // namespace
@@ -18,7 +19,7 @@
       attempts_(&context_),
       controls_(&context_) {}
 
-// ---- From the job manager ----
+// ---- Requests of the job manager ----
 
 struct NodeSessions::OutputVisitor {
   NodeSessions& sessions;
@@ -31,7 +32,7 @@
   }
   void operator()(const job_manager::StopAttempt& request) const {
     const Micros timeout = kStopTimeoutFactor * sessions.context_.options.control_timeout;
-    sessions.attempts_.LimitWait(request.attempt, now + timeout);
+    sessions.attempts_.SetReplyDeadline(request.attempt, now + timeout);
     sessions.SendControl(now, request.node, request);
   }
   void operator()(const job_manager::SignalAttempt& request) const {
@@ -102,7 +103,7 @@
   addresses_.erase(node);
 }
 
-// ---- From the connections ----
+// ---- Events of the connections ----
 
 void NodeSessions::Connected(Micros now, ConnId id) {
   const SessionConnection* connection = context_.connections.Find(id);
@@ -122,7 +123,7 @@
   SessionConnection* connection = context_.connections.Find(id);
   if (connection == nullptr) return;
   connection->reader.Append(bytes);
-  // A reply may end its connection.
+  // Handling a reply may close the connection, so it is looked up again.
   for (; connection != nullptr; connection = context_.connections.Find(id)) {
     pbs_protocol::Reply reply;
     const ReadResult result = connection->reader.Next(&reply);
@@ -139,7 +140,7 @@
   }
 }
 
-void NodeSessions::Closed(Micros now, ConnId id) { OnConnectionGone(now, id); }
+void NodeSessions::Closed(Micros now, ConnId id) { OnConnectionClosed(now, id); }
 
 void NodeSessions::Tick(Micros now) {
   while (const std::optional<ConnId> expired = context_.connections.FindExpired(now)) {
@@ -149,10 +150,10 @@
 
 void NodeSessions::CloseBroken(Micros now, ConnId id) {
   context_.connections.actions().emplace_back(CloseConn{id});
-  OnConnectionGone(now, id);
+  OnConnectionClosed(now, id);
 }
 
-void NodeSessions::OnConnectionGone(Micros now, ConnId id) {
+void NodeSessions::OnConnectionClosed(Micros now, ConnId id) {
   const SessionConnection* connection = context_.connections.Find(id);
   if (connection == nullptr) return;
   const NodeId node = connection->node;
--- a/src/node_sessions/reply_reader.hpp
+++ b/src/node_sessions/reply_reader.hpp
@@ -1,4 +1,4 @@
-// Cuts the bytes of one connection into replies.
+// Splits the bytes received on one connection into replies.
 #ifndef MOUNTFLOW_NODE_SESSIONS_REPLY_READER_HPP_
 #define MOUNTFLOW_NODE_SESSIONS_REPLY_READER_HPP_
 
@@ -17,19 +17,22 @@
   kMalformed,   // no further byte can make it valid
 };
 
-// Holds at most one incomplete reply, of at most pbs_protocol::kMaxReply bytes, and what came behind it.
+// Buffers received bytes and decodes replies from them. An incomplete reply takes at most
+// pbs_protocol::kMaxReply bytes of the buffer.
 class ReplyReader {
  public:
+  // Adds received bytes to the end of the buffer.
   void Append(std::string_view bytes) { input_.append(bytes); }
-  // Takes the next reply from the front.
+  // Decodes the next reply and removes it from the buffer. `*reply` is valid only if the result is
+  // kReply.
   [[nodiscard]] ReadResult Next(pbs_protocol::Reply* reply);
 
  private:
   void DropConsumed();
 
   std::string input_;
-  std::size_t consumed_ = 0;  // the first bytes of input_ that were replies
-  std::size_t needed_ = 1;    // bytes behind them with which decoding is worth trying
+  std::size_t consumed_ = 0;  // number of leading bytes of input_ that are decoded
+  std::size_t needed_ = 1;    // fewest undecoded bytes with which decoding can make progress
 };
 
 }  // namespace mountflow::node_sessions
--- a/src/node_sessions/session_connections.hpp
+++ b/src/node_sessions/session_connections.hpp
@@ -1,4 +1,5 @@
-// The connections to nodes, as far as attempts and control requests share them: state, deadlines and actions.
+// The state, deadlines and pending actions of the connections to nodes. Attempt sessions and control sessions
+// both use them.
 #ifndef MOUNTFLOW_NODE_SESSIONS_SESSION_CONNECTIONS_HPP_
 #define MOUNTFLOW_NODE_SESSIONS_SESSION_CONNECTIONS_HPP_
 
@@ -21,38 +22,45 @@
 
 enum class ConnectionKind : std::uint8_t { kAttempt, kControl };
 
+// The state of one connection to a node.
 struct SessionConnection {
   NodeId node = 0;
   ConnectionKind kind = ConnectionKind::kAttempt;
-  bool open = false;  // established
-  Micros deadline = kNoDeadline;
-  std::string unsent;  // until it is open
+  bool open = false;              // whether the connection is established
+  Micros deadline = kNoDeadline;  // time at which the connection is closed
+  std::string unsent;             // bytes to send as soon as the connection is established
   ReplyReader reader;
 };
 
-// Does no I/O: collects actions. Ids are never used again.
+// All connections to nodes. Does no I/O: it collects actions for the event loop. Connection ids are never
+// reused.
 class SessionConnections {
  public:
-  // The deadline is that of connecting.
+  // Opens a connection to `address` (IP:PORT), which must be established before `deadline`, and returns its
+  // id.
   ConnId Open(NodeId node, ConnectionKind kind, const std::string& address, Micros deadline);
-  // Null when it is gone. Valid until the connection is closed or removed.
+  // Returns the connection, or null if it no longer exists. The pointer is valid until the connection is
+  // closed or removed.
   [[nodiscard]] SessionConnection* Find(ConnId id);
-  // The connection must exist.
+  // Sends bytes as soon as the connection is established. The connection must exist.
   void Send(ConnId id, std::string bytes);
+  // Replaces the deadline; kNoDeadline removes it. The connection must exist.
   void SetDeadline(ConnId id, Micros deadline);
-  // The connection is established: what waited is sent, and the deadline replaced.
+  // Marks the connection as established, sends its unsent bytes and replaces its deadline.
   void SetOpen(ConnId id, Micros deadline);
-  // Closes the connection from our side. Does nothing when it is gone.
+  // Closes and removes the connection. Does nothing if it no longer exists.
   void Close(ConnId id);
-  // Forgets a connection that is closed already.
+  // Removes a connection that is already closed. Does nothing if it no longer exists.
   void Remove(ConnId id);
 
-  // In the order they were opened.
+  // Returns the connections to a node, in the order in which they were opened.
   [[nodiscard]] std::vector<ConnId> OfNode(NodeId node) const;
-  [[nodiscard]] Micros NextDeadline() const;  // the largest value when there is none
+  // Returns the earliest deadline, or the largest value if there is none.
+  [[nodiscard]] Micros NextDeadline() const;
+  // Returns the connection with the earliest deadline, if that is `now` or earlier.
   [[nodiscard]] std::optional<ConnId> FindExpired(Micros now) const;
   [[nodiscard]] std::size_t size() const { return connections_.size(); }
-  // In order; whoever carries them out clears them.
+  // Returns the actions to carry out, in order. The caller clears them after carrying them out.
   [[nodiscard]] std::vector<SessionAction>& actions() { return actions_; }
 
  private:
--- a/src/node_sessions/session_context.hpp
+++ b/src/node_sessions/session_context.hpp
@@ -1,4 +1,4 @@
-// What the attempts and the control requests of all nodes share.
+// The state that attempt sessions and control sessions share.
 #ifndef MOUNTFLOW_NODE_SESSIONS_SESSION_CONTEXT_HPP_
 #define MOUNTFLOW_NODE_SESSIONS_SESSION_CONTEXT_HPP_
 
@@ -12,12 +12,13 @@
 
 namespace mountflow::node_sessions {
 
+// Does not own the job manager, which must outlive it.
 struct SessionContext {
   const job_manager::JobManager* job_manager = nullptr;
   pbs_server::Vocabulary vocabulary;
   NodeSessionOptions options;
   SessionConnections connections;
-  std::vector<job_manager::NodeMessage> messages;  // to the job manager, in order
+  std::vector<job_manager::NodeMessage> messages;  // messages for the job manager, in order
 };
 
 }  // namespace mountflow::node_sessions
--- a/src/node_sessions/session_types.hpp
+++ b/src/node_sessions/session_types.hpp
@@ -1,4 +1,4 @@
-// Options of the sessions with nodes, and what they ask of the event loop.
+// Options of the node sessions, and the actions that they request from the event loop.
 #ifndef MOUNTFLOW_NODE_SESSIONS_SESSION_TYPES_HPP_
 #define MOUNTFLOW_NODE_SESSIONS_SESSION_TYPES_HPP_
 
@@ -13,28 +13,29 @@
 
 using ConnId = std::uint64_t;
 
-// The bounds are those of one node.
+// Options of the node sessions. All bounds apply to each node separately.
 struct NodeSessionOptions {
   std::string user = "mountflowd";
-  std::string report_to;             // HOST:PORT of our batch port, for the nodes' reports
-  std::size_t max_connections = 32;  // attempts at once, each on a connection of its own
-  std::size_t max_idle = 4;          // connections kept for later attempts
+  std::string report_to;             // HOST:PORT of the daemon's batch port, to which nodes report
+  std::size_t max_connections = 32;  // concurrent attempts, each on its own connection
+  std::size_t max_idle = 4;          // idle connections that are reused for later attempts
   std::size_t max_waiting = 256;     // attempts that wait for a connection
   std::size_t max_controls = 1024;   // control requests without a reply
   Micros connect_timeout = 250'000;
-  Micros control_timeout = 2'000'000;  // without any reply on a control connection that waits for one
+  Micros control_timeout = 2'000'000;  // longest time without a reply on a control connection that awaits one
 };
 
-// Open a connection. Connected or Closed is called in return.
+// Open a connection. The event loop then calls NodeSessions::Connected or NodeSessions::Closed.
 struct OpenConn {
   ConnId conn = 0;
   std::string address;  // IP:PORT
 };
+// Write bytes to an established connection.
 struct SendBytes {
   ConnId conn = 0;
   std::string bytes;
 };
-// Close a connection. Nothing is called in return.
+// Close a connection. The event loop makes no call in return.
 struct CloseConn {
   ConnId conn = 0;
 };
--- a/tests/node_sessions/attempt_exchange_test.cpp
+++ b/tests/node_sessions/attempt_exchange_test.cpp
@@ -1,4 +1,4 @@
-// What the replies to an attempt's requests mean, step by step.
+// Tests which message each reply to an attempt's requests produces, step by step.
 #include "node_sessions/attempt_exchange.hpp"
 
 #include <gtest/gtest.h>
@@ -68,7 +68,7 @@
   EXPECT_EQ(exchange_.step(), AttemptStep::kIdle);
 }
 
-TEST_F(AttemptExchangeTest, ErrorOfOneAttemptIsForgottenByTheNext) {
+TEST_F(AttemptExchangeTest, ErrorOfOneAttemptDoesNotAffectTheNext) {
   ReadRejectionOf(Failure("full"));
   exchange_.Begin({8, 1}, 1);
   const auto message = exchange_.OnReply(Success());
@@ -94,18 +94,18 @@
   EXPECT_EQ(exchange_.step(), AttemptStep::kIdle);
 }
 
-TEST_F(AttemptExchangeTest, ReadsLoadBehindTheTextOfARejection) {
+TEST_F(AttemptExchangeTest, ReadsLoadAfterTheTextOfARejection) {
   const job_manager::AttemptRejected rejection =
       ReadRejectionOf(Failure("full\tx0=1.5 x1=2 queue=3 util=0.5"));
   EXPECT_EQ(rejection.reason, "full");
   EXPECT_NE(pbs_server::FormatLoad(rejection.report), pbs_server::FormatLoad({}));
 }
 
-TEST_F(AttemptExchangeTest, RejectionWithoutTextTellsItsCode) {
+TEST_F(AttemptExchangeTest, RejectionWithoutTextDescribesItsCode) {
   EXPECT_EQ(ReadRejectionOf(Failure("")).reason, pbs_protocol::Describe(pbs_protocol::Code::kNoRoom));
 }
 
-TEST_F(AttemptExchangeTest, CauseBeyondTheKnownOnesIsTheNearest) {
+TEST_F(AttemptExchangeTest, UnknownCauseIsClampedToTheNearestKnownCause) {
   EXPECT_EQ(ReadRejectionOf(Failure("full", 99)).cause, RejectionReason::kDrained);
   EXPECT_EQ(ReadRejectionOf(Failure("full", -1)).cause, RejectionReason::kUnspecified);
 }
--- a/tests/node_sessions/attempt_sessions_test.cpp
+++ b/tests/node_sessions/attempt_sessions_test.cpp
@@ -1,4 +1,4 @@
-// Attempts over connections to nodes: bounds, time limits and malformed replies.
+// Tests attempts over connections to nodes: bounds, timeouts and malformed replies.
 #include "tests/node_sessions/node_sessions_fixture.hpp"
 
 namespace mountflow::testing {
@@ -94,7 +94,7 @@
   EXPECT_EQ(opened_.size(), 2u);
   Reply(opened_[0], Rejection("full"), kSubmissionReplies);
   PerformActions();
-  EXPECT_EQ(opened_.size(), 2u);  // the waiting one took the connection over
+  EXPECT_EQ(opened_.size(), 2u);  // the waiting attempt uses the released connection
   ASSERT_EQ(requests_[opened_[0]].size(), 6u);
   EXPECT_EQ(requests_[opened_[0]][3].id, fixture_.job_manager.AttemptName(waiting));
 }
@@ -115,7 +115,7 @@
   ASSERT_EQ(opened_.size(), 2u);
   EXPECT_EQ(requests_[opened_[1]][0].id, fixture_.job_manager.AttemptName(third));
   EXPECT_TRUE(sessions_->messages().empty());
-  sessions_->Closed(fixture_.now, opened_[0]);  // an event that comes late
+  sessions_->Closed(fixture_.now, opened_[0]);  // a late event of a closed connection
   EXPECT_TRUE(sessions_->messages().empty());
 }
 
@@ -126,7 +126,8 @@
   const auto disconnected = TakeMessage<job_manager::AttemptDisconnected>();
   EXPECT_EQ(disconnected.attempt, attempt);
   EXPECT_FALSE(disconnected.sent);
-  Deliver(job_manager::CommitAttempt{attempt, node_});  // crossed the news
+  Deliver(job_manager::CommitAttempt{attempt,
+                                     node_});  // the job manager sent it before it handled the disconnect
   EXPECT_FALSE(TakeMessage<job_manager::AttemptDisconnected>().sent);
   EXPECT_EQ(sessions_->connections(), 0u);
 }
@@ -165,7 +166,7 @@
   Deliver(job_manager::StopAttempt{attempt, node_});
   PerformActions();
   const Micros timeout = NodeSessionOptions{}.control_timeout;
-  Reply(opened_.back());  // to the stop; the commit gets no reply
+  Reply(opened_.back());  // reply to the stop; the commit gets no reply
   EXPECT_TRUE(TakeMessage<job_manager::StopAnswered>().known);
   EXPECT_EQ(sessions_->NextTimer(), fixture_.now + 2 * timeout);
   sessions_->Tick(fixture_.now + 2 * timeout);
--- a/tests/node_sessions/control_sessions_test.cpp
+++ b/tests/node_sessions/control_sessions_test.cpp
@@ -1,4 +1,5 @@
-// Control requests over the one connection a node has for them, and nodes that move or are forgotten.
+// Tests control requests over the control connection of a node, and nodes that change their address or are
+// removed.
 #include "tests/node_sessions/node_sessions_fixture.hpp"
 
 namespace mountflow::testing {
@@ -34,7 +35,7 @@
   fixture_.now += 7;
   Reply(opened_[0]);
   const auto messages = TakeMessages();
-  ASSERT_EQ(messages.size(), 4u);  // a signal has no answer
+  ASSERT_EQ(messages.size(), 4u);  // a signal produces no message
   EXPECT_TRUE(std::get<job_manager::StopAnswered>(messages[0]).known);
   EXPECT_TRUE(std::get<job_manager::QueryAnswered>(messages[1]).found);
   const auto& key_found = std::get<job_manager::FindKeyAnswered>(messages[2]);
@@ -83,14 +84,14 @@
   const Micros timeout = NodeSessionOptions{}.control_timeout;
   EXPECT_EQ(sessions_->NextTimer(), fixture_.now + timeout);
   fixture_.now += timeout / 2;
-  Reply(opened_[0]);  // each reply gives the next one the whole time again
+  Reply(opened_[0]);  // each reply restarts the timeout
   TakeMessages();
   EXPECT_EQ(sessions_->NextTimer(), fixture_.now + timeout);
   sessions_->Tick(fixture_.now + timeout);
   const auto messages = TakeMessages();
   ASSERT_EQ(messages.size(), 2u);
   EXPECT_EQ(std::get<job_manager::QueryFailed>(messages[0]).attempt, attempt);
-  EXPECT_EQ(std::get<job_manager::ReconcileFailed>(messages[1]).node, node_);  // the node may have died
+  EXPECT_EQ(std::get<job_manager::ReconcileFailed>(messages[1]).node, node_);  // the node may have failed
   PerformActions();
   EXPECT_EQ(closed_, opened_);
 }
@@ -127,7 +128,7 @@
   reply.objects[1].attributes = {{"job_state", "", "E", pbs_protocol::Op::kSet},
                                  {"Job_Owner", "", "thandi", pbs_protocol::Op::kSet},
                                  {"queue", "", "safe", pbs_protocol::Op::kSet}};
-  reply.objects[2].name = "6.d1/1";  // another daemon's
+  reply.objects[2].name = "6.d1/1";  // attempt of another daemon
   reply.objects[3].name = "7.d0/1";
   reply.objects[3].attributes = {{"queue", "", "none of ours", pbs_protocol::Op::kSet}};
   Reply(opened_[0], reply);
@@ -149,7 +150,7 @@
   EXPECT_TRUE(sessions_->actions().empty());
 }
 
-// ---- Nodes that move or go ----
+// ---- Nodes that change their address or are removed ----
 
 TEST_F(ControlSessions, ConnectionsToAnOldAddressAreClosedWhenIdle) {
   SubmitAttempt();
--- a/tests/node_sessions/node_sessions_fixture.hpp
+++ b/tests/node_sessions/node_sessions_fixture.hpp
@@ -1,4 +1,4 @@
-// The fixture of tests of sessions with nodes: the job manager's side is real, the nodes' side is the test.
+// The fixture of the node session tests. It uses a real job manager, and the test plays the nodes.
 #ifndef MOUNTFLOW_TESTS_NODE_SESSIONS_NODE_SESSIONS_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_NODE_SESSIONS_NODE_SESSIONS_FIXTURE_HPP_
 
@@ -25,6 +25,7 @@
 
 inline constexpr Micros kNever = std::numeric_limits<Micros>::max();
 
+// Runs NodeSessions with one node, "a", which is listed and reconciled.
 class NodeSessionsTest : public ::testing::Test {
  protected:
   void SetUp() override {
@@ -42,7 +43,7 @@
 
   // ---- The job manager's side ----
 
-  // Submits a job and gives the sessions its first attempt.
+  // Submits a job, delivers its first attempt to the sessions and returns the id of the attempt.
   job_manager::AttemptId SubmitAttempt() {
     fixture_.Clear();
     fixture_.Submit(1);
@@ -55,7 +56,7 @@
     sessions_->Deliver(fixture_.now, message);
   }
   std::vector<job_manager::NodeMessage> TakeMessages() { return std::exchange(sessions_->messages(), {}); }
-  // The only message, which must be of this type.
+  // Takes the only message, which must be of this type.
   template <typename Message>
   Message TakeMessage() {
     const auto messages = TakeMessages();
@@ -69,7 +70,8 @@
 
   // ---- The node's side ----
 
-  // Carries out the actions: connections open at once, what they send is decoded.
+  // Carries out the actions: connections are established immediately if accept_connections_ is set, and sent
+  // bytes are decoded into requests_.
   void PerformActions() {
     for (const auto& action : std::exchange(sessions_->actions(), {})) {
       if (const auto* open = std::get_if<node_sessions::OpenConn>(&action)) {
@@ -105,7 +107,8 @@
     reply.text = text;
     return reply;
   }
-  // An attempt whose node is ready for the commit; returns its connection.
+  // Replies to the submission of the last attempt, so that its node is ready for the commit. Returns the
+  // connection.
   ConnId MakeReady() {
     PerformActions();
     const ConnId connection = opened_.back();
@@ -114,7 +117,7 @@
     return connection;
   }
 
-  static constexpr int kSubmissionReplies = 3;  // QueueJob, one piece of a script, ReadyToCommit
+  static constexpr int kSubmissionReplies = 3;  // to QueueJob, JobScript and ReadyToCommit
 
   JobManagerFixture fixture_;
   std::unique_ptr<NodeSessions> sessions_;
--- a/tests/node_sessions/reply_reader_test.cpp
+++ b/tests/node_sessions/reply_reader_test.cpp
@@ -1,4 +1,4 @@
-// Cutting bytes into replies.
+// Tests splitting received bytes into replies.
 #include "node_sessions/reply_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -19,13 +19,13 @@
   return bytes;
 }
 
-TEST(ReplyReaderTest, NeedsBytes) {
+TEST(ReplyReaderTest, IsIncompleteWithoutBytes) {
   ReplyReader reader;
   pbs_protocol::Reply reply;
   EXPECT_EQ(reader.Next(&reply), ReadResult::kIncomplete);
 }
 
-TEST(ReplyReaderTest, CutsRepliesThatComeAtOnce) {
+TEST(ReplyReaderTest, SplitsRepliesThatArriveTogether) {
   ReplyReader reader;
   reader.Append(BytesOf(TextReply("one")) + BytesOf(TextReply("two")));
   pbs_protocol::Reply reply;
@@ -36,7 +36,7 @@
   EXPECT_EQ(reader.Next(&reply), ReadResult::kIncomplete);
 }
 
-TEST(ReplyReaderTest, JoinsRepliesThatComeByteByByte) {
+TEST(ReplyReaderTest, JoinsRepliesThatArriveByteByByte) {
   ReplyReader reader;
   pbs_protocol::Reply reply;
   for (int i = 0; i < 2; ++i) {
@@ -51,7 +51,7 @@
   }
 }
 
-TEST(ReplyReaderTest, TellsMalformedFromIncomplete) {
+TEST(ReplyReaderTest, DistinguishesMalformedFromIncomplete) {
   ReplyReader reader;
   reader.Append("no reply");
   pbs_protocol::Reply reply;
--- a/tests/node_sessions/session_connections_test.cpp
+++ b/tests/node_sessions/session_connections_test.cpp
@@ -1,4 +1,4 @@
-// Connections, their deadlines and actions.
+// Tests the connections to nodes, their deadlines and their actions.
 #include "node_sessions/session_connections.hpp"
 
 #include <gtest/gtest.h>
