--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -12,17 +12,18 @@
 
 using KeyValues = std::map<std::string, std::string, std::less<>>;
 
-// How the value of a key is read into a target.
+// Reads the value of a key into `*target`.
 template <typename Target>
 using ReadFunction = Status (*)(const Setting& setting, Target* target);
 
+// A key of the settings text and the function that reads its value.
 template <typename Target>
 struct Row {
   std::string_view key;
   ReadFunction<Target> read;
 };
 
-// ---- How values are read ----
+// ---- Reading values ----
 
 Result<double> Parse(const Setting& setting, const double&) { return ParseNumber(setting); }
 Result<Micros> Parse(const Setting& setting, const Micros&) { return ParseTime(setting); }
@@ -40,27 +41,27 @@
   return {};
 }
 
-// Into `member` of the target, as its type demands.
+// Reads a value into `member` of the target; the type of the member determines how the value is parsed.
 template <auto member, typename Target>
-Status Into(const Setting& setting, Target* target) {
+Status ReadMember(const Setting& setting, Target* target) {
   return Assign(Parse(setting, target->*member), &(target->*member));
 }
 
-// Into `member` of the scheduler's settings.
+// Reads a value into `member` of the scheduler's settings.
 template <auto member>
-Status IntoSettings(const Setting& setting, WireSettings* result) {
-  return Into<member>(setting, &result->settings);
+Status ReadSettingsMember(const Setting& setting, WireSettings* result) {
+  return ReadMember<member>(setting, &result->settings);
 }
 
-// Into `member` of the scheduler's settings, as the meaning of one of the words of `choices`.
+// Reads one of the words of `choices` and stores its meaning in `member` of the scheduler's settings.
 template <auto member, const auto& choices>
-Status ChoiceIntoSettings(const Setting& setting, WireSettings* result) {
+Status ReadSettingsChoice(const Setting& setting, WireSettings* result) {
   return Assign(ParseChoice(setting, choices), &(result->settings.*member));
 }
 
-// Into `member` of a class, as the meaning of one of the words of `choices`.
+// Reads one of the words of `choices` and stores its meaning in `member` of a class.
 template <auto member, const auto& choices>
-Status ChoiceIntoClass(const Setting& setting, TaskClass* task_class) {
+Status ReadClassChoice(const Setting& setting, TaskClass* task_class) {
   return Assign(ParseChoice(setting, choices), &(task_class->*member));
 }
 
@@ -89,7 +90,7 @@
   return {};
 }
 
-// Kinds beyond those of domain.kind_cores have the default number of cores.
+// Node kinds without an item in domain.kind_cores have the default number of cores.
 Status ReadMemoryOfKinds(const Setting& setting, WireSettings* result) {
   const Result<std::vector<std::string>> items = ParseList(setting);
   if (!items) return tl::make_unexpected(items.error());
@@ -104,80 +105,81 @@
 
 // ---- The tables of keys ----
 
-constexpr Choice<Idempotency> kIdempotencyWords[] = {{"safe", Idempotency::kIdempotent},
-                                                     {"keyed", Idempotency::kWithKey},
-                                                     {"unsafe", Idempotency::kNotIdempotent}};
-constexpr Choice<DeduplicationScope> kDeduplicationScopeWords[] = {{"all", DeduplicationScope::kAll},
-                                                                   {"zone", DeduplicationScope::kZone},
-                                                                   {"cell", DeduplicationScope::kRack}};
-constexpr Choice<TopologySpread> kTopologySpreadWords[] = {{"silent", TopologySpread::kNone},
-                                                           {"none", TopologySpread::kNone},
-                                                           {"machine", TopologySpread::kNode},
-                                                           {"cell", TopologySpread::kRack},
-                                                           {"zone", TopologySpread::kZone}};
-constexpr Choice<bool> kDiscoveryWords[] = {{"push", false}, {"ask", true}};
-constexpr Choice<bool> kStartedWords[] = {{"running", true}, {"accepted", false}};
-constexpr Choice<bool> kReportedCapacityWords[] = {{"asked", true}, {"used", false}};
+constexpr Choice<Idempotency> kIdempotencyChoices[] = {{"safe", Idempotency::kIdempotent},
+                                                       {"keyed", Idempotency::kWithKey},
+                                                       {"unsafe", Idempotency::kNotIdempotent}};
+constexpr Choice<DeduplicationScope> kDeduplicationScopeChoices[] = {{"all", DeduplicationScope::kAll},
+                                                                     {"zone", DeduplicationScope::kZone},
+                                                                     {"cell", DeduplicationScope::kRack}};
+constexpr Choice<TopologySpread> kTopologySpreadChoices[] = {{"silent", TopologySpread::kNone},
+                                                             {"none", TopologySpread::kNone},
+                                                             {"machine", TopologySpread::kNode},
+                                                             {"cell", TopologySpread::kRack},
+                                                             {"zone", TopologySpread::kZone}};
+constexpr Choice<bool> kDiscoveryChoices[] = {{"push", false}, {"ask", true}};
+constexpr Choice<bool> kStartedChoices[] = {{"running", true}, {"accepted", false}};
+constexpr Choice<bool> kReportedCapacityChoices[] = {{"asked", true}, {"used", false}};
 
 constexpr Row<WireSettings> kClassCountRow[] = {{"profiles.count", ReadClassCount}};
 
-// Of one class; the keys begin with "profiles.N.".
+// Keys of one class, without their prefix "profiles.N.".
 constexpr Row<TaskClass> kClassRows[] = {
-    {"effect", ChoiceIntoClass<&TaskClass::idempotency, kIdempotencyWords>},
-    {"key_scope", ChoiceIntoClass<&TaskClass::deduplication_scope, kDeduplicationScopeWords>},
-    {"window_us", Into<&TaskClass::deduplication_window>},
-    {"aim_us", Into<&TaskClass::start_target>},
-    {"worth", Into<&TaskClass::value_per_second>},
-    {"late_value", Into<&TaskClass::late_value>},
+    {"effect", ReadClassChoice<&TaskClass::idempotency, kIdempotencyChoices>},
+    {"key_scope", ReadClassChoice<&TaskClass::deduplication_scope, kDeduplicationScopeChoices>},
+    {"window_us", ReadMember<&TaskClass::deduplication_window>},
+    {"aim_us", ReadMember<&TaskClass::start_target>},
+    {"worth", ReadMember<&TaskClass::value_per_second>},
+    {"late_value", ReadMember<&TaskClass::late_value>},
 };
 
-// Lists with one value for each class.
+// Keys whose value is a list with one item for each class.
 constexpr Row<TaskClass> kPerClassListRows[] = {
-    {"domain.spread_by", ChoiceIntoClass<&TaskClass::topology_spread, kTopologySpreadWords>},
-    {"domain.together_max", Into<&TaskClass::max_per_domain>},
-    {"domain.kind_by_class", Into<&TaskClass::node_kind>},
-    {"domain.priority_by_class", Into<&TaskClass::priority>},
-    {"domain.start_seconds", Into<&TaskClass::start_value_seconds>},
-    {"domain.calm_level", Into<&TaskClass::full_service_utilisation>},
+    {"domain.spread_by", ReadClassChoice<&TaskClass::topology_spread, kTopologySpreadChoices>},
+    {"domain.together_max", ReadMember<&TaskClass::max_per_domain>},
+    {"domain.kind_by_class", ReadMember<&TaskClass::node_kind>},
+    {"domain.priority_by_class", ReadMember<&TaskClass::priority>},
+    {"domain.start_seconds", ReadMember<&TaskClass::start_value_seconds>},
+    {"domain.calm_level", ReadMember<&TaskClass::full_service_utilisation>},
 };
 
 constexpr Row<WireSettings> kSchedulerRows[] = {
     {"domain.kind_cores", ReadCoresOfKinds},
     {"domain.mem_of_kind", ReadMemoryOfKinds},
-    {"group_size", IntoSettings<&Settings::group_size>},
-    {"self_index", IntoSettings<&Settings::self_index>},
-    {"zone", IntoSettings<&Settings::own_zone>},
-    {"discovery", ChoiceIntoSettings<&Settings::list_on_request, kDiscoveryWords>},
-    {"domain.lists_free", IntoSettings<&Settings::list_has_free_capacity>},
-    {"domain.ack", ChoiceIntoSettings<&Settings::started_means_running, kStartedWords>},
-    {"domain.counts", ChoiceIntoSettings<&Settings::reports_requested_capacity, kReportedCapacityWords>},
-    {"bounds.probes", IntoSettings<&Settings::may_check_health>},
-    {"bounds.cancel", IntoSettings<&Settings::may_cancel>},
-    {"bounds.second_copies", IntoSettings<&Settings::may_duplicate_attempts>},
-    {"domain.displaces", IntoSettings<&Settings::nodes_preempt>},
-    {"bounds.max_attempts", IntoSettings<&Settings::max_attempts>},
-    {"domain.mean_cores", IntoSettings<&Settings::mean_cores>},
-    {"domain.usual_memory", IntoSettings<&Settings::mean_memory>},
-    {"domain.admit_cores", IntoSettings<&Settings::overcommit_cores>},
-    {"domain.admit_memory", IntoSettings<&Settings::overcommit_memory>},
-    {"domain.owner_wait_us", IntoSettings<&Settings::client_wait>},
-    {"safety.answer_slack_us", IntoSettings<&Settings::answer_slack>},
-    {"safety.ask_within_us", IntoSettings<&Settings::ask_within>},
-    {"safety.drain_grace_us", IntoSettings<&Settings::drain_grace_period>},
-    {"safety.cold_from", IntoSettings<&Settings::slow_start_initial_pace>},
-    {"safety.cold_us", IntoSettings<&Settings::slow_start_duration>},
-    {"safety.fall_multiple", IntoSettings<&Settings::overload_multiple>},
-    {"safety.tip_after_us", IntoSettings<&Settings::slow_start_window>},
-    {"domain.cold_bears", IntoSettings<&Settings::slow_start_budget>},
-    {"domain.refusal_fee", IntoSettings<&Settings::rejection_price>},
-    {"prices.cross_zone", IntoSettings<&Settings::cross_zone_price>},
-    {"prices.moves", IntoSettings<&Settings::migration_price>},
-    {"domain.evict_weight", IntoSettings<&Settings::eviction_weight>},
-    {"prices.probe", IntoSettings<&Settings::health_check_price>},
-    {"stats.names", Into<&WireSettings::report_names>},
+    {"group_size", ReadSettingsMember<&Settings::group_size>},
+    {"self_index", ReadSettingsMember<&Settings::self_index>},
+    {"zone", ReadSettingsMember<&Settings::own_zone>},
+    {"discovery", ReadSettingsChoice<&Settings::list_on_request, kDiscoveryChoices>},
+    {"domain.lists_free", ReadSettingsMember<&Settings::list_has_free_capacity>},
+    {"domain.ack", ReadSettingsChoice<&Settings::started_means_running, kStartedChoices>},
+    {"domain.counts", ReadSettingsChoice<&Settings::reports_requested_capacity, kReportedCapacityChoices>},
+    {"bounds.probes", ReadSettingsMember<&Settings::may_check_health>},
+    {"bounds.cancel", ReadSettingsMember<&Settings::may_cancel>},
+    {"bounds.second_copies", ReadSettingsMember<&Settings::may_duplicate_attempts>},
+    {"domain.displaces", ReadSettingsMember<&Settings::nodes_preempt>},
+    {"bounds.max_attempts", ReadSettingsMember<&Settings::max_attempts>},
+    {"domain.mean_cores", ReadSettingsMember<&Settings::mean_cores>},
+    {"domain.usual_memory", ReadSettingsMember<&Settings::mean_memory>},
+    {"domain.admit_cores", ReadSettingsMember<&Settings::overcommit_cores>},
+    {"domain.admit_memory", ReadSettingsMember<&Settings::overcommit_memory>},
+    {"domain.owner_wait_us", ReadSettingsMember<&Settings::client_wait>},
+    {"safety.answer_slack_us", ReadSettingsMember<&Settings::answer_slack>},
+    {"safety.ask_within_us", ReadSettingsMember<&Settings::ask_within>},
+    {"safety.drain_grace_us", ReadSettingsMember<&Settings::drain_grace_period>},
+    {"safety.cold_from", ReadSettingsMember<&Settings::slow_start_initial_pace>},
+    {"safety.cold_us", ReadSettingsMember<&Settings::slow_start_duration>},
+    {"safety.fall_multiple", ReadSettingsMember<&Settings::overload_multiple>},
+    {"safety.tip_after_us", ReadSettingsMember<&Settings::slow_start_window>},
+    {"domain.cold_bears", ReadSettingsMember<&Settings::slow_start_budget>},
+    {"domain.refusal_fee", ReadSettingsMember<&Settings::rejection_price>},
+    {"prices.cross_zone", ReadSettingsMember<&Settings::cross_zone_price>},
+    {"prices.moves", ReadSettingsMember<&Settings::migration_price>},
+    {"domain.evict_weight", ReadSettingsMember<&Settings::eviction_weight>},
+    {"prices.probe", ReadSettingsMember<&Settings::health_check_price>},
+    {"stats.names", ReadMember<&WireSettings::report_names>},
 };
 
-// Names and limits of the protocols follow: no decision depends on them, and the scheduler never sees them.
+// The names and limits below are used by the protocols only. The scheduler does not get them, so no decision
+// depends on them.
 struct ProtocolClass {
   std::string name;
   Micros deadline = 0;
@@ -188,10 +190,10 @@
   return {};
 }
 
-// Of one class; the keys begin with "profiles.N.".
+// Keys of one class, without their prefix "profiles.N.".
 constexpr Row<ProtocolClass> kProtocolClassRows[] = {
     {"name", ReadClassName},
-    {"hard_limit_us", Into<&ProtocolClass::deadline>},
+    {"hard_limit_us", ReadMember<&ProtocolClass::deadline>},
 };
 
 constexpr Row<WireSettings> kTenantCountRow[] = {{"orgs.count", ReadTenantCount}};
@@ -201,19 +203,19 @@
   return {};
 }
 
-// Of one tenant; the keys begin with "orgs.N.".
+// Keys of one tenant, without their prefix "orgs.N.".
 constexpr Row<std::string> kTenantRows[] = {{"name", ReadTenantName}};
 
 constexpr Row<WireSettings> kProtocolRows[] = {
-    {"kinds", Into<&WireSettings::kind_names>},
-    {"failure_domains", Into<&WireSettings::zone_names>},
-    {"bounds.connect_timeout_us", Into<&WireSettings::connect_timeout>},
-    {"bounds.conn_idle_us", Into<&WireSettings::conn_idle>},
+    {"kinds", ReadMember<&WireSettings::kind_names>},
+    {"failure_domains", ReadMember<&WireSettings::zone_names>},
+    {"bounds.connect_timeout_us", ReadMember<&WireSettings::connect_timeout>},
+    {"bounds.conn_idle_us", ReadMember<&WireSettings::conn_idle>},
 };
 
-// ---- Walks over the tables ----
+// ---- Reading the tables ----
 
-// Reads the keys of `rows`, each behind `prefix`, that occur in `pairs`.
+// Reads the keys of `rows` that occur in `pairs`, where each key is preceded by `prefix`.
 template <typename Target>
 Status ReadRows(const KeyValues& pairs, const std::string& prefix, std::span<const Row<Target>> rows,
                 Target* target) {
@@ -237,7 +239,7 @@
   return {};
 }
 
-// Items beyond the number of classes are skipped.
+// Reads a list with one item for each class. Ignores items beyond the number of classes.
 Status ReadPerClassList(const Setting& setting, ReadFunction<TaskClass> read,
                         std::vector<TaskClass>* classes) {
   const Result<std::vector<std::string>> items = ParseList(setting);
@@ -287,9 +289,9 @@
   return ReadRows<WireSettings>(pairs, "", kProtocolRows, result);
 }
 
-// ---- The text ----
+// ---- Splitting the text into lines ----
 
-constexpr std::size_t kMaxQuoted = 80;  // bytes of a malformed line that its error quotes
+constexpr std::size_t kMaxQuotedBytes = 80;  // bytes of a malformed line that the error quotes at most
 
 Result<KeyValues> SplitLines(std::string_view text) {
   KeyValues pairs;
@@ -301,7 +303,7 @@
     const std::size_t equals = row.find('=');
     if (equals == std::string_view::npos || equals == 0) {
       return tl::make_unexpected(SettingsError{SettingsErrorCode::kMalformedLine, "", line, "path=value",
-                                               std::string(row.substr(0, kMaxQuoted))});
+                                               std::string(row.substr(0, kMaxQuotedBytes))});
     }
     pairs[std::string(row.substr(0, equals))] = std::string(row.substr(equals + 1));
   }
@@ -314,7 +316,7 @@
   const Result<KeyValues> pairs = SplitLines(text);
   if (!pairs) return tl::make_unexpected(pairs.error());
   WireSettings result;
-  // The order decides which of several errors is reported.
+  // If there are several errors, the order of these functions determines which one is reported.
   for (const auto read : {ReadClasses, ReadPerClassLists, ReadSchedulerSettings, ReadProtocolClasses,
                           ReadTenants, ReadProtocolSettings}) {
     Status status = read(*pairs, &result);
--- a/src/settings/value.cpp
+++ b/src/settings/value.cpp
@@ -7,8 +7,8 @@
 namespace mountflow::settings {
 namespace {
 
-constexpr double kMaxTime = 9e15;    // microseconds: exact in a double
-constexpr double kMaxInteger = 2e9;  // fits an int
+constexpr double kMaxTime = 9e15;    // microseconds; exactly representable in a double
+constexpr double kMaxInteger = 2e9;  // fits into an int
 
 }  // namespace
 
--- a/src/settings/value.hpp
+++ b/src/settings/value.hpp
@@ -1,4 +1,5 @@
-// Values of the settings text: numbers, times, flags, named choices and lists, each read with a typed error.
+// Parses the values of the settings text (numbers, times, flags, named choices and lists) and reports typed
+// errors.
 #ifndef MOUNTFLOW_SETTINGS_VALUE_HPP_
 #define MOUNTFLOW_SETTINGS_VALUE_HPP_
 
@@ -13,27 +14,28 @@
 
 namespace mountflow::settings {
 
-// Bound of a list and of a count in one settings text.
+// Largest number of items in a list, and largest number of classes or tenants.
 inline constexpr std::size_t kMaxItems = 4096;
 
 enum class SettingsErrorCode {
-  kMalformedLine,  // `line` tells which
-  kBadValue,       // of `key`
-  kListTooLong     // the value of `key`
+  kMalformedLine,  // the line numbered `line` does not have the form path=value
+  kBadValue,       // the value of `key` is invalid
+  kListTooLong     // the value of `key` has more than kMaxItems items
 };
 
+// Why a settings text cannot be parsed.
 struct SettingsError {
   SettingsErrorCode code = SettingsErrorCode::kBadValue;
-  std::string key;
-  std::size_t line = 0;  // from 1
+  std::string key;       // empty for kMalformedLine
+  std::size_t line = 0;  // counted from 1; 0 unless kMalformedLine
   std::string expected;
   std::string got;
 };
 
-// One sentence that names the key or the line, what was expected, and what came.
+// Returns one sentence with the key or the line, the expected value and the actual value.
 [[nodiscard]] std::string Describe(const SettingsError& error);
 
-// A key and its value, or one item of its value where that is a list.
+// A key and its value, or a key and one item of its value if that is a list.
 struct Setting {
   std::string_view key;
   const std::string& value;
@@ -43,23 +45,26 @@
 using Result = tl::expected<T, SettingsError>;
 using Status = Result<void>;
 
+// Returns a kBadValue error for `setting`.
 [[nodiscard]] tl::unexpected<SettingsError> BadValue(const Setting& setting, std::string expected);
 
-[[nodiscard]] Result<double> ParseNumber(const Setting& setting);  // finite
-[[nodiscard]] Result<Micros> ParseTime(const Setting& setting);    // 0 or more
-[[nodiscard]] Result<int> ParseInteger(const Setting& setting);
-[[nodiscard]] Result<unsigned> ParseCount(const Setting& setting);                 // 0 or more
-[[nodiscard]] Result<std::size_t> ParseListSize(const Setting& setting);           // 0 to kMaxItems
-[[nodiscard]] Result<bool> ParseFlag(const Setting& setting);                      // "true" or "false"
+// Parse the value of a setting. Each comment states the accepted values.
+[[nodiscard]] Result<double> ParseNumber(const Setting& setting);         // finite
+[[nodiscard]] Result<Micros> ParseTime(const Setting& setting);           // 0 or more, in microseconds
+[[nodiscard]] Result<int> ParseInteger(const Setting& setting);           // a whole number
+[[nodiscard]] Result<unsigned> ParseCount(const Setting& setting);        // 0 or more
+[[nodiscard]] Result<std::size_t> ParseListSize(const Setting& setting);  // 0 to kMaxItems
+[[nodiscard]] Result<bool> ParseFlag(const Setting& setting);             // "true" or "false"
 [[nodiscard]] Result<std::vector<std::string>> ParseList(const Setting& setting);  // separated by commas
 
-// A word that a value may be, and what it means.
+// A word that a value may have, and its meaning.
 template <typename T>
 struct Choice {
   const char* word;
   T meaning;
 };
 
+// Returns the meaning of the word in `choices` that equals the value.
 template <typename T, std::size_t count>
 [[nodiscard]] Result<T> ParseChoice(const Setting& setting, const Choice<T> (&choices)[count]) {
   std::string expected = "one of";
--- a/tests/settings/accepted_keys_test.cpp
+++ b/tests/settings/accepted_keys_test.cpp
@@ -1,5 +1,6 @@
-// Guard of the keys that are accepted: those of the settings text and those of the daemon's configuration, as
-// recorded in tests/data/. A key that is renamed or dropped fails here.
+// Compares the accepted keys of the settings text and of the daemon's configuration with the lists recorded
+// in tests/data/. A renamed or removed key makes a test fail, because existing configurations would stop
+// working.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -11,16 +12,17 @@
 namespace mountflow::testing {
 namespace {
 
-// One class and one tenant, so that keys of classes and tenants count.
-const std::string kFrame = "profiles.count=1\norgs.count=1\n";
+// Declares one class and one tenant, so that the keys of classes and tenants are read.
+const std::string kClassAndTenantCounts = "profiles.count=1\norgs.count=1\n";
 
 std::string ErrorOf(const std::string& text) {
   const auto parsed = settings::ParseSettings(text);
   return parsed ? "" : settings::Describe(parsed.error());
 }
 
-// Keys whose values are checked, with a value that each accepts. Each refuses another by its name.
-const std::vector<std::pair<std::string, std::string>> kChecked = {
+// The keys whose values are validated, each with an accepted value. The error for an invalid value names the
+// key.
+const std::vector<std::pair<std::string, std::string>> kValidatedKeys = {
     {"profiles.count", "2"},
     {"profiles.0.effect", "keyed"},
     {"profiles.0.key_scope", "zone"},
@@ -74,16 +76,16 @@
 
 TEST(AcceptedKeys, EachSettingIsReadByItsName) {
   GoldenFile golden("settings_keys.txt");
-  for (const auto& [key, value] : kChecked) {
-    EXPECT_EQ(ErrorOf(kFrame + key + "=" + value + "\n"), "") << key;
-    EXPECT_NE(ErrorOf(kFrame + key + "=no such value\n").find(key), std::string::npos) << key;
+  for (const auto& [key, value] : kValidatedKeys) {
+    EXPECT_EQ(ErrorOf(kClassAndTenantCounts + key + "=" + value + "\n"), "") << key;
+    EXPECT_NE(ErrorOf(kClassAndTenantCounts + key + "=no such value\n").find(key), std::string::npos) << key;
     golden.Add(key, value);
   }
   golden.Compare();
 }
 
-TEST(AcceptedKeys, NamesAreTakenAsTheyAre) {
-  const auto read = settings::ParseSettings(kFrame +
+TEST(AcceptedKeys, NamesAreStoredUnchanged) {
+  const auto read = settings::ParseSettings(kClassAndTenantCounts +
                                             "profiles.0.name=service\norgs.0.name=acme\nkinds=big,small\n"
                                             "failure_domains=left,right\nstats.names=x0,x1\n")
                         .value();
@@ -94,7 +96,7 @@
   EXPECT_EQ(read.report_names, (std::vector<std::string>{"x0", "x1"}));
 }
 
-TEST(AcceptedKeys, FiguresOfALoadReportGoWhereTheirNameSays) {
+TEST(AcceptedKeys, LoadReportValuesAreStoredByTheirNames) {
   const auto report = [](const char* name) {
     LoadReport put;
     settings::PutReportValue(name, 0.5, &put);
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -1,4 +1,4 @@
-// The settings text: what each value means, and the error of a value or line that cannot be read.
+// Tests the settings text: the meaning of its values, and the errors for invalid values and lines.
 #include "settings/settings.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
   return parsed ? "" : Describe(parsed.error());
 }
 
-TEST(SettingsText, ReadsWhatTheSchedulerUses) {
+TEST(SettingsText, ReadsSchedulerSettings) {
   const WireSettings read =
       ParseSettings(
           "profiles.count=2\nprofiles.0.effect=keyed\nprofiles.0.key_scope=zone\nprofiles.0.window_us=5\n"
@@ -59,7 +59,7 @@
   EXPECT_EQ(read.conn_idle, 4u);
 }
 
-TEST(SettingsText, NamesTheKeyOrLineItCannotRead) {
+TEST(SettingsText, ErrorsNameTheKeyOrLine) {
   EXPECT_NE(ErrorOf("group_size=many\n").find("group_size"), std::string::npos);
   EXPECT_NE(ErrorOf("discovery=maybe\n").find("discovery"), std::string::npos);
   EXPECT_NE(ErrorOf("domain.kind_cores=1,x\n").find("domain.kind_cores"), std::string::npos);
@@ -68,7 +68,7 @@
   EXPECT_NE(ErrorOf("no equals sign\n").find("line 1"), std::string::npos);
 }
 
-TEST(SettingsText, SaysWhatWasExpectedAndWhatCame) {
+TEST(SettingsText, ErrorsStateExpectedAndActualValue) {
   EXPECT_EQ(ErrorOf("group_size=many\n"), "setting group_size: expected a number, got 'many'");
   EXPECT_EQ(ErrorOf("group_size=1.5\n"), "setting group_size: expected a whole number, got '1.5'");
   EXPECT_EQ(ErrorOf("bounds.max_attempts=-1\n"), "setting bounds.max_attempts: expected a count, got '-1'");
@@ -117,7 +117,7 @@
   EXPECT_EQ(settings.max_attempts, Settings{}.max_attempts);
 }
 
-TEST(SettingsText, LastValueOfKeyCounts) {
+TEST(SettingsText, LastValueOfKeyApplies) {
   EXPECT_EQ(ParseSettings("group_size=2\ngroup_size=5\n").value().settings.group_size, 5);
 }
 
