--- a/src/simulator_adapter/decoder.cpp
+++ b/src/simulator_adapter/decoder.cpp
@@ -65,7 +65,7 @@
   NodeEntry entry;
   entry.rack = reader->U16("a rack");
   entry.node = reader->U32("a node");
-  entry.kind = reader->U8("a kind");
+  entry.kind = reader->U8("a node kind");
   entry.started_at = reader->U64("a start time");
   reader->F32("a capacity");
   entry.zone = reader->U16("a zone");
@@ -75,7 +75,7 @@
   return entry;
 }
 
-// ---- Records; each function returns whether the record is an event ----
+// ---- Records; each function reports whether the record is an event ----
 
 using DecodeFunction = bool (*)(RecordReader* reader, WireEvent* event);
 
@@ -102,7 +102,7 @@
   task.deadline = reader->U64("a deadline");
   task.tenant = reader->U16("a tenant");
   task.cores = reader->F32("cores");
-  task.key = reader->U64("a task");
+  task.key = reader->U64("a task key");
   task.memory = reader->F32("memory");
   task.service = reader->U64("a service");
   reader->U8("state bits");
@@ -115,7 +115,7 @@
   Task& task = recovered.task;
   task.request = reader->U32("a request");
   task.deadline = reader->U64("a deadline");
-  task.key = reader->U64("a task");
+  task.key = reader->U64("a task key");
   task.tenant = reader->U16("a tenant");
   task.cores = reader->F32("cores");
   task.task_class = reader->U16("a class");
@@ -132,20 +132,20 @@
   TaskStarted started;
   started.request = reader->U32("a request");
   started.attempt = reader->U16("an attempt");
-  started.elapsed = reader->U32("a time");
+  started.elapsed = reader->U32("an elapsed time");
   started.node = reader->U32("a node");
   event->body = Event(started);
   return true;
 }
 
-// Kinds of progress that a later version of the protocol may add are skipped.
+// Skips unknown kinds of progress, which a later version of the protocol may add.
 bool DecodeTaskProgress(RecordReader* reader, WireEvent* event) {
   TaskProgress progress;
   progress.request = reader->U32("a request");
   progress.attempt = reader->U16("an attempt");
   progress.node = reader->U32("a node");
-  const std::uint8_t kind = reader->U8("a kind of note");
-  progress.value = reader->F32("a value");
+  const std::uint8_t kind = reader->U8("a progress kind");
+  progress.value = reader->F32("a progress value");
   if (kind < kMinProgressKind || kind > kMaxProgressKind) return false;
   progress.kind = static_cast<ProgressKind>(kind);
   event->body = Event(progress);
@@ -155,11 +155,11 @@
 bool DecodeAttemptEnded(RecordReader* reader, WireEvent* event) {
   AttemptEnded ended;
   ended.request = reader->U32("a request");
-  ended.elapsed = reader->U32("a time");
+  ended.elapsed = reader->U32("an elapsed time");
   ended.attempt = reader->U16("an attempt");
-  ended.request_closed = reader->U8("a flag") != 0;
+  ended.request_closed = reader->U8("a request-closed flag") != 0;
   ended.result = DecodeAttemptResult(reader);
-  const std::uint32_t reason = reader->U32("a cause");
+  const std::uint32_t reason = reader->U32("a rejection reason");
   ended.reason =
       reason <= kMaxRejectionReason ? static_cast<RejectionReason>(reason) : RejectionReason::kUnspecified;
   ended.node = reader->U32("a node");
@@ -174,7 +174,7 @@
 }
 
 bool DecodeTimerFired(RecordReader* reader, WireEvent* event) {
-  event->body = Event(TimerFired{reader->U64("a token")});
+  event->body = Event(TimerFired{reader->U64("a timer token")});
   return true;
 }
 
@@ -182,13 +182,13 @@
   HealthCheckResult result;
   result.node = reader->U32("a node");
   result.answered = DecodeAttemptResult(reader) == AttemptResult::kCompleted;
-  result.elapsed = reader->U32("a time");
+  result.elapsed = reader->U32("an elapsed time");
   event->report = DecodeReport(reader);
   event->body = Event(result);
   return true;
 }
 
-// No decision uses messages of peers.
+// Skips a message from a peer, because the scheduler does not use them.
 bool SkipPeerMessage(RecordReader* reader, WireEvent*) {
   reader->U16("a peer");
   const std::size_t count = reader->U16("the length of a message");
@@ -196,7 +196,8 @@
   return false;
 }
 
-// Records that need nothing but their own bytes, the most frequent first.
+// The records that are decoded without the state of the Decoder. The most frequent come first, because the
+// table is searched linearly.
 struct RecordType {
   EventCode code;
   DecodeFunction decode;
@@ -265,7 +266,7 @@
                  std::to_string(number));
   }
   const std::size_t count = reader->U32("the length of a list");
-  // Danger: the stated length is checked before memory is reserved for it.
+  // The stated length is checked before memory is allocated for the list, because the input may be malformed.
   if (count > reader->remaining() / kNodeEntryBytes) {
     reader->Fail(WireErrorCode::kTruncated, std::to_string(count) + " list entries",
                  std::to_string(reader->remaining()) + " bytes");
@@ -287,7 +288,7 @@
   update.kind = static_cast<NodeListKind>(mode);
   reader->U32("a list version");
   const std::uint16_t number = reader->U16("a list number");
-  if (update.kind == NodeListKind::kUnavailable) return update;  // its list number means nothing
+  if (update.kind == NodeListKind::kUnavailable) return update;  // the list number has no meaning
   if (number >= kNodeLists) {
     reader->Fail(WireErrorCode::kUnknownValue, "a list number of 0 to 15 before this offset",
                  std::to_string(number));
--- a/src/simulator_adapter/decoder.hpp
+++ b/src/simulator_adapter/decoder.hpp
@@ -1,4 +1,4 @@
-// Decodes the simulator's frames: records to events.
+// Decodes the records of the simulator's frames to events.
 #ifndef MOUNTFLOW_SIMULATOR_ADAPTER_DECODER_HPP_
 #define MOUNTFLOW_SIMULATOR_ADAPTER_DECODER_HPP_
 
@@ -16,29 +16,33 @@
 
 namespace mountflow::simulator_adapter {
 
-// Numbers the schedulers that one process hosts.
+// The number of a scheduler instance among those that one process hosts.
 using InstanceId = std::uint16_t;
 
+// Starts a scheduler; replaces one with the same instance number.
 struct StartInstance {
   std::uint64_t seed = 0;
-  std::string settings;  // the text that settings::ParseSettings reads
+  std::string settings;  // settings text, see settings::ParseSettings
 };
+// Stops a scheduler.
 struct StopInstance {};
 
-// The values of a load report in the order that the instance's settings name.
+// The values of a load report, in the order of WireSettings::report_names of the instance.
 using RawReport = std::vector<float>;
 
+// A decoded record that starts, stops or addresses an instance.
 struct WireEvent {
   std::variant<StartInstance, StopInstance, Event> body;
-  RawReport report;  // of an AttemptEnded or a HealthCheckResult
+  RawReport report;  // load report of an AttemptEnded or a HealthCheckResult
 };
 
-// Decodes the records of batches, one frame a batch. Node lists are numbered for the whole process and a
-// frame may refer to one of an earlier frame, so one Decoder serves all batches. Not thread-safe.
+// Decodes batches of records; each frame holds one batch. One Decoder serves all batches, because a frame may
+// refer by number to a node list from an earlier frame. Not thread-safe.
 class Decoder {
  public:
-  // Calls `sink(instance, event)` for each event in order. `body` is the frame without its length field.
-  // After an error the events before it have been passed on already; nothing of the rest is.
+  // Sets `*now` to the time of the batch and calls `sink(instance, event)` for each event in order. `body` is
+  // the frame without its length field. If a record is malformed, the events before it have already been
+  // passed to `sink` and later ones are not.
   template <typename Sink>
   [[nodiscard]] tl::expected<void, WireError> Decode(std::span<const std::uint8_t> body, Micros* now,
                                                      Sink&& sink);
@@ -46,8 +50,8 @@
  private:
   static constexpr std::size_t kNodeLists = 16;
 
-  // Decodes one record; true if it is an event for the selected instance. False also after an error of the
-  // reader.
+  // Decodes one record. Returns true if it is an event for the selected instance; returns false for other
+  // records and after an error, which the reader stores.
   bool DecodeRecord(RecordReader* reader, WireEvent* event);
   void SelectInstance(RecordReader* reader);
   void StoreNodeList(RecordReader* reader);
@@ -55,7 +59,7 @@
 
   std::array<std::vector<NodeEntry>, kNodeLists> node_lists_;
   InstanceId instance_ = 0;
-  bool instance_selected_ = false;  // in the current frame
+  bool instance_selected_ = false;  // whether the current frame has selected an instance
 };
 
 template <typename Sink>
--- a/src/simulator_adapter/encoder.cpp
+++ b/src/simulator_adapter/encoder.cpp
@@ -9,7 +9,7 @@
 namespace mountflow::simulator_adapter {
 namespace {
 
-static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
+static_assert(std::endian::native == std::endian::little, "the protocol is little-endian");
 
 constexpr std::size_t kMaxTextBytes = std::numeric_limits<std::uint16_t>::max();
 constexpr std::uint8_t kWatchOn = 1;
@@ -55,7 +55,7 @@
 
 void Encoder::AddAction(InstanceId instance, const Action& action) {
   SelectInstance(instance);
-  std::visit([this](const auto& one_of_action) { AddRecord(one_of_action); }, action);
+  std::visit([this](const auto& alternative) { AddRecord(alternative); }, action);
 }
 
 void Encoder::AddRecord(const StartAttempt& action) {
--- a/src/simulator_adapter/encoder.hpp
+++ b/src/simulator_adapter/encoder.hpp
@@ -1,4 +1,4 @@
-// Encodes the reply to one frame of the simulator: actions to records.
+// Encodes the actions that reply to a frame of the simulator as records.
 #ifndef MOUNTFLOW_SIMULATOR_ADAPTER_ENCODER_HPP_
 #define MOUNTFLOW_SIMULATOR_ADAPTER_ENCODER_HPP_
 
@@ -12,13 +12,14 @@
 
 namespace mountflow::simulator_adapter {
 
-// Builds the reply to one batch; a new Encoder for each. Not thread-safe.
+// Builds the reply to one batch; each batch needs a new Encoder. Not thread-safe.
 class Encoder {
  public:
+  // Adds an action of an instance.
   void AddAction(InstanceId instance, const Action& action);
-  // Says that the instance cannot go on; a message beyond 65535 bytes is cut.
+  // Adds a record that reports that the instance failed. Truncates `message` to 65535 bytes.
   void AddPanic(InstanceId instance, std::string_view message);
-  // The whole reply, with its header.
+  // Returns the complete reply, including its header.
   [[nodiscard]] std::string Frame() const;
 
  private:
@@ -33,7 +34,8 @@
   void AddRecord(const ListNodes& action);
   void AddRecord(const LogLine& action);
 
-  void SelectInstance(InstanceId instance);  // adds a record if another instance was selected
+  // Adds a record that selects `instance`, unless it is selected already.
+  void SelectInstance(InstanceId instance);
   void BeginRecord(ActionCode code);
   void PutU8(std::uint8_t value);
   void PutU16(std::uint16_t value);
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,4 +1,4 @@
-// Runs schedulers for the simulator, on standard input and output.
+// Runs schedulers for the simulator, which communicates over standard input and output.
 #include <iostream>
 
 #include "simulator_adapter/server.hpp"
--- a/src/simulator_adapter/record_codes.hpp
+++ b/src/simulator_adapter/record_codes.hpp
@@ -1,4 +1,5 @@
-// Codes of the records in the simulator's frames. Events and actions number their records separately.
+// Codes of the records in the simulator's frames. The codes of events and of actions are independent of each
+// other.
 #ifndef MOUNTFLOW_SIMULATOR_ADAPTER_RECORD_CODES_HPP_
 #define MOUNTFLOW_SIMULATOR_ADAPTER_RECORD_CODES_HPP_
 
@@ -6,7 +7,7 @@
 
 namespace mountflow::simulator_adapter {
 
-// From the simulator. Beside each code: the record's name in the simulator's documents.
+// Records from the simulator. The comment on each code is the record's name in the simulator's documentation.
 enum class EventCode : std::uint8_t {
   kStartInstance = 10,      // Provision
   kNodeListUpdate = 20,     // Fleet
@@ -24,7 +25,7 @@
   kSelectInstance = 140,    // On
 };
 
-// To the simulator.
+// Records to the simulator. The comments have the same meaning as those of EventCode.
 enum class ActionCode : std::uint8_t {
   kPanic = 10,              // Panic
   kStartAttempt = 20,       // ClaimRoom
--- a/src/simulator_adapter/record_reader.cpp
+++ b/src/simulator_adapter/record_reader.cpp
@@ -7,9 +7,10 @@
 namespace mountflow::simulator_adapter {
 namespace {
 
-static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
+static_assert(std::endian::native == std::endian::little, "the protocol is little-endian");
 
-constexpr std::size_t kLengthFieldBytes = 4;  // in front of the bytes that a reader gets
+// The length field precedes the bytes that a reader gets.
+constexpr std::size_t kLengthFieldBytes = 4;
 
 }  // namespace
 
@@ -18,22 +19,22 @@
 }
 
 template <typename T>
-T RecordReader::Field(const char* what) {
+T RecordReader::Field(const char* field_name) {
   T value{};
-  const std::span<const std::uint8_t> bytes = Bytes(sizeof value, what);
+  const std::span<const std::uint8_t> bytes = Bytes(sizeof value, field_name);
   if (bytes.size() == sizeof value) std::memcpy(&value, bytes.data(), sizeof value);
   return value;
 }
 
-std::uint8_t RecordReader::U8(const char* what) { return Field<std::uint8_t>(what); }
-std::uint16_t RecordReader::U16(const char* what) { return Field<std::uint16_t>(what); }
-std::uint32_t RecordReader::U32(const char* what) { return Field<std::uint32_t>(what); }
-std::uint64_t RecordReader::U64(const char* what) { return Field<std::uint64_t>(what); }
-double RecordReader::F32(const char* what) { return static_cast<double>(Field<float>(what)); }
+std::uint8_t RecordReader::U8(const char* field_name) { return Field<std::uint8_t>(field_name); }
+std::uint16_t RecordReader::U16(const char* field_name) { return Field<std::uint16_t>(field_name); }
+std::uint32_t RecordReader::U32(const char* field_name) { return Field<std::uint32_t>(field_name); }
+std::uint64_t RecordReader::U64(const char* field_name) { return Field<std::uint64_t>(field_name); }
+double RecordReader::F32(const char* field_name) { return static_cast<double>(Field<float>(field_name)); }
 
-std::span<const std::uint8_t> RecordReader::Bytes(std::size_t count, const char* what) {
+std::span<const std::uint8_t> RecordReader::Bytes(std::size_t count, const char* field_name) {
   if (count > remaining()) {
-    Fail(WireErrorCode::kTruncated, std::string(what) + " (" + std::to_string(count) + " bytes)",
+    Fail(WireErrorCode::kTruncated, std::string(field_name) + " (" + std::to_string(count) + " bytes)",
          std::to_string(remaining()) + " bytes");
     return {};
   }
--- a/src/simulator_adapter/record_reader.hpp
+++ b/src/simulator_adapter/record_reader.hpp
@@ -15,36 +15,37 @@
   kTruncated,     // the frame or the input ends within a field
   kUnknownValue,  // a field has a value that the protocol does not define
   kNoInstance,    // an event comes before the record that selects its instance
-  kFrameTooShort  // a frame without its clock
+  kFrameTooShort  // the frame is too short for its clock
 };
 
-// Why a frame cannot be read. The input cannot be trusted any more after it.
+// Why a frame cannot be decoded. The input after the error cannot be interpreted.
 struct WireError {
   WireErrorCode code = WireErrorCode::kTruncated;
-  std::size_t offset = 0;  // in the frame, its length field included
+  std::size_t offset = 0;  // position in the frame, counted from the start of its length field
   std::string expected;
   std::string got;
 };
 
-// One sentence that names the offset, what was expected, and what came.
+// Returns one sentence with the offset, the expected input and the actual input.
 [[nodiscard]] std::string Describe(const WireError& error);
 
-// A cursor over the bytes of a frame behind its length field. After the first error it stands at the end and
-// every field reads as 0, so that a decoder checks for an error once a record. Does not own the bytes.
+// Reads the bytes of a frame after its length field from front to back. After the first error the reader is
+// at the end and returns 0 for each field, so that a decoder needs to check for errors only once for each
+// record. Does not own the bytes, which must outlive it.
 class RecordReader {
  public:
   explicit RecordReader(std::span<const std::uint8_t> bytes) : bytes_(bytes) {}
 
-  // Reads one little-endian field; `what` names it in an error.
-  std::uint8_t U8(const char* what);
-  std::uint16_t U16(const char* what);
-  std::uint32_t U32(const char* what);
-  std::uint64_t U64(const char* what);
-  double F32(const char* what);
-  // The next `count` bytes; none after an error.
-  std::span<const std::uint8_t> Bytes(std::size_t count, const char* what);
+  // Read one little-endian field; `field_name` names it in an error.
+  std::uint8_t U8(const char* field_name);
+  std::uint16_t U16(const char* field_name);
+  std::uint32_t U32(const char* field_name);
+  std::uint64_t U64(const char* field_name);
+  double F32(const char* field_name);
+  // Returns the next `count` bytes; an empty span after an error.
+  std::span<const std::uint8_t> Bytes(std::size_t count, const char* field_name);
 
-  // Records an error at the current offset, unless there is one already.
+  // Stores an error at the current offset, unless there is one already, and moves to the end.
   void Fail(WireErrorCode code, std::string expected, std::string got);
 
   [[nodiscard]] std::size_t remaining() const { return bytes_.size() - position_; }
@@ -52,7 +53,7 @@
 
  private:
   template <typename T>
-  T Field(const char* what);
+  T Field(const char* field_name);
 
   std::span<const std::uint8_t> bytes_;
   std::size_t position_ = 0;
--- a/src/simulator_adapter/server.cpp
+++ b/src/simulator_adapter/server.cpp
@@ -21,8 +21,8 @@
   return report;
 }
 
-// Reads the bytes of a frame behind its length field. Memory grows with what arrives, not with the stated
-// length.
+// Reads the bytes of a frame after its length field. Allocates memory as bytes arrive instead of for the
+// stated length, which may be wrong.
 tl::expected<void, WireError> ReadBody(std::istream& in, std::uint32_t length,
                                        std::vector<std::uint8_t>* body) {
   body->clear();
@@ -41,7 +41,7 @@
   return {};
 }
 
-// Returns whether there is a frame: false at the end of the input.
+// Reads a frame without its length field. Returns false if there is none because the input has ended.
 tl::expected<bool, WireError> ReadFrame(std::istream& in, std::vector<std::uint8_t>* body) {
   std::uint32_t length = 0;
   in.read(reinterpret_cast<char*>(&length), sizeof length);
@@ -76,7 +76,7 @@
 
 void SimulatorServer::PassToScheduler(Micros now, InstanceId id, WireEvent* event, Encoder* reply) {
   const auto found = instances_.find(id);
-  if (found == instances_.end()) return;  // no instance with this number runs
+  if (found == instances_.end()) return;  // the instance was never started or has been stopped
   Instance& instance = found->second;
   Event& body = std::get<Event>(event->body);
   if (auto* ended = std::get_if<AttemptEnded>(&body)) {
@@ -98,7 +98,7 @@
     } else {
       PassToScheduler(now, id, event, reply);
     }
-  } catch (const std::exception& error) {  // a fault of one instance must not end the others
+  } catch (const std::exception& error) {  // a failure of one instance must not stop the others
     reply->AddPanic(id, error.what());
   }
 }
--- a/src/simulator_adapter/server.hpp
+++ b/src/simulator_adapter/server.hpp
@@ -1,5 +1,5 @@
-// Hosts schedulers for the simulator: one Scheduler an instance, batches of events in, batches of actions
-// out.
+// Hosts schedulers for the simulator. Each instance is one Scheduler; the server receives batches of events
+// and replies with batches of actions.
 #ifndef MOUNTFLOW_SIMULATOR_ADAPTER_SERVER_HPP_
 #define MOUNTFLOW_SIMULATOR_ADAPTER_SERVER_HPP_
 
@@ -18,11 +18,12 @@
 
 namespace mountflow::simulator_adapter {
 
-// Not thread-safe.
+// Runs the scheduler instances. Not thread-safe.
 class SimulatorServer {
  public:
-  // Answers one batch; `body` is the frame without its length field. Where one instance fails, as by settings
-  // that cannot be read, the reply says so and the others go on.
+  // Handles one batch and returns the reply frame. `body` is the frame without its length field. If an
+  // instance fails, for example because its settings are invalid, the reply reports it and the other
+  // instances continue.
   [[nodiscard]] tl::expected<std::string, WireError> AnswerBatch(std::span<const std::uint8_t> body);
 
  private:
@@ -37,11 +38,11 @@
 
   Decoder decoder_;
   std::map<InstanceId, Instance> instances_;
-  std::vector<Action> actions_;  // of one event; kept for its memory
+  std::vector<Action> actions_;  // actions of one event; a member so that its memory is reused
 };
 
-// Serves frames from `in` until its end. Returns the exit status: 0, or 1 after an error, which is written to
-// `errors`.
+// Serves frames from `in` until the end of the input. Returns the exit status: 0, or 1 after an error, which
+// is written to `errors`.
 int Serve(std::istream& in, std::ostream& out, std::ostream& errors);
 
 }  // namespace mountflow::simulator_adapter
--- a/tests/simulator_adapter/simulator_codec_test.cpp
+++ b/tests/simulator_adapter/simulator_codec_test.cpp
@@ -1,5 +1,5 @@
-// The records of the simulator's protocol: bytes to events, actions to bytes, and the errors of malformed
-// bytes.
+// Tests the codec of the simulator's protocol: decoding events, encoding actions, and the errors for
+// malformed input.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -15,18 +15,18 @@
 
 using Bytes = testing::LittleEndianBytes;
 
-struct Seen {
+struct DecodedEvent {
   InstanceId instance;
   WireEvent event;
 };
 
-std::vector<Seen> Decode(Decoder* decoder, const Bytes& bytes, Micros* now) {
-  std::vector<Seen> seen;
+std::vector<DecodedEvent> Decode(Decoder* decoder, const Bytes& bytes, Micros* now) {
+  std::vector<DecodedEvent> decoded_events;
   const auto decoded = decoder->Decode(bytes.Body(), now, [&](InstanceId instance, WireEvent& event) {
-    seen.push_back({instance, event});
+    decoded_events.push_back({instance, event});
   });
   EXPECT_TRUE(decoded) << Describe(decoded.error());
-  return seen;
+  return decoded_events;
 }
 
 template <typename T>
@@ -35,10 +35,10 @@
   Micros now = 0;
   Bytes batch;
   batch.U64(9).U8(140).U16(3).Raw(records.Text());
-  const auto seen = Decode(&decoder, batch, &now);
-  EXPECT_EQ(seen.size(), 1u);
-  EXPECT_EQ(seen.at(0).instance, 3);
-  return std::get<T>(std::get<Event>(seen.at(0).event.body));
+  const auto decoded_events = Decode(&decoder, batch, &now);
+  EXPECT_EQ(decoded_events.size(), 1u);
+  EXPECT_EQ(decoded_events.at(0).instance, 3);
+  return std::get<T>(std::get<Event>(decoded_events.at(0).event.body));
 }
 
 Bytes& PutEntry(Bytes& bytes, std::uint32_t node, unsigned state) {
@@ -57,12 +57,12 @@
   Micros now = 0;
   Bytes bytes;
   bytes.U64(1).U8(140).U16(5).U8(10).U64(42).U32(4).Raw("a=1\n").U8(100);
-  const auto seen = Decode(&decoder, bytes, &now);
-  ASSERT_EQ(seen.size(), 2u);
-  const auto& start = std::get<StartInstance>(seen[0].event.body);
+  const auto decoded_events = Decode(&decoder, bytes, &now);
+  ASSERT_EQ(decoded_events.size(), 2u);
+  const auto& start = std::get<StartInstance>(decoded_events[0].event.body);
   EXPECT_EQ(start.seed, 42u);
   EXPECT_EQ(start.settings, "a=1\n");
-  EXPECT_TRUE(std::holds_alternative<StopInstance>(seen[1].event.body));
+  EXPECT_TRUE(std::holds_alternative<StopInstance>(decoded_events[1].event.body));
 }
 
 TEST(SimulatorDecoder, ReadsNodeListsInOrderOfEvents) {
@@ -74,14 +74,14 @@
   PutEntry(bytes, 10, 1);
   PutEntry(bytes, 11, 2);
   bytes.U8(20).U8(1).U32(9).U16(15);
-  bytes.U8(130).U16(15).U32(1);  // the number is used again
+  bytes.U8(130).U16(15).U32(1);  // the list number is reused
   PutEntry(bytes, 12, 0);
   bytes.U8(20).U8(0).U32(10).U16(15);
-  bytes.U8(20).U8(3).U32(0).U16(999);  // a failed call: its list number means nothing
-  const auto seen = Decode(&decoder, bytes, &now);
-  ASSERT_EQ(seen.size(), 3u);
+  bytes.U8(20).U8(3).U32(0).U16(999);  // a failed call, whose list number has no meaning
+  const auto decoded_events = Decode(&decoder, bytes, &now);
+  ASSERT_EQ(decoded_events.size(), 3u);
   const auto update = [&](std::size_t i) {
-    return std::get<NodeListUpdate>(std::get<Event>(seen[i].event.body));
+    return std::get<NodeListUpdate>(std::get<Event>(decoded_events[i].event.body));
   };
   EXPECT_EQ(update(0).kind, NodeListKind::kSnapshot);
   ASSERT_EQ(update(0).nodes.size(), 2u);
@@ -109,9 +109,10 @@
   list.U64(1).U8(130).U16(3).U32(1);
   PutEntry(list, 10, 1);
   EXPECT_TRUE(Decode(&decoder, list, &now).empty());
-  const auto seen = Decode(&decoder, Bytes().U64(2).U8(140).U16(5).U8(20).U8(1).U32(9).U16(3), &now);
-  ASSERT_EQ(seen.size(), 1u);
-  EXPECT_EQ(std::get<NodeListUpdate>(std::get<Event>(seen[0].event.body)).nodes.size(), 1u);
+  const auto decoded_events =
+      Decode(&decoder, Bytes().U64(2).U8(140).U16(5).U8(20).U8(1).U32(9).U16(3), &now);
+  ASSERT_EQ(decoded_events.size(), 1u);
+  EXPECT_EQ(std::get<NodeListUpdate>(std::get<Event>(decoded_events[0].event.body)).nodes.size(), 1u);
 }
 
 TEST(SimulatorDecoder, ReadsSubmittedTask) {
@@ -183,12 +184,12 @@
   bytes.U8(50).U32(7).U32(300).U16(1).U8(0).U16(200).U32(0).U32(55).U8(2).F32(1.0f).F32(2.0f);
   bytes.U8(80).U32(55).U16(200).U32(10).U8(1).F32(3.0f);
   bytes.U8(80).U32(55).U16(408).U32(10).U8(0);
-  const auto seen = Decode(&decoder, bytes, &now);
-  ASSERT_EQ(seen.size(), 3u);
-  EXPECT_EQ(seen[0].event.report, (RawReport{1.0f, 2.0f}));
-  EXPECT_EQ(seen[1].event.report, RawReport{3.0f});
-  EXPECT_TRUE(std::get<HealthCheckResult>(std::get<Event>(seen[1].event.body)).answered);
-  EXPECT_FALSE(std::get<HealthCheckResult>(std::get<Event>(seen[2].event.body)).answered);
+  const auto decoded_events = Decode(&decoder, bytes, &now);
+  ASSERT_EQ(decoded_events.size(), 3u);
+  EXPECT_EQ(decoded_events[0].event.report, (RawReport{1.0f, 2.0f}));
+  EXPECT_EQ(decoded_events[1].event.report, RawReport{3.0f});
+  EXPECT_TRUE(std::get<HealthCheckResult>(std::get<Event>(decoded_events[1].event.body)).answered);
+  EXPECT_FALSE(std::get<HealthCheckResult>(std::get<Event>(decoded_events[2].event.body)).answered);
 }
 
 TEST(SimulatorDecoder, SkipsMessagesOfPeers) {
@@ -209,7 +210,7 @@
   }
 }
 
-// ---- Malformed bytes ----
+// ---- Malformed input ----
 
 WireError ErrorOf(const Bytes& bytes) {
   Decoder decoder;
@@ -265,7 +266,7 @@
   EXPECT_EQ(events, 1);
 }
 
-TEST(SimulatorDecoder, CatchesEveryCutOfEveryRecord) {
+TEST(SimulatorDecoder, ReportsErrorForEveryTruncationOfEveryRecord) {
   const std::vector<std::pair<unsigned, std::size_t>> records = {{10, 12}, {20, 7},   {30, 45}, {40, 14},
                                                                  {50, 22}, {60, 4},   {70, 8},  {80, 11},
                                                                  {90, 4},  {110, 49}, {120, 15}};
--- a/tests/simulator_adapter/simulator_server_test.cpp
+++ b/tests/simulator_adapter/simulator_server_test.cpp
@@ -1,4 +1,4 @@
-// The simulator's server: frames in, replies out.
+// Tests the server for the simulator: the reply to each input frame, and the exit status after errors.
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -28,7 +28,7 @@
   EXPECT_EQ(status, 0);
 }
 
-// A started instance with one node and one submitted task.
+// Returns a batch that starts an instance, lists one node and submits one task.
 Bytes BatchWithTask() {
   const std::string settings =
       "profiles.count=1\nprofiles.0.effect=safe\ndomain.kind_cores=40\ndomain.mem_of_kind=90\n"
