--- a/tests/support/fake_batch_node.hpp
+++ b/tests/support/fake_batch_node.hpp
@@ -1,4 +1,4 @@
-// A node on loopback whose replies to the batch protocol the test gives, message by message.
+// A fake node on the loopback interface. The test chooses its reply to each batch protocol request.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_FAKE_BATCH_NODE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_FAKE_BATCH_NODE_HPP_
 
@@ -22,8 +22,8 @@
 
 namespace mountflow::testing {
 
-// Serves its sockets only inside its own calls, in the test's thread. Queue and script requests, and the
-// question which tasks run, are answered without the test.
+// Serves its sockets only during calls of its member functions, in the test's thread. Answers QueueJob and
+// JobScript requests, and status requests for all tasks, by itself; the test answers all other requests.
 class FakeBatchNode {
  public:
   struct ReceivedRequest {
@@ -60,7 +60,8 @@
     node.free_memory = 64;
     return node;
   }
-  // Waits for the next request of this type that the test has to answer. Fails the test when none comes.
+  // Waits for the next request of this type that the test must answer. Fails the test if none arrives within
+  // kWaitLimit.
   ReceivedRequest WaitForRequest(pbs_protocol::RequestType type) {
     const Micros deadline = MonotonicTime() + kWaitLimit;
     for (;;) {
@@ -85,10 +86,11 @@
     Reply(commit);
     return commit;
   }
-  // Requests of this type since the start.
+  // Returns the number of requests of this type that arrived so far.
   std::size_t CountRequests(pbs_protocol::RequestType type) const {
-    return static_cast<std::size_t>(std::count_if(
-        received_.begin(), received_.end(), [type](const auto& one) { return one.request.type == type; }));
+    return static_cast<std::size_t>(
+        std::count_if(received_.begin(), received_.end(),
+                      [type](const auto& received) { return received.request.type == type; }));
   }
   void Reply(const ReceivedRequest& received, pbs_protocol::Code code = pbs_protocol::Code::kNone,
              int auxiliary = 0, const std::string& text = "") {
@@ -101,7 +103,7 @@
     }
     SendReply(received.connection, reply);
   }
-  // A daemon may have closed the connection; then nothing is sent.
+  // Sends a reply. Does nothing if the daemon has closed the connection.
   void SendReply(int connection, const pbs_protocol::Reply& reply) {
     std::string bytes;
     pbs_protocol::Encode(reply, &bytes);
@@ -114,16 +116,17 @@
     close(received.connection);
     input_.erase(received.connection);
   }
-  // Serves until `holds` is true; false after kWaitLimit.
-  bool ServeUntil(const std::function<bool()>& holds) {
+  // Serves its sockets until `condition` returns true. Returns false if that takes longer than kWaitLimit.
+  bool ServeUntil(const std::function<bool()>& condition) {
     const Micros deadline = MonotonicTime() + kWaitLimit;
-    while (!holds()) {
+    while (!condition()) {
       if (MonotonicTime() > deadline) return false;
       ServeOnce(20);
     }
     return true;
   }
-  // Reports the end of an attempt's task to a daemon, as a node does. Without `end` the report has no times.
+  // Reports the end of an attempt's task to a daemon, as a node does, and returns the code of the daemon's
+  // reply. If `end` is 0, the report contains no times.
   static pbs_protocol::Code ReportEnd(int batch_port, const std::string& attempt, const std::string& reason,
                                       int status, Micros start = 0, Micros end = 0) {
     pbs_client::BatchConnection client;
@@ -145,7 +148,7 @@
   }
 
  private:
-  // Waits for input for this long at most, and reads all there is.
+  // Waits for input for at most `wait_ms` milliseconds, then reads once from each readable socket.
   void ServeOnce(int wait_ms) {
     std::vector<pollfd> readable = {{listener_, POLLIN, 0}};
     for (const auto& [connection, input] : input_) readable.push_back({connection, POLLIN, 0});
@@ -203,9 +206,9 @@
   std::string name_;
   int listener_ = -1;
   int port_ = 0;
-  std::map<int, std::string> input_;  // bytes not decoded yet, by connection
+  std::map<int, std::string> input_;  // bytes that are not decoded yet, by connection
   std::vector<ReceivedRequest> unanswered_;
-  std::vector<ReceivedRequest> received_;  // all of them
+  std::vector<ReceivedRequest> received_;  // all requests since the start
 };
 
 }  // namespace mountflow::testing
