--- a/src/admission/admission.hpp
+++ b/src/admission/admission.hpp
@@ -26,6 +26,7 @@
 
 namespace mountflow::admission {
 
+// Limits of the admission queue and parameters of the estimates.
 struct AdmissionOptions {
   double max_wait_share = 0.25;           // longest wait, as a share of the time from arrival to deadline
   Micros max_wait = 500'000;              // longest wait, whatever the deadline
@@ -44,6 +45,7 @@
   std::size_t unanswered_jobs = 0;  // admitted jobs without a final answer
 };
 
+// Whether a submission is admitted, or the reason for its rejection.
 enum class AdmissionResult {
   kAdmitted,
   kDeadlinePassed,       // the deadline passed before the request was read
@@ -56,6 +58,7 @@
 // Returns the text of the reply to the client; empty for kAdmitted.
 [[nodiscard]] std::string_view Describe(AdmissionResult result);
 
+// The result for a submission, and the Retry-After of a rejection.
 struct AdmissionDecision {
   AdmissionResult result = AdmissionResult::kAdmitted;
   Micros retry_after = 0;  // of a rejection, in microseconds; 0: no retry slot before the deadline
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -22,6 +22,7 @@
 
 namespace mountflow::membership {
 
+// The name of this scheduler and the limits of a certain view.
 struct GroupOptions {
   std::string own_name;
   Micros max_view_age = 5'000'000;    // an older view of the other members is uncertain
@@ -59,7 +60,7 @@
   [[nodiscard]] const MembershipChange& reported() const { return reported_; }
 
  private:
-  // Reports whether the group size and the own index follow from `view` with certainty.
+  // Reports whether the group size and the index of this scheduler can be derived from `view` with certainty.
   [[nodiscard]] bool IsCertain(const GroupView& view) const;
 
   GroupOptions options_;
--- a/src/node_sessions/attempt_exchange.hpp
+++ b/src/node_sessions/attempt_exchange.hpp
@@ -18,12 +18,13 @@
   unsigned requests = 0;  // number of requests in `bytes`; each gets one reply
 };
 
-// Returns nothing if the job manager does not know the attempt.
+// Returns the encoded submission of an attempt, or nothing if the job manager does not know the attempt.
 [[nodiscard]] std::optional<Submission> EncodeSubmission(const SessionContext& context,
                                                          const job_manager::AttemptId& attempt);
 // Returns the encoded Commit request of an attempt.
 [[nodiscard]] std::string EncodeCommit(const SessionContext& context, const job_manager::AttemptId& attempt);
 
+// The progress of the attempt on an attempt connection.
 enum class AttemptStep : std::uint8_t { kIdle, kSubmitting, kReady, kCommitting };
 
 // The state of one attempt connection, which serves one attempt at a time. A reply has these effects:
@@ -44,6 +45,7 @@
   // Records that the commit was sent. The step must be kReady.
   void BeginCommit() { step_ = AttemptStep::kCommitting; }
 
+  // Reports whether the node still has to reply to a request.
   [[nodiscard]] bool AwaitsReply() const;
   // Handles a reply and returns the message for the job manager; nothing if further replies are awaited. Must
   // be called only if AwaitsReply().
--- a/src/node_sessions/control_exchange.cpp
+++ b/src/node_sessions/control_exchange.cpp
@@ -14,8 +14,8 @@
 using pbs_protocol::RequestType;
 
 constexpr unsigned kManageCommandDelete = 1;
-constexpr unsigned kUnknownClass =
-    std::numeric_limits<unsigned>::max();  // the job manager rejects a task of this class
+// Stands for a task class that cannot be decoded. The job manager does not recover a task of this class.
+constexpr unsigned kUnknownClass = std::numeric_limits<unsigned>::max();
 
 bool IsSuccess(const pbs_protocol::Reply& reply) { return reply.code == pbs_protocol::Code::kNone; }
 
--- a/src/node_sessions/node_sessions.cpp
+++ b/src/node_sessions/node_sessions.cpp
@@ -51,7 +51,7 @@
     sessions.SendControl(now, request.node, request);
   }
   void operator()(const job_manager::ForgetNode& request) const { sessions.ForgetNode(request.node); }
-  // Outputs that are not for nodes.
+  // Ignores outputs that are not for nodes.
   template <typename Other>
   void operator()(const Other& /*other*/) const {}
 };
--- a/src/node_sessions/reply_reader.hpp
+++ b/src/node_sessions/reply_reader.hpp
@@ -11,10 +11,11 @@
 
 namespace mountflow::node_sessions {
 
+// The result of decoding the next reply.
 enum class ReadResult : std::uint8_t {
   kReply,
   kIncomplete,  // more bytes are needed
-  kMalformed,   // no further byte can make it valid
+  kMalformed,   // the bytes can never become a valid reply
 };
 
 // Buffers received bytes and decodes replies from them. An incomplete reply takes at most
--- a/src/node_sessions/session_connections.hpp
+++ b/src/node_sessions/session_connections.hpp
@@ -20,6 +20,7 @@
 
 inline constexpr Micros kNoDeadline = 0;
 
+// Whether a connection carries the start of attempts or control requests.
 enum class ConnectionKind : std::uint8_t { kAttempt, kControl };
 
 // The state of one connection to a node.
--- a/src/node_sessions/session_types.hpp
+++ b/src/node_sessions/session_types.hpp
@@ -11,6 +11,7 @@
 
 namespace mountflow::node_sessions {
 
+// Identifies a connection to a node. Ids are never reused.
 using ConnId = std::uint64_t;
 
 // Options of the node sessions. All bounds apply to each node separately.
@@ -25,20 +26,21 @@
   Micros control_timeout = 2'000'000;  // longest time without a reply on a control connection that awaits one
 };
 
-// Open a connection. The event loop then calls NodeSessions::Connected or NodeSessions::Closed.
+// Opens a connection. The event loop then calls NodeSessions::Connected or NodeSessions::Closed.
 struct OpenConn {
   ConnId conn = 0;
   std::string address;  // IP:PORT
 };
-// Write bytes to an established connection.
+// Writes bytes to an established connection.
 struct SendBytes {
   ConnId conn = 0;
   std::string bytes;
 };
-// Close a connection. The event loop makes no call in return.
+// Closes a connection. The event loop makes no call in return.
 struct CloseConn {
   ConnId conn = 0;
 };
+// An action that the event loop carries out.
 using SessionAction = std::variant<OpenConn, SendBytes, CloseConn>;
 
 }  // namespace mountflow::node_sessions
--- a/src/retry/retry.hpp
+++ b/src/retry/retry.hpp
@@ -14,6 +14,7 @@
 
 namespace mountflow::retry {
 
+// Limits and waits of retries. All times are in microseconds.
 struct RetryPolicy {
   unsigned max_retries = 8;            // consecutive retries without a task start in between; 0: none
   Micros initial_backoff = 1'000'000;  // after a rejection or failure; doubled with each consecutive retry
@@ -25,6 +26,7 @@
   Micros reconciliation_wait = 3'000'000;
 };
 
+// How a launch request ended.
 enum class RequestResult {
   kRejected,  // no attempt ran, so a retry is harmless
   kFailed,    // an attempt may have run
@@ -43,6 +45,7 @@
   double random_draw = 0.0;  // in [0, 1)
 };
 
+// The decision about a launch request that ended.
 enum class RetryAction {
   kRetry,  // retry at the time `at`
   // Retry at the time `at` or later, once every earlier attempt is known not to run.
@@ -50,11 +53,13 @@
   kGiveUp  // do not retry: the last result is final
 };
 
+// Why a launch request is not retried.
 enum class GiveUpReason { kNone, kNotRerunnable, kMayHaveRun, kRetriesExhausted, kDeadline };
 
 // Returns the text that clients read; it is also part of stored job comments. Empty for kNone.
 [[nodiscard]] std::string_view Describe(GiveUpReason reason);
 
+// A decision, with the time of the retry or the reason against it.
 struct RetryDecision {
   RetryAction action = RetryAction::kGiveUp;
   Micros at = 0;                              // time of the retry; 0 for kGiveUp
@@ -67,11 +72,12 @@
   // Decides whether to retry a launch request that ended; called once for each. Counts the retry if it is
   // granted.
   [[nodiscard]] RetryDecision Decide(const RetryPolicy& policy, const RequestEnded& ended);
-  // Resets the retry count and the backoff because the job's task started.
+  // Resets the retry count and the backoff. Called when the job's task started.
   void TaskStarted() { retries_in_row_ = 0; }
   [[nodiscard]] unsigned retries_in_row() const { return retries_in_row_; }
 
  private:
+  // Returns the backoff before jitter; it depends on the result and the number of consecutive retries.
   [[nodiscard]] Micros Backoff(const RetryPolicy& policy, RequestResult result) const;
 
   std::uint16_t retries_in_row_ = 0;
--- a/src/settings/value.hpp
+++ b/src/settings/value.hpp
@@ -17,13 +17,14 @@
 // Largest number of items in a list, and largest number of classes or tenants.
 inline constexpr std::size_t kMaxItems = 4096;
 
+// The kinds of errors in a settings text.
 enum class SettingsErrorCode {
   kMalformedLine,  // the line numbered `line` does not have the form path=value
   kBadValue,       // the value of `key` is invalid
   kListTooLong     // the value of `key` has more than kMaxItems items
 };
 
-// Why a settings text cannot be parsed.
+// The reason why a settings text cannot be parsed.
 struct SettingsError {
   SettingsErrorCode code = SettingsErrorCode::kBadValue;
   std::string key;       // empty for kMalformedLine
@@ -41,6 +42,7 @@
   const std::string& value;
 };
 
+// A parsed value or the error.
 template <typename T>
 using Result = tl::expected<T, SettingsError>;
 using Status = Result<void>;
--- a/src/simulator_adapter/decoder.hpp
+++ b/src/simulator_adapter/decoder.hpp
@@ -19,18 +19,18 @@
 // The number of a scheduler instance among those that one process hosts.
 using InstanceId = std::uint16_t;
 
-// Starts a scheduler; replaces one with the same instance number.
+// An event that starts a scheduler, which replaces one with the same instance number.
 struct StartInstance {
   std::uint64_t seed = 0;
   std::string settings;  // settings text, see settings::ParseSettings
 };
-// Stops a scheduler.
+// An event that stops a scheduler.
 struct StopInstance {};
 
 // The values of a load report, in the order of WireSettings::report_names of the instance.
 using RawReport = std::vector<float>;
 
-// A decoded record that starts, stops or addresses an instance.
+// A decoded event for one instance.
 struct WireEvent {
   std::variant<StartInstance, StopInstance, Event> body;
   RawReport report;  // load report of an AttemptEnded or a HealthCheckResult
--- a/src/simulator_adapter/record_reader.hpp
+++ b/src/simulator_adapter/record_reader.hpp
@@ -11,14 +11,15 @@
 
 namespace mountflow::simulator_adapter {
 
+// The kinds of errors in a frame.
 enum class WireErrorCode {
   kTruncated,     // the frame or the input ends within a field
   kUnknownValue,  // a field has a value that the protocol does not define
-  kNoInstance,    // an event comes before the record that selects its instance
+  kNoInstance,    // an event precedes the record that selects its instance
   kFrameTooShort  // the frame is too short for its clock
 };
 
-// Why a frame cannot be decoded. The input after the error cannot be interpreted.
+// The reason why a frame cannot be decoded. The input after the error cannot be interpreted.
 struct WireError {
   WireErrorCode code = WireErrorCode::kTruncated;
   std::size_t offset = 0;  // position in the frame, counted from the start of its length field
@@ -52,6 +53,7 @@
   [[nodiscard]] const std::optional<WireError>& error() const { return error_; }
 
  private:
+  // Reads one field of type T.
   template <typename T>
   T Field(const char* field_name);
 
--- a/src/simulator_adapter/server.hpp
+++ b/src/simulator_adapter/server.hpp
@@ -27,6 +27,7 @@
   [[nodiscard]] tl::expected<std::string, WireError> AnswerBatch(std::span<const std::uint8_t> body);
 
  private:
+  // A running scheduler and the names of the values in its load reports.
   struct Instance {
     Scheduler scheduler;
     std::vector<std::string> report_names;
