--- a/src/platform/event_trace.cpp
+++ b/src/platform/event_trace.cpp
@@ -97,7 +97,7 @@
   return "unknown";
 }
 
-// Builds one line.
+// TraceLine builds one line of the trace.
 class TraceLine {
  public:
   explicit TraceLine(std::string_view name) : text_(name) {}
--- a/src/platform/node_codec.cpp
+++ b/src/platform/node_codec.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kCauseBytes = 1;
 constexpr int kBitsPerByte = 8;
 
-// Nothing, or what was expected and what came.
+// The error text names the expected and the received value.
 using ReadResult = tl::expected<void, std::string>;
 
 tl::unexpected<std::string> Expected(const std::string& expected, std::size_t got) {
@@ -38,7 +38,7 @@
   return false;
 }
 
-// Reads the first `size` bytes of `bytes` as one number.
+// Reads the first `size` bytes of `bytes` as one big-endian number.
 std::uint64_t ReadNumber(std::string_view bytes, std::size_t size) {
   std::uint64_t value = 0;
   for (const char byte : bytes.substr(0, size))
@@ -58,12 +58,13 @@
   bytes->append(value);
 }
 
-// The size of the message that `unread` begins with, its length field included; 0: not known yet.
+// Returns the size of the first message in `unread` in bytes, including its length field, or 0 if the length
+// field is incomplete.
 std::size_t MessageSize(std::string_view unread) {
   return unread.size() < kLengthBytes ? 0 : kLengthBytes + ReadNumber(unread, kLengthBytes);
 }
 
-// Checks as much of a message's header as has come.
+// Checks the part of a message's header that has been received.
 ReadResult CheckHeader(std::string_view unread) {
   if (unread.size() < kLengthBytes) return {};
   const std::size_t size = MessageSize(unread);
@@ -122,7 +123,7 @@
   if (!broken_) buffer_.Append(bytes);
 }
 
-NodeMessageReader::State NodeMessageReader::Break(std::string error) {
+NodeMessageReader::State NodeMessageReader::Fail(std::string error) {
   error_ = std::move(error);
   broken_ = true;
   buffer_.Clear();
@@ -132,8 +133,9 @@
 NodeMessageReader::State NodeMessageReader::Next(NodeMessage* message) {
   if (broken_) return State::kBroken;
   const std::string_view unread = buffer_.unread();
-  // Before the whole message is there: the rest of a faulty one may never come.
-  if (const ReadResult header = CheckHeader(unread); !header) return Break(header.error());
+  // Check the header before the message is complete: the remaining bytes of a malformed message may never
+  // arrive.
+  if (const ReadResult header = CheckHeader(unread); !header) return Fail(header.error());
   const std::size_t size = MessageSize(unread);
   if (size == 0 || unread.size() < size) {
     buffer_.ReleaseIfEmpty();
@@ -143,7 +145,7 @@
   message->kind = static_cast<NodeMessageKind>(unread[kLengthBytes]);
   message->uid = ReadNumber(unread.substr(kLengthBytes + kTypeBytes), kUidBytes);
   const std::string_view parameters = unread.substr(kHeaderBytes, size - kHeaderBytes);
-  if (const ReadResult read = ReadParameters(parameters, message); !read) return Break(read.error());
+  if (const ReadResult read = ReadParameters(parameters, message); !read) return Fail(read.error());
   buffer_.Consume(size);
   return State::kMessage;
 }
--- a/src/platform/node_codec.hpp
+++ b/src/platform/node_codec.hpp
@@ -1,7 +1,7 @@
-// The protocol between the scheduler and the nodes: binary messages, in both directions. Numbers are
-// big-endian.
+// The binary message protocol between the scheduler and the nodes, the same in both directions. Numbers are
+// big-endian; sizes are in bytes. `length` counts the bytes that follow it.
 //
-//   message   = length:2 type:1 uid:8 parameter*       length counts all that follows it
+//   message   = length:2 type:1 uid:8 parameter*
 //   parameter = code:1 length:2 value
 #ifndef MOUNTFLOW_PLATFORM_NODE_CODEC_HPP_
 #define MOUNTFLOW_PLATFORM_NODE_CODEC_HPP_
@@ -17,73 +17,76 @@
 
 namespace mountflow::platform {
 
-// The type byte of a message. The scheduler ignores, and never sends, those without a direction here.
+// The type byte of a message. The scheduler neither sends nor handles the types without a comment.
 enum class NodeMessageKind : std::uint8_t {
-  kLaunch = 1,  // scheduler: start a task
+  kLaunch = 1,  // from the scheduler: start a task
   kProgress = 6,
-  kAnswer = 9,  // node: the task has started
-  kStop = 12,   // scheduler: cancel or terminate; node: rejected, failed or ended
+  kAnswer = 9,  // from a node: the task has started
+  kStop = 12,   // from the scheduler: cancel or terminate; from a node: rejected, failed or ended
   kStopped = 16,
-  kNote = 44,  // node: progress of a running task
+  kNote = 44,  // from a node: progress of a running task
   kMigrate = 51,
-  kHealthCheck = 52,      // scheduler: does the node answer?
-  kHealthCheckReply = 53  // node: it does
+  kHealthCheck = 52,      // from the scheduler
+  kHealthCheckReply = 53  // from a node: reply to a health check
 };
 
-// The code byte of a parameter. Unscoped, because codes that are not listed here are carried along.
+// The code byte of a parameter. The enum is unscoped because codes that are not listed here are decoded and
+// encoded unchanged.
 enum NodeParameter : std::uint8_t {
   kClass = 129,       // name of the task's class
-  kWait = 132,        // milliseconds for which the scheduler will wait
-  kTaskName = 141,    // the task's key, 16 hex digits
-  kSaid = 150,        // why an attempt ended, or what a note is about
-  kReport = 156,      // load report: name:value;...
-  kFigure = 165,      // the number in a note
-  kIdem = 168,        // deduplication key, 32 hex digits
-  kCauseCode = 171,   // one byte
-  kDescription = 174  // passed through between client and node
+  kWait = 132,        // how long the scheduler waits for the attempt, in milliseconds
+  kTaskName = 141,    // the task's key, 16 hexadecimal digits
+  kSaid = 150,        // the reason for the end of an attempt, or the kind of a progress note
+  kReport = 156,      // load report in the form name:value;...
+  kFigure = 165,      // the number in a progress note
+  kIdem = 168,        // deduplication key, 32 hexadecimal digits
+  kCauseCode = 171,   // cause of a kStop or health check message, one byte
+  kDescription = 174  // passed unchanged between client and node
 };
 
+// A decoded message.
 struct NodeMessage {
   NodeMessageKind kind = NodeMessageKind::kLaunch;
   RequestUid uid = 0;
-  std::map<std::uint8_t, std::string> params;  // by code, without kCauseCode
-  std::optional<std::uint8_t> cause;
+  std::map<std::uint8_t, std::string> params;  // values by code, except kCauseCode
+  std::optional<std::uint8_t> cause;           // value of kCauseCode, if present
   bool operator==(const NodeMessage&) const = default;
 
-  // The value of a parameter; empty where it is absent.
+  // Returns the value of a parameter, or an empty string if it is absent.
   const std::string& Text(std::uint8_t code) const;
 };
 
-// Reads messages from the bytes of one connection. How the bytes are split between calls of Feed() makes no
-// difference. Holds less than one message between reads, plus what was fed and not yet taken by Next(). Not
-// thread-safe.
+// NodeMessageReader decodes messages from the byte stream of one connection. The result does not depend on
+// how the bytes are split between calls of Feed(). The reader buffers the bytes that Next() has not consumed
+// yet: less than one message once Next() has returned kMore. Not thread-safe.
 class NodeMessageReader {
  public:
   enum class State {
-    kMore,     // no whole message is left: feed more
-    kMessage,  // a message was read
-    kBroken    // the stream cannot be read; final. error() says what was expected and what came
+    kMore,     // no complete message is buffered; feed more bytes
+    kMessage,  // a message was decoded
+    kBroken    // the stream is malformed; permanent. error() describes the expected and the received value
   };
 
-  // Ignored once the stream is broken.
+  // Appends received bytes. Does nothing once the stream is malformed.
   void Feed(std::string_view bytes);
 
-  // Reads the next message into `*message`. A fault is reported as soon as the bytes that have come show it.
+  // Decodes the next message into `*message`. An error is reported as soon as the received bytes reveal it,
+  // even before the message is complete.
   [[nodiscard]] State Next(NodeMessage* message);
 
-  // Whether bytes were fed that Next() has not consumed.
+  // Reports whether bytes are buffered that Next() has not consumed.
   bool within_message() const { return !buffer_.empty(); }
   const std::string& error() const { return error_; }
 
  private:
-  State Break(std::string error);
+  State Fail(std::string error);
 
   ReadBuffer buffer_;
   bool broken_ = false;
   std::string error_;
 };
 
-// Empty where the message would be longer than kMaxMessageBytes.
+// Encodes a message. Returns an empty string if the result would exceed kMaxMessageBytes.
 std::string EncodeNodeMessage(const NodeMessage& message);
 
 }  // namespace mountflow::platform
--- a/src/platform/node_connections.cpp
+++ b/src/platform/node_connections.cpp
@@ -8,12 +8,13 @@
 namespace mountflow::platform {
 namespace {
 
-// The cause of a kStop message that ends an attempt or a running task, as the nodes' protocol numbers it.
+// The cause in a kStop message that cancels an attempt or terminates a running task. The value is defined by
+// the node protocol.
 constexpr std::uint8_t kCauseCancelled = 16;
 
 }  // namespace
 
-NodeConnections::Peer& NodeConnections::PeerOf(NodeId node) {
+NodeConnections::Peer& NodeConnections::FindOrAddPeer(NodeId node) {
   Peer& peer = peers_[node];
   peer.node = node;
   return peer;
@@ -43,16 +44,16 @@
 
 void NodeConnections::SetNodeAddress(Micros now, NodeId node, const std::string& address) {
   TakeAddressFromOthers(now, node, address);
-  Peer& peer = PeerOf(node);
+  Peer& peer = FindOrAddPeer(node);
   peer.listed = true;
   if (peer.address == address) return;
   peer.address = address;
   if (peer.HasConnection()) CloseConnection(now, peer, "its address changed", peer.IsConnected());
 }
 
-// A connection made from now on to the address of an old node reaches the new node, and the tasks of the old
-// one are lost, as two processes cannot share an address. The new node would answer every health check and
-// never say so.
+// Clears this address from all other nodes. Two processes cannot share an address, so the tasks of a node
+// that had it before are lost unless the old process is still connected. A new connection to the address
+// would reach the new node, which answers health checks without reporting that it does not run these tasks.
 void NodeConnections::TakeAddressFromOthers(Micros now, NodeId node, const std::string& address) {
   std::vector<NodeId> replaced;
   for (const auto& [id, other] : peers_) {
@@ -75,9 +76,9 @@
   if (peer == nullptr) return;
   peer->listed = false;
   peer->address.clear();
-  // While the connection is up, the node still tells how its tasks end.
+  // While the connection is open, the node still reports the ends of its tasks.
   if (peer->IsConnected()) return;
-  if (peer->HasConnection()) return CloseConnection(now, *peer, "the node is gone", false);
+  if (peer->HasConnection()) return CloseConnection(now, *peer, "the node is no longer listed", false);
   ReportTasksLost(*peer);
   ForgetIfUnused(node);
 }
@@ -96,7 +97,7 @@
 // ---- Attempts and running tasks ----
 
 void NodeConnections::Launch(Micros now, NodeId node, RequestUid uid, std::string message) {
-  Peer& peer = PeerOf(node);
+  Peer& peer = FindOrAddPeer(node);
   peer.last_used_at = now;
   if (peer.address.empty() && !peer.HasConnection()) {
     AddEvent(NodeConnectionEvent::Kind::kNeverRan, peer, uid);
@@ -122,7 +123,8 @@
   }
 }
 
-// Any send may take along what earlier ones left with the transport.
+// Sends `bytes`. If the kernel accepts all of them, it has also accepted the bytes of earlier sends that the
+// transport had queued.
 void NodeConnections::Send(Peer& peer, const std::string& bytes) {
   transport_->Send(peer.connection.id, bytes);
   if (!transport_->AllWritten(peer.connection.id)) return;
@@ -165,9 +167,9 @@
   } else if (attempt.written) {
     SendStop(*peer, uid);
   } else {
-    // Part of the message waits here for a node that does not read. Its rest would complete an attempt that
-    // nobody waits for, after its client left or while the next attempt is in flight. Without its rest the
-    // node never reads it.
+    // Part of the message is still queued because the node does not read. Sending the remaining part would
+    // start a task that no client waits for, or a second one while the next attempt is in flight. The node
+    // ignores an incomplete message, so closing the connection prevents this.
     CloseConnection(now, *peer, "an attempt was cancelled before it was written", true);
     ForgetIfUnused(node);
   }
@@ -184,7 +186,7 @@
 }
 
 void NodeConnections::AddRunningTask(Micros now, NodeId node, bool recovered) {
-  Peer& peer = PeerOf(node);
+  Peer& peer = FindOrAddPeer(node);
   peer.tasks_predate_connection |= recovered;
   if (peer.running_tasks++ == 0 && !peer.HasConnection()) peer.last_received_at = now;
   if (now >= peer.reconnect_at) Connect(now, peer);
@@ -197,7 +199,7 @@
   ForgetIfUnused(node);
 }
 
-// ---- What nodes send ----
+// ---- Received messages ----
 
 void NodeConnections::OnBytes(Micros now, ConnId conn, std::string_view bytes) {
   Peer* peer = FindPeerByConn(conn);
@@ -211,7 +213,7 @@
   for (;;) {
     const NodeMessageReader::State state = connection.reader.Next(&message);
     if (state == NodeMessageReader::State::kMore) break;
-    // A stream that cannot be read is of no further use, for the other attempts on it either.
+    // After a malformed message the stream cannot be decoded any further, not even for other attempts.
     if (state == NodeMessageReader::State::kBroken) {
       return CloseConnection(now, *peer, connection.reader.error(), true);
     }
@@ -231,12 +233,13 @@
   NodeConnectionEvent event;
   event.node = peer.node;
   event.uid = message.uid;
-  // A message under the uid of an attempt that was not sent yet is about an earlier one, and leaves it there.
+  // A message with the uid of an attempt that has not been sent yet refers to an earlier attempt of the same
+  // request. It must not end the unsent one.
   const auto attempt = peer.attempts.find(message.uid);
   const bool of_attempt = attempt != peer.attempts.end() && attempt->second.sent;
   switch (message.kind) {
     case NodeMessageKind::kAnswer:
-      // Without an attempt in flight it is a second copy, or of an attempt that was cancelled.
+      // Without an attempt in flight, this is a duplicate or belongs to a cancelled attempt.
       if (!of_attempt) return;
       peer.attempts.erase(attempt);
       event.kind = NodeConnectionEvent::Kind::kStarted;
--- a/src/platform/node_connections.hpp
+++ b/src/platform/node_connections.hpp
@@ -1,25 +1,29 @@
-// The connections to nodes: one a node, found by node id and never by address; the attempts in flight on
-// each, and what the end of a connection proves about them. Without I/O: the transport connects and sends,
-// and the events are taken with TakeEvents().
+// The connections to nodes, the attempts in flight on each, and the conclusions about attempts and running
+// tasks when a connection ends. There is at most one connection per node, looked up by node id and never by
+// address. This file does no I/O: a Transport connects and sends, and the caller collects the resulting
+// events with TakeEvents().
 //
-// What is proved, and by what:
-//   no connection came up (refused, in time or not)      the attempts that waited for it never ran
-//   a connection ended after an attempt was written whole  it may have run
-//   a connection ended before that                       it never ran: a node reads whole messages only
-//   a connection was refused                             the node's process is gone, and its tasks with it
-//   another node has its address                         the same, unless a connection from before the tasks
-//                                                        were started is still up: that one leads to the old
-//                                                        process
-//   nothing was received for kNodeLostTimeout            the same is assumed, so that clients are told in
-//   time
+// Conclusions from the state of a connection:
+//   - No connection was established (refused or timed out): the attempts that waited for it never ran.
+//   - A connection ended after an attempt was written completely: the attempt may have run.
+//   - A connection ended before an attempt was written completely: the attempt never ran, because a node
+//     processes only complete messages.
+//   - A connection was refused: the node's process has ended, and its tasks with it.
+//   - Another node has taken the address: the node's process has ended as well, unless a connection that was
+//     made before the tasks were started is still open; such a connection leads to the old process.
+//   - Nothing was received for kNodeLostTimeout: the node's process is assumed to have ended, so that clients
+//     are notified within their time limit.
 //
-// An attempt is handed to the transport once the kernel has everything before it. So an attempt that is
-// cancelled is either not sent at all, or the node reads of both, or its connection ends before the message
-// is whole.
+// An attempt is passed to the transport only after the kernel has accepted all bytes before it. A cancelled
+// attempt is therefore in one of three states: it is never sent, or the node reads both the attempt and its
+// cancellation, or the connection ends before the message is complete.
 //
-// Not thread-safe; the caller passes the time. Bounds: connections as the options say; kMaxAttemptsInFlight
-// attempts a node; kMaxPendingTerminations terminations for a node that is not connected; reconnects at most
-// every kReconnectDelayMax; a node that is no longer listed is forgotten with its last task.
+// Not thread-safe; the caller passes the current time. Bounds:
+//   - at most NodeConnectionOptions::max_connections connections;
+//   - at most kMaxAttemptsInFlight attempts in flight per node;
+//   - at most kMaxPendingTerminations pending terminations per node without a connection;
+//   - the delay between reconnects grows up to kReconnectDelayMax;
+//   - a node that is no longer listed is removed when its last task ends.
 #ifndef MOUNTFLOW_PLATFORM_NODE_CONNECTIONS_HPP_
 #define MOUNTFLOW_PLATFORM_NODE_CONNECTIONS_HPP_
 
@@ -38,81 +42,93 @@
 
 namespace mountflow::platform {
 
-// Of one node: more than it can accept within the longest deadline of an attempt.
+// Limits per node. A node cannot accept kMaxAttemptsInFlight attempts within the longest deadline of an
+// attempt.
 inline constexpr std::size_t kMaxAttemptsInFlight = 1024;
 inline constexpr std::size_t kMaxPendingTerminations = 1024;
-// A connection in use gets a health check when nothing was received for kHealthCheckInterval; it is closed
-// when nothing comes within kHealthCheckTimeout after that. A node may stall for half a second.
+// A health check is sent on a connection in use after nothing was received for kHealthCheckInterval
+// (microseconds). The connection is closed if nothing is received within kHealthCheckTimeout after that. A
+// healthy node may stall for half a second.
 inline constexpr Micros kHealthCheckInterval = 1'000'000;
 inline constexpr Micros kHealthCheckTimeout = 2'000'000;
-// For a message that has begun to end; sound nodes send each in one piece.
+// Maximum time for which a connection may hold an incomplete message. Healthy nodes send each message in one
+// piece.
 inline constexpr Micros kPartialNodeMessageTimeout = 1'000'000;
-// Clients are notified of the end of a running task within 8 s. A node that is not heard of for this long
-// counts as lost: as late as those 8 s allow, for a node that is only cut off comes back with its tasks.
+// A node from which nothing was received for this long is considered lost. Clients must be notified of the
+// end of a running task within 8 s. The timeout is as long as that limit allows, because a node behind a
+// network failure may still be running its tasks when it is reachable again.
 inline constexpr Micros kNodeLostTimeout = 7'500'000;
-// With more nodes that run tasks than connections, each node without one is connected in rotation this often;
-// the end of a task is heard as much later, and must be known within 8 s.
+// If more nodes run tasks than there are connections, a node whose connection was evicted is connected again
+// after this time. This delays the report of a task's end, which must arrive within 8 s.
 inline constexpr Micros kRotationInterval = 2'000'000;
-// Until the next attempt to connect while no connection can be evicted.
+// Delay before the next try to connect when all connections are in use and none can be evicted.
 inline constexpr Micros kNoConnectionFreeDelay = 50'000;
 inline constexpr Micros kReconnectDelayMin = 50'000;
 inline constexpr Micros kReconnectDelayMax = 500'000;
 
+// An event about an attempt, a running task or a node, for the caller to handle.
 struct NodeConnectionEvent {
   enum class Kind {
-    kStarted,     // the node accepted the attempt: its task runs
-    kEnded,       // the node says that the attempt or the running task ended
-    kNeverRan,    // the attempt got no connection, or was not written whole
-    kMayHaveRun,  // the attempt was written, and its connection ended
-    kProgress,    // the node reports on a running task
-    kNodeLost,    // every task that ran there is lost; `uid` is 0
+    kStarted,     // the node accepted the attempt; its task is running
+    kEnded,       // the node reported the end of the attempt or of the running task
+    kNeverRan,    // the attempt got no connection or was not written completely
+    kMayHaveRun,  // the attempt was written completely before its connection ended
+    kProgress,    // the node reported progress of a running task
+    kNodeLost,    // all running tasks of the node are lost; `uid` is 0
   };
   Kind kind = Kind::kStarted;
   NodeId node = 0;
   RequestUid uid = 0;
-  bool of_running_task = false;  // kEnded: no attempt of this uid is in flight here
-  NodeMessage message;           // kStarted, kEnded, kProgress
+  bool of_running_task = false;  // for kEnded: no attempt with this uid is in flight on the connection
+  NodeMessage message;           // set for kStarted, kEnded and kProgress
 };
 
+// Limits of NodeConnections; times are in microseconds.
 struct NodeConnectionOptions {
   std::size_t max_connections = 64;
   Micros connect_timeout = 250'000;
-  // Shorter than the node's own: an attempt that crosses the node's close may have run.
+  // Time after which an unused connection is closed. It must be shorter than the node's own idle timeout: an
+  // attempt that is sent while the node closes the connection must be reported as kMayHaveRun.
   Micros idle_timeout = 10'000'000;
 };
 
+// NodeConnections manages the connections to all known nodes and the attempts in flight on them.
 class NodeConnections {
  public:
   // `transport` must outlive this object.
   NodeConnections(const NodeConnectionOptions& options, Transport* transport)
       : options_(options), transport_(transport) {}
 
-  // A node is listed, or its address changed. A node that had this address before loses it.
+  // Adds a listed node or changes its address. Another node that has the same address loses it.
   void SetNodeAddress(Micros now, NodeId node, const std::string& address);
-  // A node is no longer listed.
+  // Marks a node as no longer listed.
   void RemoveNode(Micros now, NodeId node);
 
-  // Sends an attempt: `message` is its encoded launch message. Exactly one of kStarted, kEnded, kNeverRan,
-  // kMayHaveRun follows, unless it is cancelled before.
+  // Sends an attempt. `message` is its encoded launch message. Exactly one event of kind kStarted, kEnded,
+  // kNeverRan or kMayHaveRun follows, unless the attempt is cancelled before.
   void Launch(Micros now, NodeId node, RequestUid uid, std::string message);
-  // No event about this attempt follows. An attempt that is not in flight is ignored.
+  // Cancels an attempt; no event about it follows. Does nothing if the attempt is not in flight.
   void CancelAttempt(Micros now, NodeId node, RequestUid uid);
-  // Tells the node to end a running task, now or when it is connected again.
+  // Tells the node to terminate a running task, now or as soon as the node is connected again.
   void TerminateTask(Micros now, NodeId node, RequestUid uid);
-  // A task runs at a node: there must be a connection on which its end can be reported. `recovered`: it was
-  // started before any connection of this process.
+  // Records that a task is running on a node, and connects to the node so that it can report the task's end.
+  // `recovered` is true for a task that was started before this process had a connection to the node.
   void AddRunningTask(Micros now, NodeId node, bool recovered = false);
+  // Records that a running task of a node has ended.
   void RemoveRunningTask(NodeId node);
 
-  // What the transport reports. Connections that are not of this object are ignored.
+  // Callbacks of the transport. Ids of connections that do not belong to this object are ignored.
   [[nodiscard]] bool HasConnection(ConnId conn) const { return node_by_conn_.count(conn) > 0; }
   void OnConnected(Micros now, ConnId conn);
   void OnBytes(Micros now, ConnId conn, std::string_view bytes);
-  void OnWritten(Micros now, ConnId conn);  // the kernel has everything that was sent
+  void OnWritten(Micros now, ConnId conn);  // the kernel has accepted all queued bytes
   void OnClosed(Micros now, ConnId conn, bool refused);
 
+  // Handles everything that is due: timeouts, health checks and reconnects.
   void Tick(Micros now);
-  [[nodiscard]] Micros NextDue() const;  // of Tick; kNever: nothing is due
+  // Returns the time at which Tick() must be called next; kNever if nothing is pending.
+  [[nodiscard]] Micros NextDue() const;
+  // Returns and clears the events since the last call, in order.
   [[nodiscard]] std::vector<NodeConnectionEvent> TakeEvents();
 
   [[nodiscard]] std::size_t connection_count() const { return node_by_conn_.size(); }
@@ -120,34 +136,34 @@
 
  private:
   struct AttemptInFlight {
-    std::string message;  // until it is sent
-    bool sent = false;
-    bool written = false;  // the kernel has all of it: it is on its way
+    std::string message;   // the encoded launch message; empty once it is sent
+    bool sent = false;     // passed to the transport
+    bool written = false;  // the kernel has accepted every byte of the message
   };
   struct Connection {
-    ConnId id = 0;        // 0: there is none
-    std::string address;  // that it was made to
+    ConnId id = 0;        // 0 if there is no connection
+    std::string address;  // remote address
     bool established = false;
     Micros connect_deadline = kNever;
     bool received_any = false;
-    Micros health_check_sent_at = 0;  // nothing was received since; 0: none is open
-    Micros partial_since = 0;         // when a message began that has not ended; 0: none
+    Micros health_check_sent_at = 0;  // 0 if no health check is pending
+    Micros partial_since = 0;         // since when an incomplete message is buffered; 0 if none is
     NodeMessageReader reader;
   };
-  // What is known of one node.
+  // State of one node.
   struct Peer {
     NodeId node = 0;
     bool listed = false;
-    std::string address;  // empty: no new connection is made
+    std::string address;  // if empty, no new connection is made
     Connection connection;
-    bool tasks_predate_connection = false;
+    bool tasks_predate_connection = false;  // some running task may be older than `connection`
     std::size_t running_tasks = 0;
-    Micros last_received_at = 0;  // before the first byte: when it was first needed
+    Micros last_received_at = 0;  // until the first byte: when a connection was first needed
     Micros last_used_at = 0;
     Micros reconnect_at = 0;
     Micros reconnect_delay = 0;
     std::map<RequestUid, AttemptInFlight> attempts;
-    std::deque<RequestUid> unsent_attempts;  // in the order of their launch
+    std::deque<RequestUid> unsent_attempts;  // in launch order
     std::deque<RequestUid> pending_terminations;
 
     [[nodiscard]] bool IsConnected() const { return connection.established; }
@@ -155,16 +171,16 @@
     [[nodiscard]] bool HasTasks() const { return running_tasks > 0 || !pending_terminations.empty(); }
     [[nodiscard]] bool IsNeeded() const { return !attempts.empty() || HasTasks(); }
   };
-  // The order in which connections are evicted: the smallest first.
+  // Order in which connections are evicted. The connection with the smallest rank is evicted first.
   struct EvictionRank {
-    int need = 0;  // 0: of no use; 1: its node has reported on its tasks; 2: it has not
+    int need = 0;  // 0: not needed; 1: needed, the node has sent something on it; 2: needed, nothing received
     Micros last_used_at = 0;
     auto operator<=>(const EvictionRank&) const = default;
   };
 
-  Peer& PeerOf(NodeId node);
-  Peer* FindPeer(NodeId node);        // null: unknown
-  Peer* FindPeerByConn(ConnId conn);  // null: not of this object
+  Peer& FindOrAddPeer(NodeId node);
+  Peer* FindPeer(NodeId node);        // null if the node is unknown
+  Peer* FindPeerByConn(ConnId conn);  // null if the connection does not belong to this object
   void TakeAddressFromOthers(Micros now, NodeId node, const std::string& address);
 
   void Connect(Micros now, Peer& peer, bool for_attempt = false);
@@ -175,9 +191,9 @@
   void SendHealthCheck(Micros now, Peer& peer);
   void HandleMessage(Micros now, Peer& peer, const NodeMessage& message);
 
-  // Closes the connection, with the reason in the log.
+  // Logs `reason` and closes the connection.
   void CloseConnection(Micros now, Peer& peer, const std::string& reason, bool was_established);
-  // The connection is no more: each attempt on it gets its event.
+  // Adds an event for each attempt on a connection that has ended, and schedules the reconnect.
   void OnConnectionEnded(Micros now, Peer& peer, bool was_established);
   void ReportTasksLost(Peer& peer);
   void ForgetIfUnused(NodeId node);
--- a/src/platform/node_connections_lifecycle.cpp
+++ b/src/platform/node_connections_lifecycle.cpp
@@ -1,4 +1,4 @@
-// How connections to nodes are made, evicted, checked and ended.
+// The part of NodeConnections that opens, evicts, health-checks and closes connections.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -10,10 +10,12 @@
 
 // ---- Making connections ----
 
-// False: every connection is needed. Without an attempt to send, a connection that nothing needs goes first,
-// then the least recently used whose node has told how its tasks are; that node is connected again in
-// rotation. A connection that has received nothing yet is evicted for an attempt alone: else many that wait
-// would close each other's connections before any comes up, and sound nodes would count as lost.
+// Evicts one connection if the maximum number is reached. Returns false if none can be evicted. Connections
+// with attempts in flight are never evicted. A connection that is not needed is evicted first, then the least
+// recently used one on which the node has already sent something; that node is connected again in rotation. A
+// connection that is needed and has received nothing yet is evicted only to send an attempt. Otherwise many
+// waiting nodes would close each other's connections before any of these is established, and healthy nodes
+// would be considered lost.
 bool NodeConnections::EvictIfFull(Micros now, bool for_attempt) {
   if (node_by_conn_.size() < options_.max_connections) return true;
   Peer* evicted = nullptr;
@@ -57,13 +59,14 @@
   peer->reconnect_delay = 0;
   peer->last_used_at = now;
   for (const RequestUid uid : std::exchange(peer->pending_terminations, {})) SendStop(*peer, uid);
-  // A node learns who connected from the first message, and only then tells how running tasks have ended:
-  // without a message now, ends would be known as late as the first health check.
+  // A node recognises the scheduler by the first message on a connection, and reports the ends of running
+  // tasks only after it. Without a message now, these reports would be delayed until the first periodic
+  // health check.
   if (peer->running_tasks > 0 && peer->attempts.empty()) SendHealthCheck(now, *peer);
   SendUnsentAttempts(now, *peer);
 }
 
-// ---- The end of connections ----
+// ---- Closing connections ----
 
 void NodeConnections::CloseConnection(Micros now, Peer& peer, const std::string& reason,
                                       bool was_established) {
@@ -83,7 +86,7 @@
     AddEvent(may_have_run ? NodeConnectionEvent::Kind::kMayHaveRun : NodeConnectionEvent::Kind::kNeverRan,
              peer, uid);
   }
-  // At once the first time, then with backoff.
+  // The first reconnect is immediate, later ones have backoff.
   peer.reconnect_at = now + peer.reconnect_delay;
   peer.reconnect_delay = std::clamp(peer.reconnect_delay * 2, kReconnectDelayMin, kReconnectDelayMax);
   if (!peer.listed) ReportTasksLost(peer);
@@ -99,7 +102,7 @@
   ForgetIfUnused(node);
 }
 
-// ---- Time ----
+// ---- Timers ----
 
 Micros NodeConnections::DueOf(const Peer& peer) const {
   const Connection& connection = peer.connection;
@@ -123,7 +126,7 @@
 }
 
 void NodeConnections::Tick(Micros now) {
-  // Those that were not heard for longest come first.
+  // Handles the peers from which nothing was received for the longest time first.
   struct DuePeer {
     Micros last_received_at;
     NodeId node;
@@ -147,16 +150,17 @@
   if (!peer.HasConnection()) {
     if (peer.HasTasks() && now >= peer.last_received_at + kNodeLostTimeout) {
       ReportTasksLost(peer);
-      peer.last_received_at = now;  // reported once; again only after as long
+      peer.last_received_at = now;  // do not report again before another kNodeLostTimeout
     }
     if (now >= peer.reconnect_at) Connect(now, peer);
   } else if (!connection.established) {
-    CloseConnection(now, peer, "it was not established in time", false);
+    CloseConnection(now, peer, "connecting timed out", false);
   } else if (connection.partial_since != 0) {
     CloseConnection(now, peer, "a message did not end in time", true);
   } else if (connection.health_check_sent_at != 0) {
-    // The node accepts connections and is silent, or the connection is half open. What is on it may have run.
-    CloseConnection(now, peer, "no answer to a health check", true);
+    // Either the node accepts connections but does not respond, or the connection is half open. Attempts
+    // written on it may have run.
+    CloseConnection(now, peer, "no reply to a health check", true);
   } else if (peer.IsNeeded()) {
     SendHealthCheck(now, peer);
   } else {
--- a/src/platform/node_directory.cpp
+++ b/src/platform/node_directory.cpp
@@ -7,7 +7,7 @@
 namespace mountflow::platform {
 namespace {
 
-// FNV-1a, 32 bits.
+// Parameters of the 32-bit FNV-1a hash.
 constexpr std::uint32_t kHashOffset = 2166136261U;
 constexpr std::uint32_t kHashPrime = 16777619U;
 
@@ -79,7 +79,8 @@
   return tasks == running_tasks_.end() ? std::set<RequestId>() : tasks->second;
 }
 
-// Without this, names of nodes that come once would add up for ever.
+// Removes a node that is neither listed nor runs a task. Without this, the directory would grow with each new
+// node name.
 void NodeDirectory::ForgetIfUnused(NodeId id) {
   const auto name = names_.find(id);
   if (name == names_.end() || listed_.count(id) > 0 || running_tasks_.count(id) > 0) return;
--- a/src/platform/node_directory.hpp
+++ b/src/platform/node_directory.hpp
@@ -1,8 +1,8 @@
-// The nodes that the scheduler knows: an id for each name, which nodes are listed, and which tasks run on
-// each.
+// The directory of known nodes: the id of each node name, the nodes that are on the node list, and the
+// running tasks of each node.
 //
-// Not thread-safe. Bounds: a name is held while its node is listed or runs a task, so the directory holds at
-// most the listed nodes and one node for each running task.
+// Not thread-safe. Bounds: a name is stored while its node is listed or runs a task, so the directory holds
+// at most the listed nodes and one node per running task.
 #ifndef MOUNTFLOW_PLATFORM_NODE_DIRECTORY_HPP_
 #define MOUNTFLOW_PLATFORM_NODE_DIRECTORY_HPP_
 
@@ -18,24 +18,26 @@
 
 namespace mountflow::platform {
 
+// NodeDirectory maps node names to ids and records which nodes are listed and which tasks run on them.
 class NodeDirectory {
  public:
-  // The id of a node by its name. It is a hash of the name and so, collisions apart, equal in all schedulers
-  // and after a restart: schedulers agree on the affinity nodes of a service by these ids.
+  // Returns the id of the node with this name and adds the name if it is unknown. The id is a hash of the
+  // name, so, except for collisions, it is the same in all schedulers and after a restart. Schedulers depend
+  // on this to choose the same affinity nodes for a service.
   NodeId IdOf(const std::string& name);
 
   void MarkListed(NodeId id) { listed_.insert(id); }
   void MarkUnlisted(NodeId id) { listed_.erase(id); }
-  // The known nodes whose names are not among `names`, in the order of their names.
+  // Returns the known nodes whose names are not in `names`, ordered by name.
   [[nodiscard]] std::vector<NodeId> NotNamedIn(const std::set<std::string>& names) const;
-  // Forgets each name that is neither listed nor needed by a running task.
+  // Removes each node that is neither listed nor runs a task.
   void ForgetUnlisted();
 
   void AddRunningTask(NodeId id, RequestId task) { running_tasks_[id].insert(task); }
-  // False: it was not among the running tasks of this node. The last task of an unlisted node takes its name
-  // along.
+  // Returns false if the task was not a running task of this node. Removing the last task of an unlisted node
+  // also removes the node.
   bool RemoveRunningTask(NodeId id, RequestId task);
-  // Empty where none runs, in the order of their ids.
+  // Returns the running tasks of a node; empty if there are none.
   [[nodiscard]] std::set<RequestId> RunningTasks(NodeId id) const;
 
   [[nodiscard]] std::size_t size() const { return names_.size(); }
@@ -49,8 +51,8 @@
   std::map<NodeId, std::set<RequestId>> running_tasks_;
 };
 
-// A node of the node list as the scheduler takes it. Names of zones and kinds become their numbers in the
-// settings, unknown ones 0.
+// Converts an entry of the node list to the scheduler's form. Names of zones and kinds are replaced by their
+// indices in the settings, and unknown names by 0.
 [[nodiscard]] NodeEntry ToNodeEntry(const ListedNode& node, NodeId id, const settings::WireSettings& wire);
 
 }  // namespace mountflow::platform
--- a/src/platform/node_watch.cpp
+++ b/src/platform/node_watch.cpp
@@ -13,7 +13,7 @@
 
 constexpr int kStatusOk = 200;
 constexpr double kMicrosPerMilli = 1000.0;
-constexpr double kMaxStartMillis = 9e12;  // beyond it a start time is not believed
+constexpr double kMaxStartMillis = 9e12;  // start times from this value on are ignored as invalid
 
 using Code = NodeListError::Code;
 
@@ -21,7 +21,7 @@
   return tl::unexpected<NodeListError>({code, event, std::move(got)});
 }
 
-// The JSON type of a member, for error messages.
+// Returns the JSON type of a member for error messages, "nothing" if it is absent.
 std::string TypeOf(const json& object, const char* key) {
   const auto it = object.find(key);
   return it == object.end() ? "nothing" : it->type_name();
@@ -47,7 +47,7 @@
   node->started_at = static_cast<Micros>(millis * kMicrosPerMilli);
 }
 
-// `free` is the pair of free cores and free memory.
+// Reads the member `free`, an array of two numbers: free cores and free memory.
 void ReadFreeCapacity(const json& entry, ListedNode* node) {
   const auto free = entry.find("free");
   if (free == entry.end() || !free->is_array() || free->size() != 2) return;
@@ -56,7 +56,8 @@
   node->free_memory = (*free)[1].get<double>();
 }
 
-// An entry without a name or status says nothing. The rest may be absent where a node has gone.
+// Reads an entry of the node list. Returns nothing if it has no name or no status. The other members may be
+// absent, for example for a node that was removed.
 std::optional<ListedNode> ReadEntry(const json& entry) {
   if (!entry.is_object()) return std::nullopt;
   std::optional<std::string> name = Text(entry, "name");
@@ -74,7 +75,7 @@
   return node;
 }
 
-// Reads the `fleet` member of the event with this index.
+// Reads the member `fleet` of the event at `index` in the reply.
 tl::expected<void, NodeListError> ReadFleet(const json& fleet, std::size_t index, NodeListEvent* change) {
   if (!fleet.is_object()) return Unusable(Code::kFleetNotAnObject, index, fleet.type_name());
   const auto snapshot = fleet.find("snapshot");
@@ -149,7 +150,7 @@
 
 std::vector<NodeListEvent> NodeWatch::Take() { return std::exchange(changes_, {}); }
 
-void NodeWatch::Follow(Micros now, const std::string& address) {
+void NodeWatch::SetAddress(Micros now, const std::string& address) {
   address_ = address;
   if (conn_ != 0) transport_->Close(std::exchange(conn_, 0), false);
   poll_delay_ = 0;
@@ -176,7 +177,7 @@
   Poll(now);
 }
 
-void NodeWatch::Break(Micros now, const std::string& reason) {
+void NodeWatch::CloseAndRetry(Micros now, const std::string& reason) {
   transport_->Log({logging::LogEvent::kNodeListPollFailed,
                    {{logging::kAddressField, address_},
                     {logging::kLastEventField, last_},
@@ -189,12 +190,12 @@
 
 bool NodeWatch::HandleReply(Micros now, const http::Message& reply) {
   if (reply.status != kStatusOk) {
-    Break(now, "reply: expected status 200, got " + std::to_string(reply.status));
+    CloseAndRetry(now, "reply: expected status 200, got " + std::to_string(reply.status));
     return false;
   }
   auto events = ReadNodeListEvents(json::parse(reply.body, nullptr, false), last_);
   if (!events) {
-    Break(now, Describe(events.error()));
+    CloseAndRetry(now, Describe(events.error()));
     return false;
   }
   if (events->last != last_) poll_delay_ = 0;
@@ -202,10 +203,10 @@
   std::move(events->changes.begin(), events->changes.end(), std::back_inserter(changes_));
   if (events->gap) {
     if (++gaps_ >= kMaxGaps) {
-      last_ = 0;  // asks for the whole list
+      last_ = 0;  // requests the complete list
       gaps_ = 0;
     }
-    Break(now, "an event number is missing");
+    CloseAndRetry(now, "an event number is missing");
     return false;
   }
   gaps_ = 0;
@@ -229,24 +230,25 @@
     if (!HandleReply(now, *reply)) return;
     if (keep_alive) Poll(now);
   }
-  if (!valid) return Break(now, reader_->error());
-  if (!keep_alive) Break(now, "closed after its reply");
+  if (!valid) return CloseAndRetry(now, reader_->error());
+  if (!keep_alive) CloseAndRetry(now, "the service closes the connection after its reply");
 }
 
 void NodeWatch::OnClosed(Micros now, ConnId conn) {
   if (!Owns(conn)) return;
   conn_ = 0;
-  // A body that runs to the end of the connection is only now whole. Where it was cut off it is not JSON.
+  // A body without a length is complete only when the connection ends. A truncated body is rejected because
+  // it is not valid JSON.
   reader_->Finish();
   if (const std::optional<http::Message> reply = NextReply()) {
     if (!HandleReply(now, *reply)) return;
   }
-  Break(now, connected_ ? "the connection ended" : "no connection");
+  CloseAndRetry(now, connected_ ? "the connection ended" : "connecting failed");
 }
 
 void NodeWatch::Tick(Micros now) {
   if (now < due_) return;
-  if (conn_ != 0) return Break(now, connected_ ? "no reply in time" : "no connection in time");
+  if (conn_ != 0) return CloseAndRetry(now, connected_ ? "the poll timed out" : "connecting timed out");
   Connect(now);
 }
 
--- a/src/platform/node_watch.hpp
+++ b/src/platform/node_watch.hpp
@@ -1,5 +1,5 @@
-// The watch on the node list: numbered events of the discovery service, read by long poll over HTTP/1.1 and
-// resumed by number.
+// A watch on the node list of the discovery service. The service publishes numbered events; the watch reads
+// them by long poll over HTTP/1.1 and resumes after the last number it has received.
 #ifndef MOUNTFLOW_PLATFORM_NODE_WATCH_HPP_
 #define MOUNTFLOW_PLATFORM_NODE_WATCH_HPP_
 
@@ -17,106 +17,114 @@
 namespace mountflow::platform {
 
 inline constexpr std::size_t kMaxReplyBytes = 2 << 20;
-inline constexpr std::size_t kMaxNodes = 4096;  // entries of one event
+inline constexpr std::size_t kMaxNodes = 4096;  // per event
 
-// How long the service may hold a poll open. Short, so that what a silent service would have reported is
-// known soon after it counts as reported.
+// Time for which the service may hold a poll open, in microseconds. It is short because events are missed
+// while the service is silent, and a silent service is detected only after this time plus kReplyGracePeriod.
 inline constexpr Micros kLongPollTimeout = 1'000'000;
-inline constexpr Micros kReplyGracePeriod = 600'000;  // beyond the long poll, before it counts as broken
+// Additional time for a reply to arrive before the connection is considered broken.
+inline constexpr Micros kReplyGracePeriod = 600'000;
 inline constexpr Micros kWatchConnectTimeout = 500'000;
 
-// The delay before the next poll after a break: none, then doubling between these bounds.
+// Bounds of the backoff between connections. After a first failure the watch reconnects immediately; after
+// further ones the delay doubles from the minimum up to the maximum.
 inline constexpr Micros kMinPollDelay = 20'000;
 inline constexpr Micros kMaxPollDelay = 400'000;
 
-// After this many replies in a row with a gap in the numbers the whole list is requested.
+// Number of consecutive replies with a gap in the event numbers after which the complete list is requested.
 inline constexpr int kMaxGaps = 3;
 
-// One entry of the node list, as the service words it.
+// One entry of the node list, with the names and status texts of the service.
 struct ListedNode {
   std::string name, address, zone, kind, status;
   unsigned rack = 0;
-  Micros started_at = 0;  // 0: unknown
+  Micros started_at = 0;  // 0 if unknown
   double free_cores = 0.0, free_memory = 0.0;
 };
 
-// One event of the platform's change log: nodes by name and address. The daemon's counterpart is
-// job_manager::NodeListEvent; both become the scheduler's NodeListUpdate, which knows nodes by number only.
+// One event of the platform's change log. It identifies nodes by name and address. The batch daemon's
+// counterpart is job_manager::NodeListEvent; both are converted to the scheduler's NodeListUpdate, which
+// identifies nodes by id only.
 struct NodeListEvent {
   std::uint64_t number = 0;
-  bool whole = false;  // a snapshot of the list, not a delta
+  bool whole = false;  // true for a snapshot of the list, false for a delta
   std::vector<ListedNode> nodes;
 };
 
 // The events of one reply.
 struct NodeListEvents {
-  std::vector<NodeListEvent> changes;  // in order, without those that were known before
-  std::uint64_t last = 0;              // number to resume after
-  bool gap = false;                    // a number was missing; nothing after it was taken
+  std::vector<NodeListEvent> changes;  // new events, in order
+  std::uint64_t last = 0;              // number of the event to resume after
+  bool gap = false;                    // an event number was missing; the events after it were discarded
 };
 
-// Why a reply cannot be used.
+// The reason why a reply cannot be used.
 struct NodeListError {
   enum class Code {
-    kNotAnObject,       // the reply
+    kNotAnObject,       // the reply is not a JSON object
     kNoResults,         // `results` is absent or not an array
-    kNoNumber,          // an event without a whole `seq`
-    kFleetNotAnObject,  // an event's `fleet`
+    kNoNumber,          // `seq` of an event is absent or not an unsigned integer
+    kFleetNotAnObject,  // `fleet` of an event is not an object
     kNoEndpoints,       // `fleet.endpoints` is absent or not an array
-    kTooManyNodes       // over kMaxNodes entries
+    kTooManyNodes       // `fleet.endpoints` has more than kMaxNodes entries
   };
   Code code = Code::kNotAnObject;
-  std::size_t event = 0;  // index in `results`, where the code is about an event
-  std::string got;        // the JSON type, or the number of entries
+  std::size_t event = 0;  // index in `results`, if the code refers to an event
+  std::string got;        // the JSON type or the number of entries that was received
 };
 
-// "results[2].seq: expected a whole number, got string"
+// Returns an error text such as "results[2].seq: expected a whole number, got string".
 std::string Describe(const NodeListError& error);
 
-// Reads a reply of the service, or the configuration's `known`: {"seq":N,"results":[...]}. Events up to
-// number `since` are skipped. A delta must follow the number before it; a snapshot may have any higher
-// number. An entry without a name or status is skipped; its other members are optional.
+// Reads a reply of the service, or the member `known` of the configuration: {"seq":N,"results":[...]}. Events
+// with numbers up to `since` are skipped. The number of a delta must be one more than that of the event
+// before it; a snapshot may have any higher number. An entry without a name or status is skipped; its other
+// members are optional.
 tl::expected<NodeListEvents, NodeListError> ReadNodeListEvents(const nlohmann::json& reply,
                                                                std::uint64_t since);
 
-// Keeps one long poll open and collects the events. Not thread-safe: all calls come from the event loop.
+// NodeWatch keeps one long poll open and collects the received events. Not thread-safe: all calls must come
+// from the event loop's thread.
 //
-//  - A broken connection, within an event or not, is opened again at once, then with growing delays.
-//  - A poll without its reply after kLongPollTimeout + kReplyGracePeriod counts as broken.
-//  - An event whose number was seen is skipped. At a gap in the numbers the poll is repeated from the last
-//    number seen, and after kMaxGaps of them from the beginning.
+//   - A broken connection is opened again, the first time immediately and then with backoff.
+//   - A poll without a reply after kLongPollTimeout + kReplyGracePeriod is treated as a broken connection.
+//   - An event whose number was received before is skipped. After a gap in the numbers the watch polls again
+//     from the last number received, and after kMaxGaps consecutive gaps from the beginning.
 //
-// Bounds: one connection, a reply of kMaxReplyBytes, kMaxNodes entries an event.
+// Bounds: one connection, kMaxReplyBytes per reply, kMaxNodes entries per event.
 class NodeWatch {
  public:
-  // Resumes after the event with the number `since`. `transport` must outlive the watch.
+  // Creates a watch that resumes after event number `since`. `transport` must outlive the watch.
   NodeWatch(std::string address, std::uint64_t since, Transport* transport)
       : address_(std::move(address)), last_(since), transport_(transport) {}
 
-  // Polls another address from now on, resuming by the same numbers.
-  void Follow(Micros now, const std::string& address);
+  // Changes the address of the service. The watch resumes after the last number received from the old
+  // address.
+  void SetAddress(Micros now, const std::string& address);
 
-  // Whether the connection is the watch's. Calls about other connections are ignored.
+  // Reports whether the connection belongs to the watch. Callbacks for other connections are ignored.
   bool Owns(ConnId conn) const { return conn != 0 && conn == conn_; }
   void OnConnected(Micros now, ConnId conn);
   void OnBytes(Micros now, ConnId conn, std::string_view bytes);
   void OnClosed(Micros now, ConnId conn);
 
-  // To be called at NextDue() or later.
+  // Handles timeouts and reconnects. Must be called at NextDue() or soon after.
   void Tick(Micros now);
   Micros NextDue() const { return due_; }
 
-  // The events since the last call, whole ones only.
+  // Returns and clears the events received since the last call. Events of incomplete replies are not
+  // included.
   std::vector<NodeListEvent> Take();
 
-  // The number of the last event taken in.
+  // Returns the number of the last event received.
   std::uint64_t last() const { return last_; }
 
  private:
   void Connect(Micros now);
   void Poll(Micros now);
-  void Break(Micros now, const std::string& reason);
-  // False: the connection was closed.
+  // Logs `reason`, closes the connection and schedules a reconnect.
+  void CloseAndRetry(Micros now, const std::string& reason);
+  // Returns false if the reply could not be used and the connection was closed.
   bool HandleReply(Micros now, const http::Message& reply);
   std::optional<http::Message> NextReply();
 
@@ -125,9 +133,9 @@
   Transport* transport_;
   ConnId conn_ = 0;
   bool connected_ = false;
-  Micros due_ = 0;         // to connect, or to give up the connection
-  Micros poll_delay_ = 0;  // before the next connection, after a break
-  int gaps_ = 0;           // in a row
+  Micros due_ = 0;         // time to connect, or time at which the current connection or poll times out
+  Micros poll_delay_ = 0;  // backoff before the next connection
+  int gaps_ = 0;           // consecutive replies with a gap
   std::optional<http::Reader> reader_;
   std::vector<NodeListEvent> changes_;
 };
--- a/src/platform/nonblocking_stderr_sink.hpp
+++ b/src/platform/nonblocking_stderr_sink.hpp
@@ -1,7 +1,7 @@
-// A sink of spdlog that writes the bare text of a message to standard error and never waits: lines are
-// dropped while nobody reads them.
+// An spdlog sink that writes the unformatted text of each message to standard error and never blocks. While
+// standard error is not writable, for example because its reader does not read, lines are dropped.
 //
-// For loggers used by one thread.
+// For loggers used by one thread only.
 #ifndef MOUNTFLOW_PLATFORM_NONBLOCKING_STDERR_SINK_HPP_
 #define MOUNTFLOW_PLATFORM_NONBLOCKING_STDERR_SINK_HPP_
 
@@ -12,7 +12,8 @@
 
 namespace mountflow::platform {
 
-// Well below PIPE_BUF: a write of that size to a writable pipe does not block.
+// Maximum length of a line; longer ones are truncated. Well below PIPE_BUF, so that a write to a pipe that
+// poll() reports as writable does not block.
 inline constexpr std::size_t kMaxLogLineBytes = 500;
 
 class NonblockingStderrSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
--- a/src/platform/platform_config.cpp
+++ b/src/platform/platform_config.cpp
@@ -16,9 +16,9 @@
 constexpr std::size_t kMaxPortDigits = 5;
 constexpr double kMaxLimit = 1e9;
 
-// Descriptors that are not connections of clients or nodes: standard streams, the event loop's, the listener,
-// and the node watch, which holds two connections while its address changes.
-constexpr std::size_t kOwnDescriptors = 16;
+// Descriptors reserved for everything except connections of clients and nodes: the standard streams, the
+// event loop, the listener, and the node watch, which has two connections while its address changes.
+constexpr std::size_t kReservedDescriptors = 16;
 constexpr std::size_t kMinDescriptors = 2;
 constexpr std::size_t kClientsDivisor = 3;
 constexpr std::size_t kSilentClientsDivisor = 8;
@@ -26,22 +26,22 @@
 std::string TextOf(const json& value) {
   if (!value.is_string()) return value.dump();
   auto text = value.get<std::string>();
-  // The simulator writes these characters so.
+  // The simulator replaces these characters in the same way.
   std::replace_if(
       text.begin(), text.end(),
       [](char character) { return character == ' ' || character == ',' || character == '\n'; }, '_');
   return text;
 }
 
-void LayOutValue(const json& value, const std::string& path, std::size_t depth, std::string* lines) {
+void FlattenValue(const json& value, const std::string& path, std::size_t depth, std::string* lines) {
   if (depth > kMaxSettingsDepth) return;
   const std::string prefix = path.empty() ? "" : path + ".";
   if (value.is_object()) {
-    for (const auto& [key, member] : value.items()) LayOutValue(member, prefix + key, depth + 1, lines);
+    for (const auto& [key, member] : value.items()) FlattenValue(member, prefix + key, depth + 1, lines);
   } else if (value.is_array() && !value.empty() && value[0].is_object()) {
     *lines += prefix + "count=" + std::to_string(value.size()) + "\n";
     for (std::size_t i = 0; i < value.size(); ++i) {
-      LayOutValue(value[i], prefix + std::to_string(i), depth + 1, lines);
+      FlattenValue(value[i], prefix + std::to_string(i), depth + 1, lines);
     }
   } else if (value.is_array()) {
     std::string items;
@@ -52,7 +52,7 @@
   }
 }
 
-// Whether `text` is HOST:PORT with a port of one to five digits.
+// Reports whether `text` is HOST:PORT with a port of one to five digits.
 bool IsAddress(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos || colon == 0) return false;
@@ -61,7 +61,7 @@
          std::all_of(port.begin(), port.end(), [](char digit) { return digit >= '0' && digit <= '9'; });
 }
 
-// The JSON type of a member, for error messages.
+// Returns the JSON type of a member for error messages, "nothing" if it is absent.
 std::string TypeOf(const json& object, const char* key) {
   const auto it = object.find(key);
   return it == object.end() ? "nothing" : it->type_name();
@@ -80,12 +80,12 @@
   return object;
 }
 
-// Reads the members of the configuration's object one after the other.
+// ConfigReader reads the members of the configuration's JSON object and collects the errors.
 class ConfigReader {
  public:
   ConfigReader(const json& object, PlatformConfig* config) : object_(object), config_(config) {}
 
-  // `replacement` takes the place of the member; null or empty: it does not.
+  // Reads a string. `replacement` overrides the member unless it is null or empty.
   void ReadText(const char* key, const char* replacement, std::string* text) {
     if (replacement != nullptr && *replacement != '\0') {
       *text = replacement;
@@ -139,7 +139,7 @@
     if (it == object_.end() || !it->is_object()) {
       return Fail(Code::kBadSettings, "settings", "an object", TypeOf(object_, "settings"));
     }
-    auto parsed = settings::ParseSettings(LayOutSettings(*it));
+    auto parsed = settings::ParseSettings(FlattenSettings(*it));
     if (!parsed) {
       config_->errors.push_back({Code::kBadSettings, "settings", settings::Describe(parsed.error()), ""});
       return;
@@ -149,7 +149,7 @@
   }
 
  private:
-  // What the daemon needs beyond what any user of the settings does.
+  // Checks the requirements of the platform daemon that the settings parser does not check.
   void CheckSettings() {
     const settings::WireSettings& wire = config_->wire;
     const auto require = [this](bool holds, const char* key, const char* expected) {
@@ -161,7 +161,8 @@
     }
     require(!wire.kind_names.empty(), "settings.kinds", "the names of the kinds of nodes");
     require(!wire.zone_names.empty(), "settings.failure_domains", "the names of the zones");
-    require(!wire.settings.list_on_request, "settings.discovery", "push, the change log's way");
+    require(!wire.settings.list_on_request, "settings.discovery",
+            "push, as the node list comes from a change log");
   }
 
   void Fail(Code code, std::string key, const char* expected, std::string got) {
@@ -175,7 +176,7 @@
 }  // namespace
 
 DescriptorShares SplitDescriptors(std::size_t total) {
-  const std::size_t free = total > kOwnDescriptors ? total - kOwnDescriptors : kMinDescriptors;
+  const std::size_t free = total > kReservedDescriptors ? total - kReservedDescriptors : kMinDescriptors;
   const std::size_t silent = std::max(kMinSilentClients, total / kSilentClientsDivisor);
   const std::size_t max_clients = std::max<std::size_t>(1, free / 3 * 2);
   DescriptorShares shares;
@@ -188,9 +189,9 @@
   return error.key + ": " + error.expected + (error.got.empty() ? "" : ", got " + error.got);
 }
 
-std::string LayOutSettings(const json& settings) {
+std::string FlattenSettings(const json& settings) {
   std::string lines;
-  LayOutValue(settings, "", 0, &lines);
+  FlattenValue(settings, "", 0, &lines);
   return lines;
 }
 
--- a/src/platform/platform_config.hpp
+++ b/src/platform/platform_config.hpp
@@ -1,5 +1,6 @@
-// The configuration of the platform daemon: the JSON text that LB_CONFIG names, with LB_NAME and LB_LISTEN in
-// place of its `name` and `listen`. Text in, values or errors out; no I/O.
+// Parser for the configuration of the platform daemon. The configuration is the JSON file named by the
+// environment variable LB_CONFIG; LB_NAME and LB_LISTEN override its members `name` and `listen`. The
+// functions here take the text and return values or errors; they do no I/O.
 #ifndef MOUNTFLOW_PLATFORM_PLATFORM_CONFIG_HPP_
 #define MOUNTFLOW_PLATFORM_PLATFORM_CONFIG_HPP_
 
@@ -18,63 +19,68 @@
 
 inline constexpr std::size_t kMaxConfigBytes = 8 << 20;
 
-// Connections of clients that have not sent a message yet: at least as many as one turn of the event loop
-// accepts, so that they never take the place of a client that has.
+// Minimum number of descriptors for client connections that have not sent a message yet. At least as many as
+// one turn of the event loop accepts, so that new connections never displace a client that has sent a
+// message.
 inline constexpr std::size_t kMinSilentClients = 64;
 
-// How the file descriptors of the process are shared out, as limits on connections.
+// Maximum numbers of connections that the file descriptors of the process allow.
 struct DescriptorShares {
   std::size_t nodes = 0;
   std::size_t clients = 0;
 };
 
-// Shares out `total` descriptors. Clients get a third, and an eighth or kMinSilentClients for connections
-// that have not sent a message yet. Nodes get what is left, at least a third: a node that runs tasks and has
-// no connection is checked in turn, at the price of one connection more each time.
+// Splits `total` descriptors between clients and nodes. Clients get a third, plus an eighth (at least
+// kMinSilentClients) for connections that have not sent a message yet. Nodes get the remaining ones, at least
+// a third. With fewer connections than nodes that run tasks, these nodes are connected in rotation, which
+// costs an additional connection each time.
 DescriptorShares SplitDescriptors(std::size_t total);
 
-// What is wrong with one key.
+// An error in one key of the configuration.
 struct ConfigError {
   enum class Code {
-    kTooLong,      // the whole text
-    kNotAnObject,  // the whole text
+    kTooLong,      // the text exceeds kMaxConfigBytes
+    kNotAnObject,  // the text is not a JSON object
     kBadText,      // absent, empty or not a string
     kBadAddress,   // not IP:PORT
     kBadNumber,    // absent, not a number or out of range
-    kBadEvents,    // `known`
-    kBadSettings   // a key of `settings`
+    kBadEvents,    // `known` is absent, malformed or has a gap in its event numbers
+    kBadSettings   // a key of `settings` is missing or malformed
   };
   Code code = Code::kBadText;
-  std::string key;       // path in the file, "limits.sockets"; LB_CONFIG: the whole text
-  std::string expected;  // "expected 16 hex digits", or what the settings' parser says
-  std::string got;       // quoted, or a JSON type; empty where `expected` says all
+  std::string key;       // path in the file such as "limits.sockets", or "LB_CONFIG" for the whole text
+  std::string expected;  // such as "expected 16 hex digits", or the error text of the settings parser
+  std::string got;       // the quoted value or its JSON type; empty if `expected` is sufficient
 };
 
-// "limits.sockets: expected a number of 1 or more, got nothing"
+// Returns an error text such as "limits.sockets: expected a number of 1 or more, got nothing".
 std::string Describe(const ConfigError& error);
 
+// The parsed configuration.
 struct PlatformConfig {
   std::string name, listen;
-  std::string change_log;  // address of the service that lists the nodes
+  std::string change_log;  // address of the service that publishes the node list
   std::uint64_t seed = 0;
   std::size_t memory_mb = 32, sockets = 256;
-  std::vector<NodeListEvent> known;  // node list events up to known_last
+  std::vector<NodeListEvent> known;  // node list events with numbers up to known_last
   std::uint64_t known_last = 0;
   settings::WireSettings wire;
-  std::vector<ConfigError> errors;  // the configuration must not be used unless this is empty
+  std::vector<ConfigError> errors;  // the configuration is valid only if this is empty
   bool ok() const { return errors.empty(); }
 };
 
-// `name` and `listen` take the place of the text's keys; null or empty: they do not. All errors found are
-// reported, save those hidden by a larger one (a text that is not JSON, settings that cannot be read).
+// Parses a configuration. `name` and `listen` override the keys of the text unless they are null or empty.
+// All errors are reported, except those that cannot be detected because of another one (a text that is not
+// JSON, settings that cannot be parsed).
 PlatformConfig ReadPlatformConfig(std::string_view text, const char* name, const char* listen);
 
-// The part of a configuration that may change while the daemon runs.
+// Returns the address of the change log, the only part of a configuration that can change while the daemon
+// runs.
 tl::expected<std::string, ConfigError> ReadChangeLogAddress(std::string_view text);
 
-// Lays out the nested object `settings` as path=value lines, the form that settings::ParseSettings() reads:
+// Converts the nested object `settings` to path=value lines, the input format of settings::ParseSettings():
 //   {"profiles":[{"name":"batch"}],"kinds":["big"]}  ->  profiles.count=1, profiles.0.name=batch, kinds=big
-std::string LayOutSettings(const nlohmann::json& settings);
+std::string FlattenSettings(const nlohmann::json& settings);
 
 }  // namespace mountflow::platform
 
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -17,11 +17,13 @@
 namespace mountflow::daemon {
 namespace {
 
-// At once, of one connection: one that sends much does not hold up the others.
+// Maximum bytes read from one connection at a time, so that one that sends a lot does not delay the others.
 constexpr std::size_t kMaxReadBytes = 16 << 10;
-// Closed connections that still flush; they take descriptors that are meant for the program itself.
+// Maximum number of closed connections that still flush. They use descriptors reserved for the program
+// itself.
 constexpr std::size_t kMaxClosing = 4;
-// Parts of the memory limit: of all descriptions that wait, and of the unsent bytes of one connection.
+// Divisors of the memory limit: for the descriptions of all pending requests together, and for the unsent
+// bytes of one connection.
 constexpr std::size_t kDescriptionShare = 16;
 constexpr std::size_t kUnsentShare = 512;
 constexpr std::size_t kBytesPerMegabyte = 1 << 20;
@@ -30,7 +32,8 @@
   platform::NodeConnectionOptions options;
   options.max_connections = platform::SplitDescriptors(config.sockets).nodes;
   if (config.wire.connect_timeout > 0) options.connect_timeout = config.wire.connect_timeout;
-  // Well before the node closes it: an attempt that crosses the node's close may have run.
+  // Well before the node closes the connection: an attempt that is sent while the node closes it may have
+  // run.
   if (config.wire.conn_idle > 0) options.idle_timeout = config.wire.conn_idle / 3 * 2;
   return options;
 }
@@ -39,7 +42,7 @@
   return std::make_shared<platform::RateLimitedSink>(std::make_shared<platform::NonblockingStderrSink>());
 }
 
-// Empty: it cannot be read.
+// Returns the content of a file, or nothing if it cannot be read.
 std::optional<std::string> ReadFile(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
   if (!in) return std::nullopt;
@@ -66,7 +69,7 @@
 tl::expected<void, event_loop::EventLoopError> PlatformServer::Start() {
   ConfigureLoop();
   dispatcher_.Start(loop_->Now(), config_.known);
-  std::vector<platform::NodeListEvent>().swap(config_.known);  // gives its memory back
+  std::vector<platform::NodeListEvent>().swap(config_.known);  // releases its memory
   const auto listener = loop_->Listen(config_.listen, this);
   if (!listener) return tl::unexpected(listener.error());
   listener_ = *listener;
@@ -91,7 +94,7 @@
   client_connections_.SetTrace(write_line);
 }
 
-// ---- Events of the loop ----
+// ---- Callbacks of the event loop ----
 
 void PlatformServer::OnAccepted(event_loop::ListenerId /*listener*/, event_loop::ConnId conn,
                                 const event_loop::PeerInfo& peer) {
@@ -154,8 +157,8 @@
   const Micros now = loop_->Now();
   ProcessClientBacklog(now);
   for (const logging::LogRecord& record : dispatcher_.TakeLogRecords()) Log(record);
-  // Here, and not with the turn's timers: what came in the same turn is read after those, and a request taken
-  // after the last look would get no answer.
+  // This is done here and not in the turn's timers, because the loop reads input after it runs the timers. A
+  // request read after the last check for remaining work would get no answer.
   ContinueShutdown(now);
   SetNextTimer(now);
 }
@@ -181,12 +184,12 @@
 
 void PlatformServer::Reload() {
   const std::optional<std::string> text = ReadFile(config_file_);
-  std::string error = "expected a file that can be read";
+  std::string error = "expected a readable file";
   if (text.has_value()) {
     const auto address = platform::ReadChangeLogAddress(*text);
     if (address) {
       Log({logging::LogEvent::kConfigReloaded, {{logging::kAddressField, *address}}});
-      node_watch_.Follow(loop_->Now(), *address);
+      node_watch_.SetAddress(loop_->Now(), *address);
       return;
     }
     error = Describe(address.error());
@@ -215,7 +218,7 @@
   loop_->Stop();
 }
 
-// ---- The transport of the parts ----
+// ---- Implementation of Transport ----
 
 platform::ConnId PlatformServer::Connect(const std::string& address) { return loop_->Connect(address, this); }
 void PlatformServer::Send(platform::ConnId conn, std::string_view bytes) { loop_->Send(conn, bytes); }
@@ -223,22 +226,23 @@
 bool PlatformServer::HungUp(platform::ConnId conn) const { return loop_->PeerClosed(conn); }
 void PlatformServer::Close(platform::ConnId conn, bool flush) { loop_->Close(conn, flush); }
 
-// With the loop's time, which does not jump as the system's may.
+// Uses the event loop's clock for the timestamp, because the system clock may jump.
 void PlatformServer::Log(const logging::LogRecord& record) {
   const spdlog::log_clock::time_point now{std::chrono::microseconds(loop_->Now())};
   log_.log(now, spdlog::source_loc{}, spdlog::level::info, logging::FormatKeyValue(record));
 }
 
-// ---- The program ----
+// ---- Program entry ----
 
 namespace {
 
-// Empty, with the reason on standard error: the configuration cannot be used.
+// Reads and parses the configuration. If it cannot be used, prints the errors to standard error and returns
+// nothing.
 std::optional<platform::PlatformConfig> ReadConfiguration(const char* file) {
   std::optional<std::string> text;
   if (file != nullptr) text = ReadFile(file);
   if (!text.has_value()) {
-    std::fprintf(stderr, "mountflowd: LB_CONFIG: expected a file that can be read, got '%s'\n",
+    std::fprintf(stderr, "mountflowd: LB_CONFIG: expected a readable file, got '%s'\n",
                  file == nullptr ? "" : file);
     return std::nullopt;
   }
@@ -251,13 +255,13 @@
   return config;
 }
 
-// False, with the reason on standard error: the file cannot be written. It stays open until the program ends.
+// Opens the trace file and starts tracing. If the file cannot be opened, prints the reason to standard error
+// and returns false. The file stays open until the program ends.
 bool StartTrace(PlatformServer& server, const std::string& file_name) {
   if (file_name.empty()) return true;
   std::FILE* file = std::fopen(file_name.c_str(), "w");
   if (file == nullptr) {
-    std::fprintf(stderr, "mountflowd: --trace: expected a file that can be written, got '%s'\n",
-                 file_name.c_str());
+    std::fprintf(stderr, "mountflowd: --trace: expected a writable file, got '%s'\n", file_name.c_str());
     return false;
   }
   server.TraceTo(file);
@@ -267,8 +271,8 @@
 }  // namespace
 
 int RunPlatform(const std::string& trace_file) {
-  // The handlers come before anything else: without them SIGHUP and SIGTERM end the program at once. They are
-  // called in Run() alone, when `server` is set.
+  // The signal handlers are installed first, because without them SIGHUP and SIGTERM would kill the program.
+  // They are called only from Run(), when `server` is set.
   event_loop::EventLoop loop;
   PlatformServer* server = nullptr;
   loop.OnSignal(SIGTERM, [&server] { server->Shutdown(); });
--- a/src/platform/platform_server.hpp
+++ b/src/platform/platform_server.hpp
@@ -1,5 +1,5 @@
-// mountflowd in the platform's service: joins the parts of platform/ to the event loop. It listens on one
-// address and keeps nothing on disk.
+// The platform mode of mountflowd. It connects the classes of platform/ to the event loop, listens on one
+// address and stores nothing on disk.
 #ifndef MOUNTFLOW_PLATFORM_PLATFORM_SERVER_HPP_
 #define MOUNTFLOW_PLATFORM_PLATFORM_SERVER_HPP_
 
@@ -21,20 +21,22 @@
 
 namespace mountflow::daemon {
 
-// Used by the thread that runs the loop alone.
+// PlatformServer runs the platform's protocols on an event loop. It must be used only by the thread that runs
+// the loop.
 class PlatformServer : public event_loop::ConnectionHandler, public platform::Transport {
  public:
   // `loop` must outlive the server.
   PlatformServer(event_loop::EventLoop* loop, const platform::PlatformConfig& config,
                  std::string config_file);
 
+  // Starts to listen for clients and to watch the node list. Returns an error if the address cannot be used.
   [[nodiscard]] tl::expected<void, event_loop::EventLoopError> Start();
-  // Writes every event and action of the scheduler to `file`, which must outlive the server.
+  // Writes the traced events and actions of the scheduler to `file`, which must outlive the server.
   void TraceTo(std::FILE* file);
-  // Reads the configuration file again, and follows the change log that it names. One that cannot be used is
-  // logged and changes nothing.
+  // Reads the configuration file again and switches to the change log address in it. If the file cannot be
+  // used, the error is logged and nothing changes.
   void Reload();
-  // Begins the graceful shutdown; the loop stops at its end. Again changes nothing.
+  // Begins the graceful shutdown; the loop stops when it is complete. Further calls have no effect.
   void Shutdown();
 
   void OnAccepted(event_loop::ListenerId listener, event_loop::ConnId conn,
@@ -73,8 +75,9 @@
   Micros last_accepted_at_ = 0;
 };
 
-// Reads LB_CONFIG, LB_NAME and LB_LISTEN and serves until SIGTERM or SIGINT. Where `trace_file` is not empty,
-// every event and action of the scheduler goes to that file. Returns the exit status of the program.
+// Reads the environment variables LB_CONFIG, LB_NAME and LB_LISTEN and serves until SIGTERM or SIGINT. If
+// `trace_file` is not empty, the traced events and actions of the scheduler are written to that file. Returns
+// the exit status of the program.
 int RunPlatform(const std::string& trace_file);
 
 }  // namespace mountflow::daemon
--- a/src/platform/rate_limited_sink.cpp
+++ b/src/platform/rate_limited_sink.cpp
@@ -12,20 +12,20 @@
     ++written_;
     output_->log(message);
   } else {
-    ++left_out_;
+    ++dropped_;
   }
 }
 
 void RateLimitedSink::BeginSecond(std::chrono::seconds second, const spdlog::details::log_msg& message) {
-  if (left_out_ > 0) {
-    const std::string text = "(" + std::to_string(left_out_) + " more lines in that second)";
+  if (dropped_ > 0) {
+    const std::string text = "(" + std::to_string(dropped_) + " more lines in that second)";
     spdlog::details::log_msg summary = message;
     summary.payload = text;
     output_->log(summary);
   }
   second_ = second;
   written_ = 0;
-  left_out_ = 0;
+  dropped_ = 0;
   lines_.clear();
 }
 
--- a/src/platform/rate_limited_sink.hpp
+++ b/src/platform/rate_limited_sink.hpp
@@ -1,8 +1,8 @@
-// A sink of spdlog that bounds what goes to another one: within each second of the messages' own time, equal
-// lines go on once, and kMaxLinesPerSecond lines in all. What is left out is counted, and the count goes on
-// with the first line of a later second.
+// An spdlog sink that limits the rate of lines passed to another sink. Within each second, by the timestamps
+// of the messages, it passes equal lines once and at most kMaxLinesPerSecond lines in total. The other lines
+// are dropped and counted, and the count is written before the first line of a later second.
 //
-// For loggers used by one thread. It reads no clock.
+// For loggers used by one thread only. The sink reads no clock.
 #ifndef MOUNTFLOW_PLATFORM_RATE_LIMITED_SINK_HPP_
 #define MOUNTFLOW_PLATFORM_RATE_LIMITED_SINK_HPP_
 
@@ -16,12 +16,12 @@
 
 namespace mountflow::platform {
 
-// Enough to follow what goes on, and little enough that a flood costs no time that requests need.
+// Enough to follow normal operation, and few enough that a flood of messages takes no time from requests.
 inline constexpr unsigned kMaxLinesPerSecond = 20;
 
 class RateLimitedSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
-  // `output` gets what is not left out.
+  // Passes the lines that are not dropped to `output`.
   explicit RateLimitedSink(std::shared_ptr<spdlog::sinks::sink> output) : output_(std::move(output)) {}
 
  protected:
@@ -34,8 +34,8 @@
   std::shared_ptr<spdlog::sinks::sink> output_;
   std::chrono::seconds second_{0};
   unsigned written_ = 0;
-  unsigned left_out_ = 0;
-  std::set<std::string> lines_;  // of this second
+  unsigned dropped_ = 0;
+  std::set<std::string> lines_;  // the lines written in this second
 };
 
 }  // namespace mountflow::platform
--- a/src/platform/read_buffer.hpp
+++ b/src/platform/read_buffer.hpp
@@ -1,4 +1,4 @@
-// The bytes of a connection that a message reader has received and not consumed yet.
+// A buffer for the bytes of a connection that a message reader has received but not consumed yet.
 #ifndef MOUNTFLOW_PLATFORM_READ_BUFFER_HPP_
 #define MOUNTFLOW_PLATFORM_READ_BUFFER_HPP_
 
@@ -8,23 +8,26 @@
 
 namespace mountflow::platform {
 
-// Consuming is cheap: consumed bytes are dropped only by the next Append(). Not thread-safe.
+// ReadBuffer is a byte queue. Consume() is cheap because consumed bytes are removed only by the next
+// Append(). Not thread-safe.
 class ReadBuffer {
  public:
-  // Invalidates what unread() returned before.
+  // Appends received bytes. Invalidates the result of earlier calls of unread().
   void Append(std::string_view bytes);
 
-  // Valid until the next call of Append(), ReleaseIfEmpty() or Clear().
+  // Returns the unread bytes. The result is valid until the next call of Append(), ReleaseIfEmpty() or
+  // Clear().
   std::string_view unread() const { return std::string_view{bytes_}.substr(consumed_); }
   bool empty() const { return consumed_ == bytes_.size(); }
 
   // Skips the first `size` unread bytes. `size` must not exceed unread().size().
   void Consume(std::size_t size) { consumed_ += size; }
 
-  // Where nothing is unread: gives back the memory that one long read has taken.
+  // If no bytes are unread, empties the buffer and releases its memory if that has grown beyond
+  // kMaxMessageBytes.
   void ReleaseIfEmpty();
 
-  // Drops everything and gives the memory back.
+  // Discards all bytes and releases the memory.
   void Clear();
 
  private:
--- a/src/platform/text_encoding.cpp
+++ b/src/platform/text_encoding.cpp
@@ -9,14 +9,15 @@
 constexpr int kBitsPerHexDigit = 4;
 constexpr std::size_t kMaxQuotedBytes = 40;
 
-// The value of a lower-case hexadecimal digit; -1: none.
+// Returns the value of a lower-case hexadecimal digit, or -1 if `digit` is none.
 int HexDigitValue(char digit) {
   if (digit >= '0' && digit <= '9') return digit - '0';
   if (digit >= 'a' && digit <= 'f') return digit - 'a' + 10;
   return -1;
 }
 
-// The well-formed byte sequences (Unicode 15, table 3-7). Bytes after the second are 0x80 to 0xbf.
+// One row of the table of well-formed UTF-8 byte sequences (Unicode 15, table 3-7). Bytes after the second
+// are 0x80 to 0xbf.
 struct Utf8Sequence {
   unsigned char first_min, first_max;
   unsigned char second_min, second_max;
@@ -37,7 +38,7 @@
   return value >= min && value <= max;
 }
 
-// Whether `text` begins with a sequence of this form.
+// Reports whether `text` begins with a sequence of this form.
 bool BeginsWith(std::string_view text, const Utf8Sequence& form) {
   if (text.size() < form.size || !IsBetween(text[0], form.first_min, form.first_max)) return false;
   if (form.size > 1 && !IsBetween(text[1], form.second_min, form.second_max)) return false;
--- a/src/platform/text_encoding.hpp
+++ b/src/platform/text_encoding.hpp
@@ -1,5 +1,5 @@
-// Small text forms that both protocols and the configuration share: hexadecimal numbers, UTF-8 and quoted
-// text for messages to people.
+// Text helpers shared by both protocols and the configuration: hexadecimal numbers, UTF-8 validation and
+// quoted text for log and error messages.
 #ifndef MOUNTFLOW_PLATFORM_TEXT_ENCODING_HPP_
 #define MOUNTFLOW_PLATFORM_TEXT_ENCODING_HPP_
 
@@ -10,21 +10,23 @@
 
 namespace mountflow::platform {
 
-// Digits of a 64-bit number, as WriteHex() writes it.
+// Number of digits that WriteHex() writes for a 64-bit number.
 inline constexpr std::size_t kHexDigits = 16;
 
-// Reads exactly `digits` lower-case hexadecimal digits, at most kHexDigits. Returns false, and leaves
-// `*value` as it is, where `text` has another form.
+// Reads a number of exactly `digits` lower-case hexadecimal digits, at most kHexDigits. If `text` has another
+// form, returns false and leaves `*value` unchanged.
 [[nodiscard]] bool ReadHex(std::string_view text, std::size_t digits, std::uint64_t* value);
 
-// kHexDigits lower-case digits.
+// Returns `value` as kHexDigits lower-case hexadecimal digits.
 std::string WriteHex(std::uint64_t value);
 
-// Whether `text` is well-formed UTF-8: no overlong forms, no surrogates, nothing beyond U+10FFFF.
+// Reports whether `text` is well-formed UTF-8, without overlong forms, surrogates or code points beyond
+// U+10FFFF.
 [[nodiscard]] bool IsUtf8(std::string_view text);
 
-// `text` in single quotes for a log line: at most 40 bytes of it, with '?' in place of what is not printable
-// ASCII. A peer's text may hold line feeds and must not be able to forge log lines.
+// Returns `text` in single quotes for a log line: at most the first 40 bytes, with '?' in place of each byte
+// that is not printable ASCII. Text from a peer may contain line feeds and must not be able to forge log
+// lines.
 std::string Quote(std::string_view text);
 
 }  // namespace mountflow::platform
--- a/tests/platform/node_watch_test.cpp
+++ b/tests/platform/node_watch_test.cpp
@@ -109,7 +109,7 @@
 
 TEST_F(NodeWatchTest, FollowsANewAddressAtOnceAndIgnoresTheOldConnection) {
   const ConnId old = Connect();
-  watch.Follow(now, "b:2");
+  watch.SetAddress(now, "b:2");
   const ConnId conn = transport.ConnTo("b:2");
   ASSERT_NE(conn, 0u);
   watch.OnBytes(now, old, Reply(Event(5, "x"), 5));
--- a/tests/platform/platform_config_test.cpp
+++ b/tests/platform/platform_config_test.cpp
@@ -11,7 +11,7 @@
 
 TEST(PlatformConfig, LaysOutNestedSettingsAsThePathLinesOfTheSimulator) {
   const auto json = nlohmann::json::parse(kPlatformConfig);
-  const std::string lines = LayOutSettings(json["settings"]);
+  const std::string lines = FlattenSettings(json["settings"]);
   // As the simulator's first message words them.
   for (const char* line :
        {"profiles.count=2\n", "profiles.1.name=batch\n", "bounds.cancel=true\n", "orgs.count=2\n",
@@ -22,11 +22,11 @@
 }
 
 TEST(PlatformConfig, LeavesOutNullsAndWhatIsNestedTooDeep) {
-  EXPECT_EQ(LayOutSettings(nlohmann::json::parse(R"({"a":null,"b":[],"c":{"d":1.5}})")), "b=\nc.d=1.5\n");
+  EXPECT_EQ(FlattenSettings(nlohmann::json::parse(R"({"a":null,"b":[],"c":{"d":1.5}})")), "b=\nc.d=1.5\n");
   nlohmann::json nested = 7;
   for (int depth = 0; depth < 16; ++depth) nested = {{"k", nested}};
-  EXPECT_EQ(LayOutSettings(nested), "k.k.k.k.k.k.k.k.k.k.k.k.k.k.k.k=7\n");
-  EXPECT_EQ(LayOutSettings({{"k", nested}}), "");
+  EXPECT_EQ(FlattenSettings(nested), "k.k.k.k.k.k.k.k.k.k.k.k.k.k.k.k=7\n");
+  EXPECT_EQ(FlattenSettings({{"k", nested}}), "");
 }
 
 TEST(PlatformConfig, ReadsTheSameSettingsFromBothForms) {
