--- a/src/platform/node_watch.cpp
+++ b/src/platform/node_watch.cpp
@@ -76,13 +76,13 @@
 }
 
 // Reads the member `fleet` of the event at `index` in the reply.
-tl::expected<void, NodeListError> ReadFleet(const json& fleet, std::size_t index, NodeListEvent* change) {
-  if (!fleet.is_object()) return Unusable(Code::kFleetNotAnObject, index, fleet.type_name());
-  const auto snapshot = fleet.find("snapshot");
-  change->whole = snapshot != fleet.end() && snapshot->is_boolean() && snapshot->get<bool>();
-  const auto entries = fleet.find("endpoints");
-  if (entries == fleet.end() || !entries->is_array()) {
-    return Unusable(Code::kNoEndpoints, index, TypeOf(fleet, "endpoints"));
+tl::expected<void, NodeListError> ReadListMember(const json& list, std::size_t index, NodeListEvent* change) {
+  if (!list.is_object()) return Unusable(Code::kListNotAnObject, index, list.type_name());
+  const auto snapshot = list.find("snapshot");
+  change->whole = snapshot != list.end() && snapshot->is_boolean() && snapshot->get<bool>();
+  const auto entries = list.find("endpoints");
+  if (entries == list.end() || !entries->is_array()) {
+    return Unusable(Code::kNoEndpoints, index, TypeOf(list, "endpoints"));
   }
   if (entries->size() > kMaxNodes) {
     return Unusable(Code::kTooManyNodes, index, std::to_string(entries->size()));
@@ -105,7 +105,7 @@
         return "results: expected an array";
       case Code::kNoNumber:
         return event + ".seq: expected a whole number";
-      case Code::kFleetNotAnObject:
+      case Code::kListNotAnObject:
         return event + ".fleet: expected an object";
       case Code::kNoEndpoints:
         return event + ".fleet.endpoints: expected an array";
@@ -133,9 +133,9 @@
     if (*number <= events.last) continue;
     NodeListEvent change;
     change.number = *number;
-    const auto fleet = event.find("fleet");
-    if (fleet != event.end()) {
-      const auto read = ReadFleet(*fleet, i, &change);
+    const auto list = event.find("fleet");
+    if (list != event.end()) {
+      const auto read = ReadListMember(*list, i, &change);
       if (!read) return tl::unexpected(read.error());
     }
     if (!change.whole && change.number != events.last + 1) {
@@ -143,7 +143,7 @@
       return events;
     }
     events.last = change.number;
-    if (fleet != event.end()) events.changes.push_back(std::move(change));
+    if (list != event.end()) events.changes.push_back(std::move(change));
   }
   return events;
 }
--- a/src/platform/node_watch.hpp
+++ b/src/platform/node_watch.hpp
@@ -61,12 +61,12 @@
 // The reason why a reply cannot be used.
 struct NodeListError {
   enum class Code {
-    kNotAnObject,       // the reply is not a JSON object
-    kNoResults,         // `results` is absent or not an array
-    kNoNumber,          // `seq` of an event is absent or not an unsigned integer
-    kFleetNotAnObject,  // `fleet` of an event is not an object
-    kNoEndpoints,       // `fleet.endpoints` is absent or not an array
-    kTooManyNodes       // `fleet.endpoints` has more than kMaxNodes entries
+    kNotAnObject,      // the reply is not a JSON object
+    kNoResults,        // `results` is absent or not an array
+    kNoNumber,         // `seq` of an event is absent or not an unsigned integer
+    kListNotAnObject,  // `fleet` of an event is not an object
+    kNoEndpoints,      // `fleet.endpoints` is absent or not an array
+    kTooManyNodes      // `fleet.endpoints` has more than kMaxNodes entries
   };
   Code code = Code::kNotAnObject;
   std::size_t event = 0;  // index in `results`, if the code refers to an event
--- a/tests/platform/node_codec_test.cpp
+++ b/tests/platform/node_codec_test.cpp
@@ -57,7 +57,7 @@
   return bytes;
 }
 
-// A header with this length and type, a uid, and `parameters`.
+// Returns a message with this length and type, a fixed uid, and `parameters`.
 std::string Message(const char* length_and_type, const std::string& parameters) {
   return std::string(length_and_type, 3) + std::string(8, 'i') + parameters;
 }
@@ -106,7 +106,8 @@
 TEST(NodeCodec, WritesNothingForAMessageThatIsTooLong) {
   EXPECT_EQ(NodeMessageBytes(NodeMessageKind::kLaunch, 1, -1, {{kDescription, std::string(16 << 10, 'x')}}),
             "");
-  // The longest description that fits: a header of 11 bytes and one of 3 stand before it.
+  // The longest description that fits: it follows a message header of 11 bytes and a parameter header of 3
+  // bytes.
   const std::string longest((16 << 10) - 14, 'x');
   EXPECT_EQ(NodeMessageBytes(NodeMessageKind::kLaunch, 1, -1, {{kDescription, longest}}).size(),
             kMaxMessageBytes);
--- a/tests/platform/node_connections_test.cpp
+++ b/tests/platform/node_connections_test.cpp
@@ -1,10 +1,10 @@
-// What the connections to nodes prove about attempts and running tasks.
+// Tests of the conclusions about attempts and running tasks that NodeConnections draws from connections.
 #include "tests/support/platform_fixture.hpp"
 
 namespace mountflow::testing {
 namespace {
 
-// What the end of a connection proves: a request may be rejected only where nothing may have run.
+// A request may be rejected after a connection has ended only if no attempt of it may have run.
 TEST(NodeConnectionsTest, FailsOnlyWhatMayHaveRunWhenAConnectionBreaks) {
   for (const bool written : {false, true}) {
     PlatformFixture fixture;
@@ -12,11 +12,11 @@
     const ConnId first = fixture.LaunchAttempt(kUid);
     fixture.EndNodeConnection(first);
     const std::size_t open_connections = fixture.transport.outgoing.size();
-    if (written) {  // it may have run, and the other node is in another rack: no retry, no promise
+    if (written) {  // the attempt may have run, and the other node is in another rack: no retry, no rejection
       EXPECT_EQ(fixture.transport.SentToClient(fixture.client).at(0).cause, kCauseFailed);
       continue;
     }
-    EXPECT_EQ(open_connections, 1u);  // it never ran: the other node is tried
+    EXPECT_EQ(open_connections, 1u);  // the attempt never ran: it is retried on the other node
     fixture.EndNodeConnection(fixture.transport.outgoing.begin()->first, true);
     EXPECT_EQ(fixture.transport.SentToClient(fixture.client).at(0).cause, kCauseRejected);
   }
@@ -33,8 +33,8 @@
   EXPECT_EQ(fixture.transport.SentToClient(fixture.client).at(0).cause, kCauseRejected);
 }
 
-// Noise, a message that does not end, a description that cannot be passed on: the connection is closed, every
-// attempt on it gets its outcome, and running tasks go on.
+// After random bytes, an incomplete message or a description that is not UTF-8, the connection is closed and
+// every attempt on it gets its outcome. Running tasks are not affected.
 TEST(NodeConnectionsTest, ClosesAfterAMalformedAnswerAndKeepsRunningTasks) {
   const std::vector<std::string> rows = {
       "\x01\x02garbage",
@@ -68,8 +68,8 @@
   EXPECT_EQ(fixture.dispatcher.requests().size(), 1u);
 }
 
-// A reset ends no task: its end is told on the next connection, which is made at once. A refused connection
-// says that the process is gone, and its tasks with it.
+// A connection reset does not end running tasks: the node reports their ends on the next connection, which is
+// made immediately. A refused connection means that the node's process has ended, and its tasks with it.
 TEST(NodeConnectionsTest, KeepsTasksOverAReconnectAndLosesThemWithTheProcess) {
   PlatformFixture fixture;
   const ConnId conn = fixture.StartTask(kUid);
@@ -91,8 +91,8 @@
   EXPECT_EQ(fixture.dispatcher.requests().size(), 0u);
 }
 
-// A node that vanished sends nothing, and its connections stay open: only a health check tells. Clients are
-// notified of its tasks within the 8 s that are allowed.
+// Connections to a node that fails silently stay open, so only a health check detects the failure. Clients
+// must be notified of the end of its tasks within 8 s.
 TEST(NodeConnectionsTest, FindsASilentNodeByHealthChecksAndLosesItsTasksInTime) {
   PlatformFixture fixture;
   const ConnId conn = fixture.StartTask(kUid);
@@ -101,11 +101,13 @@
   fixture.NodeSends(conn, NodeMessageBytes(NodeMessageKind::kHealthCheckReply, 1, 1));
   fixture.AdvanceTime(kHealthCheckInterval + kHealthCheckTimeout);
   EXPECT_EQ(fixture.transport.closed.at(0), conn);
-  // Cut off for 6 s, as networks are: it comes back with its tasks, and to report them lost would end them.
+  // After a network failure of 6 s the node is reachable again with its tasks. Reporting them as lost before
+  // would end them.
   fixture.AdvanceTime(7 * kSec - kHealthCheckInterval - kHealthCheckTimeout);
   EXPECT_TRUE(fixture.transport.SentToClient(fixture.client).empty());
   EXPECT_EQ(fixture.dispatcher.requests().size(), 1u);
-  // The notification is due 8 s after the end, which may be right after the node's last message.
+  // The notification is due 8 s after the end of the task, which may follow directly on the node's last
+  // message.
   fixture.AdvanceTime(8 * kSec - 7 * kSec - 200 * kMilli);
   EXPECT_EQ(fixture.transport.SentToClient(fixture.client).at(0).cause, kCauseFailed);
   EXPECT_EQ(fixture.dispatcher.requests().size(), 0u);
@@ -126,7 +128,7 @@
   fixture.dispatcher.ApplyNodeList(fixture.now, change);
   fixture.EndNodeConnection(conn);
   fixture.AdvanceTime(kSec);
-  EXPECT_EQ(fixture.transport.ConnTo(address), 0u);  // it would reach the new node
+  EXPECT_EQ(fixture.transport.ConnTo(address), 0u);  // a connection would reach the new node
   fixture.AdvanceTime(kNodeLostTimeout);
   EXPECT_EQ(fixture.transport.SentToClient(fixture.client).at(0).cause, kCauseFailed);
 }
--- a/tests/platform/node_directory_test.cpp
+++ b/tests/platform/node_directory_test.cpp
@@ -1,4 +1,4 @@
-// Ids of nodes by name, listed nodes, and the tasks that run on each.
+// Tests of node ids by name, listed nodes, and the running tasks of each node.
 #include "platform/node_directory.hpp"
 
 #include <gtest/gtest.h>
@@ -10,11 +10,11 @@
 namespace mountflow::platform {
 namespace {
 
-// Equal in all schedulers, and after a restart: the numbers are part of what they agree on.
+// Node ids must be the same in all schedulers and after a restart, so the hash values are fixed.
 TEST(NodeDirectory, DerivesTheIdFromTheNameAlone) {
   NodeDirectory nodes;
   EXPECT_EQ(nodes.IdOf(""), 2166136261u);
-  EXPECT_EQ(nodes.IdOf("a"), 0xe40c292cu);  // FNV-1a's own test values
+  EXPECT_EQ(nodes.IdOf("a"), 0xe40c292cu);  // published test vectors of FNV-1a
   EXPECT_EQ(nodes.IdOf("foobar"), 0xbf9cf968u);
   EXPECT_EQ(nodes.IdOf("a"), 0xe40c292cu);
   EXPECT_EQ(nodes.size(), 3u);
@@ -63,7 +63,7 @@
   EXPECT_EQ(nodes.size(), 1u);
 }
 
-TEST(NodeDirectory, TellsWhichNodesASnapshotLacks) {
+TEST(NodeDirectory, ReturnsTheNodesThatASnapshotLacks) {
   NodeDirectory nodes;
   const NodeId first = nodes.IdOf("a");
   nodes.IdOf("b");
--- a/tests/platform/node_watch_test.cpp
+++ b/tests/platform/node_watch_test.cpp
@@ -24,14 +24,14 @@
 
 // A watch that resumes after event 4.
 struct NodeWatchFixture {
-  // Lets the watch connect, and accepts the connection.
+  // Lets the watch connect and establishes the connection.
   ConnId Connect(const std::string& address = "a:1") {
     watch.Tick(now);
     const ConnId conn = transport.ConnTo(address);
     watch.OnConnected(now, conn);
     return conn;
   }
-  // The request line sent on the connection, without the version.
+  // Returns the request line sent on the connection, without the HTTP version.
   std::string Request(ConnId conn) {
     const std::string sent = transport.Sent(conn);
     return sent.substr(0, sent.find(' ', 5));
@@ -44,7 +44,8 @@
 
 class NodeWatchTest : public ::testing::Test, protected NodeWatchFixture {};
 
-// The danger: an event taken in part, or one lost between two connections.
+// Guards against an event that is applied in part, or lost between two connections, when a reply is
+// truncated.
 TEST(NodeWatch, LosesNothingAndTakesNoPartWhereTheReplyIsCutAtAnyByte) {
   const std::string reply = Reply(Event(5, "x") + "," + Event(6, "y"), 6);
   for (std::size_t cut = 0; cut <= reply.size(); ++cut) {
@@ -55,7 +56,7 @@
     EXPECT_EQ(fixture.watch.Take().size(), cut == reply.size() ? 2u : 0u) << cut;
     fixture.transport.outgoing.erase(conn);
     fixture.watch.OnClosed(fixture.now, conn);
-    conn = fixture.Connect();  // at once
+    conn = fixture.Connect();  // immediate reconnect
     ASSERT_NE(conn, 0u) << cut;
     EXPECT_EQ(fixture.Request(conn), cut == reply.size() ? "GET /changes?since=6&timeout=1000"
                                                          : "GET /changes?since=4&timeout=1000");
@@ -87,7 +88,7 @@
   EXPECT_TRUE(watch.Take().empty());
   conn = Connect();
   EXPECT_EQ(Request(conn), "GET /changes?since=5&timeout=1000");
-  watch.OnBytes(now, conn, Reply(Event(9, "all", true), 9));  // a snapshot needs nothing before it
+  watch.OnBytes(now, conn, Reply(Event(9, "all", true), 9));  // a snapshot is valid after any gap
   const auto changes = watch.Take();
   ASSERT_EQ(changes.size(), 1u);
   EXPECT_TRUE(changes[0].whole);
@@ -97,7 +98,7 @@
   EXPECT_EQ(watch.last(), 9u);
 }
 
-TEST_F(NodeWatchTest, AsksForTheWholeListAfterThreeGapsInARow) {
+TEST_F(NodeWatchTest, RequestsTheCompleteListAfterThreeConsecutiveGaps) {
   for (int gap = 0; gap < kMaxGaps; ++gap) {
     const ConnId conn = Connect();
     EXPECT_EQ(Request(conn), "GET /changes?since=4&timeout=1000") << gap;
@@ -115,7 +116,7 @@
   watch.OnBytes(now, old, Reply(Event(5, "x"), 5));
   EXPECT_TRUE(watch.Take().empty());
   watch.OnConnected(now, conn);
-  EXPECT_EQ(Request(conn), "GET /changes?since=4&timeout=1000");  // the numbering goes on
+  EXPECT_EQ(Request(conn), "GET /changes?since=4&timeout=1000");  // resumes after the last number
 }
 
 TEST_F(NodeWatchTest, PollsAgainWithGrowingDelaysAfterUnusableReplies) {
@@ -138,7 +139,7 @@
             "reason=\"results: expected an array, got number\"");
 }
 
-// ---- The reply alone ----
+// ---- ReadNodeListEvents ----
 
 struct UnusableReply {
   const char* name;
--- a/tests/platform/nonblocking_stderr_sink_test.cpp
+++ b/tests/platform/nonblocking_stderr_sink_test.cpp
@@ -1,4 +1,4 @@
-// Log lines to a standard error that is a pipe, read or not.
+// Tests of NonblockingStderrSink with a pipe as standard error.
 #include "platform/nonblocking_stderr_sink.hpp"
 
 #include <fcntl.h>
@@ -13,7 +13,7 @@
 namespace mountflow::platform {
 namespace {
 
-// Standard error is a pipe while a test runs.
+// Redirects standard error to a pipe while a test runs.
 class NonblockingStderrSinkTest : public ::testing::Test {
  protected:
   void SetUp() override {
@@ -46,7 +46,7 @@
   EXPECT_EQ(ReadAll(), "one\ntwo\n");
 }
 
-TEST_F(NonblockingStderrSinkTest, CutsALongLine) {
+TEST_F(NonblockingStderrSinkTest, TruncatesALongLine) {
   logger_.info(std::string(kMaxLogLineBytes + 1, 'x'));
   EXPECT_EQ(ReadAll(), std::string(kMaxLogLineBytes, 'x') + "\n");
 }
--- a/tests/platform/platform_config_test.cpp
+++ b/tests/platform/platform_config_test.cpp
@@ -9,10 +9,10 @@
 namespace mountflow::testing {
 namespace {
 
-TEST(PlatformConfig, LaysOutNestedSettingsAsThePathLinesOfTheSimulator) {
+TEST(PlatformConfig, FlattensNestedSettingsToThePathLinesOfTheSimulator) {
   const auto json = nlohmann::json::parse(kPlatformConfig);
   const std::string lines = FlattenSettings(json["settings"]);
-  // As the simulator's first message words them.
+  // These lines have the form of the simulator's first message.
   for (const char* line :
        {"profiles.count=2\n", "profiles.1.name=batch\n", "bounds.cancel=true\n", "orgs.count=2\n",
         "domain.spread_by=silent,cell\n", "stats.names=x0,x1,pending,cpu_share\n", "kinds=big\n",
@@ -21,7 +21,7 @@
   }
 }
 
-TEST(PlatformConfig, LeavesOutNullsAndWhatIsNestedTooDeep) {
+TEST(PlatformConfig, OmitsNullsAndTooDeeplyNestedValues) {
   EXPECT_EQ(FlattenSettings(nlohmann::json::parse(R"({"a":null,"b":[],"c":{"d":1.5}})")), "b=\nc.d=1.5\n");
   nlohmann::json nested = 7;
   for (int depth = 0; depth < 16; ++depth) nested = {{"k", nested}};
@@ -65,7 +65,7 @@
 struct AbsentKey {
   const char* name;
   const char* pointer;
-  const char* error;  // what it begins with
+  const char* error;  // prefix of the expected error text
 };
 
 void PrintTo(const AbsentKey& input, std::ostream* out) { *out << input.name; }
@@ -130,7 +130,8 @@
   ASSERT_FALSE(ReadChangeLogAddress("{").has_value());
 }
 
-// The smallest limit: a third of 256 is for clients, and as much again for those that send nothing.
+// 256 is the smallest supported limit. Clients get a third of the descriptors, and at least 64 more are for
+// connections that have not sent a message.
 TEST(PlatformConfig, SplitsTheSmallestNumberOfDescriptors) {
   const DescriptorShares shares = SplitDescriptors(256);
   EXPECT_GE(shares.clients, 256u / 3 + 64);
--- a/tests/platform/platform_invariants_test.cpp
+++ b/tests/platform/platform_invariants_test.cpp
@@ -1,4 +1,4 @@
-// The checker of the invariants that the tests of the platform's program are judged by.
+// Tests of the invariant checker that the tests of the platform's program use.
 #include "tests/support/platform_invariants.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,8 @@
 namespace mountflow::testing {
 namespace {
 
-// Logs with a violation of each rule put in: a checker that finds nothing would prove nothing.
+// Checks message logs that contain a violation of each rule. Without this test, a checker that never finds
+// anything would go unnoticed.
 TEST(PlatformInvariants, FindsAViolationOfEachRule) {
   using Kind = LoggedMessage::Kind;
   const auto entry = [](Micros at, Kind kind, RequestUid uid, const std::string& node = "", int cause = -1) {
@@ -39,18 +40,18 @@
   EXPECT_TRUE(violates(1, log));  // no answer
   log = good;
   log.push_back(good.back());
-  EXPECT_TRUE(violates(1, log));  // two
+  EXPECT_TRUE(violates(1, log));  // two answers
   log = good;
   log.back().at = 9'000'000;
-  EXPECT_TRUE(violates(1, log));  // late
+  EXPECT_TRUE(violates(1, log));  // late answer
   log = good;
   log[4].cause = 41;
-  EXPECT_TRUE(violates(2, log));  // it may have run, and goes to another rack
+  EXPECT_TRUE(violates(2, log));  // the attempt may have run, and the retry goes to another rack
   log = good;
   log[4].cause = 41;
   log.erase(log.begin() + 5, log.begin() + 7);
   log.back().cause = 34;
-  EXPECT_TRUE(violates(2, log));  // it may have run, and is rejected
+  EXPECT_TRUE(violates(2, log));  // the attempt may have run, and the request is rejected
   log = good;
   log.erase(log.begin() + 4);
   EXPECT_TRUE(violates(2, log));  // two attempts in flight
@@ -61,14 +62,15 @@
   log[5].at = log[6].at = log[7].at = 3'000'000;
   log[2].time_left = 9'000'000;
   EXPECT_TRUE(violates(3, log));
-  // The client leaves: an attempt 90 ms later crossed its close, one 110 ms later did not.
+  // After a client has closed its connection, an attempt 90 ms later is allowed because the scheduler may not
+  // have read the close yet. An attempt 110 ms later is a violation.
   const MessageLog client_left = {ready_node, entry(1, Kind::kRequested, 7), entry(2, Kind::kClientLeft, 7),
                                   entry(90'000, Kind::kAttempt, 7, "a")};
   EXPECT_TRUE(CheckInvariants(client_left).empty());
   log = client_left;
   log.back().at = 110'000;
   EXPECT_TRUE(violates(1, log));
-  // The end of a task is told once.
+  // A client must be notified of the end of a task exactly once.
   const MessageLog task_ended = {entry(1, Kind::kRequested, 7), entry(5, Kind::kAnswered, 7, "", 0),
                                  entry(6, Kind::kTaskEnded, 7, "a", 16), entry(7, Kind::kNotified, 7),
                                  entry(9'000'000, Kind::kNodeListed, 0, "a", 0)};
@@ -94,7 +96,8 @@
   }
   EXPECT_TRUE(violates(4, log));
   EXPECT_TRUE(violates(5, spread));
-  // A budget is that of one incarnation: listed again it goes on, started anew it begins anew.
+  // The slow-start budget belongs to one incarnation of a node: it is not renewed if the node is listed
+  // again, but starts again after a restart of the node.
   MessageLog listed_again = log;
   listed_again.insert(listed_again.begin() + 25, warming_up);
   EXPECT_TRUE(violates(4, listed_again));
--- a/tests/platform/platform_process_test.cpp
+++ b/tests/platform/platform_process_test.cpp
@@ -1,4 +1,5 @@
-// Whole runs of the platform's program on loopback, judged by the invariants of platform_invariants.hpp.
+// Complete runs of the platform's program on loopback, checked against the invariants of
+// platform_invariants.hpp.
 #include "tests/support/platform_process_fixture.hpp"
 
 namespace mountflow::testing {
@@ -14,13 +15,13 @@
     for (const RequestUid uid : node->running) {
       ++started;
       EXPECT_EQ(client.final_answers[uid].description,
-                "accepted by " + node->name);  // the node's own, unchanged
+                "accepted by " + node->name);  // the node's description is passed on unchanged
     }
     for (const NodeMessage& launch : node->launches)
       EXPECT_EQ(launch.Text(kDescription), "requested by " + WriteHex(launch.uid));
   }
   EXPECT_GT(started, 60u);
-  // A task is ended by its node, then one by its client.
+  // One task is ended by its node, another one by its client.
   FakeNode& first = *nodes[0];
   const RequestUid ended = *first.running.begin();
   first.EndTask(ended, 16);
@@ -29,11 +30,11 @@
   const RequestUid stopped = *first.running.begin();
   client.Stop(stopped);
   RunUntil([&] { return first.running.count(stopped) == 0; });
-  ExpectInvariantsKept();
+  ExpectNoViolations();
 }
 
-// Malformed answers, rejections, resets of new connections and under an attempt, silence: every client gets
-// one answer, the invariants hold, and the others are not held up.
+// Nodes send malformed answers, reject attempts, reset connections or do not respond. Every client must get
+// one answer, the invariants must hold, and other requests must not be delayed.
 TEST_F(PlatformProcess, AnswersEveryRequestUnderFaults) {
   Start();
   unsigned launch_count = 0;
@@ -46,11 +47,11 @@
         case 3:
           return node->Reject(launch.uid, 34, "no_cores");
         case 5:
-          node->Reject(launch.uid, 41);  // it ran, and its answer is noise
+          node->Reject(launch.uid, 41);  // logged as one that may have run; the bytes sent are malformed
           return "\x01\x02 noise";
         case 7:
           node->Reject(launch.uid, 41);
-          return node->Accept(launch.uid).substr(0, 12);  // it never ends
+          return node->Accept(launch.uid).substr(0, 12);  // an incomplete message
         case 9: {
           const std::string answer = node->Accept(launch.uid);
           return answer + answer;
@@ -78,7 +79,7 @@
   for (const auto& [uid, message] : client.final_answers)
     started += message.kind == ClientMessageKind::kAnswer;
   EXPECT_GT(started, 50u);
-  ExpectInvariantsKept();
+  ExpectNoViolations();
 }
 
 TEST_F(PlatformProcess, NotifiesOfADeadNodeAndSendsNothingToADrainingOne) {
@@ -103,7 +104,7 @@
   for (RequestUid uid = 101; uid <= 160; ++uid) client.Launch(uid, "service", 2000, WriteHex(uid));
   RunUntil([&] { return client.final_answers.size() == 100; });
   EXPECT_EQ(nodes[2]->launches.size(), launches_before);
-  ExpectInvariantsKept();
+  ExpectNoViolations();
 }
 
 TEST_F(PlatformProcess, RejectsMalformedClientsWithoutDelayingOthers) {
@@ -118,7 +119,7 @@
     closed.push_back(&NewClient());
     closed.back()->SendRaw(bytes);
   }
-  for (int i = 0; i < 120; ++i) closed.push_back(&NewClient());  // which send nothing
+  for (int i = 0; i < 120; ++i) closed.push_back(&NewClient());  // clients that send nothing
   for (const char* task_class : {"x", "", "service\xff"}) {
     if (std::string(task_class).size() > 7) continue;
     rejected.push_back(&NewClient());
@@ -141,7 +142,7 @@
   for (FakeClient* malformed : rejected)
     EXPECT_NE(malformed->final_answers.begin()->second.kind, ClientMessageKind::kAnswer);
   std::erase_if(message_log, [](const LoggedMessage& message) { return message.uid == 0xaa; });
-  ExpectInvariantsKept();
+  ExpectNoViolations();
 }
 
 TEST_F(PlatformProcess, FollowsANewConfigurationAndIgnoresABadOne) {
@@ -151,7 +152,7 @@
   RunUntil([&] { return !change_log.requested_since.empty(); });
   std::ofstream(folder_ + "/config.json") << "{";
   daemon->Signal(SIGHUP);
-  change_log.replies_to_cut = 1;  // the next reply of the old one ends in the middle
+  change_log.replies_to_cut = 1;  // the old change log truncates its next reply
   const std::size_t requested = change_log.requested_since.size();
   change_log.AddEvent(EntryOf(*nodes[0]));
   RunUntil([&] {
@@ -161,7 +162,7 @@
   other.first_number = 3;
   daemon->Signal(SIGHUP);
   RunUntil([&] { return !other.requested_since.empty(); });
-  EXPECT_EQ(other.requested_since[0], 2u);  // the numbering goes on
+  EXPECT_EQ(other.requested_since[0], 2u);  // resumes after the last number
   other.AddEvent(EntryOf(*nodes[0], "gone"));
   LogNodeListed(*nodes[0], 2);
   RunUntil([&] { return other.requested_since.back() == 3; });
@@ -169,7 +170,7 @@
   for (RequestUid uid = 1; uid <= 50; ++uid) client.Launch(uid, "service", 2000, WriteHex(uid));
   RunUntil([&] { return client.final_answers.size() == 50; });
   EXPECT_TRUE(nodes[0]->launches.empty());
-  ExpectInvariantsKept();
+  ExpectNoViolations();
 }
 
 TEST_F(PlatformProcess, AnswersEverythingDuringShutdownAndExitsWithZero) {
@@ -186,7 +187,7 @@
   for (RequestUid uid = 1; uid <= 20; ++uid) client.Launch(uid, "service", 2500, WriteHex(uid));
   RunUntil([&] { return held.size() == 20; });
   daemon->Signal(SIGTERM);
-  daemon->Signal(SIGTERM);  // again changes nothing
+  daemon->Signal(SIGTERM);  // a second signal has no effect
   FakeClient& late = NewClient();
   late.CheckHealth();
   RunUntil([&] { return !late.health_replies.empty(); });
@@ -197,7 +198,7 @@
   RunUntil([&] { return client.final_answers.size() == 20 && late.final_answers.size() == 1; });
   for (const auto& [uid, message] : client.final_answers) EXPECT_EQ(message.kind, ClientMessageKind::kAnswer);
   EXPECT_EQ(daemon->Wait(), 0);
-  ExpectInvariantsKept();
+  ExpectNoViolations();
 }
 
 TEST(PlatformStart, RejectsAnIncompleteConfiguration) {
--- a/tests/platform/platform_search_test.cpp
+++ b/tests/platform/platform_search_test.cpp
@@ -1,6 +1,7 @@
-// A search for races: the platform's parts in a simulated world with faults drawn from a seed, judged by the
-// invariants. A failure prints its seed:
-//   MOUNTFLOW_SEED=N platform_search_test     runs that one; MOUNTFLOW_SEEDS=N runs the seeds up to N
+// A search for races: runs the platform's classes in a simulation with random faults and checks the
+// invariants. A failure prints its seed.
+//   MOUNTFLOW_SEED=N platform_search_test     runs seed N only
+//   MOUNTFLOW_SEEDS=N platform_search_test    runs the seeds from 1 to N
 #include <cstdio>
 #include <cstdlib>
 
@@ -9,8 +10,9 @@
 namespace mountflow::testing {
 namespace {
 
-// It is a guard too: a digest of all bytes sent over twelve seeds. A change of names or structure must leave
-// it; a change of what is sent renews it and says why.
+// The test also compares a digest of all bytes that the schedulers send with twelve seeds. A change of names
+// or structure must not change the digest. A commit that changes the sent bytes updates it and states the
+// reason.
 TEST(PlatformSearch, KeepsTheInvariantsUnderEverySeed) {
   constexpr std::uint64_t kRecorded = 1225784974157011051u;
   Digest sent;
--- a/tests/platform/platform_shutdown_test.cpp
+++ b/tests/platform/platform_shutdown_test.cpp
@@ -1,5 +1,6 @@
-// The platform's program on loopback: each way in which something ends meets work that is unfinished. The
-// program is halted, what shall cross is put into the kernel, and the program goes on.
+// Tests of the platform's program on loopback in which a shutdown, or the close of a connection, coincides
+// with unfinished work. To make events coincide, a test stops the program, lets the peers write to their
+// sockets, and then lets the program continue.
 #include <sys/resource.h>
 #include <sys/stat.h>
 
@@ -10,7 +11,7 @@
 
 class PlatformShutdown : public PlatformProcess {
  protected:
-  // Lets time pass: what is crossed is a time of the program itself.
+  // Runs the loop until `until`, so that a timer of the program becomes due.
   void WaitUntilTime(Micros until) {
     bool due = false;
     loop.AddTimer(until, [&due] { due = true; });
@@ -27,8 +28,9 @@
 
 // ---- SIGTERM ----
 
-// The danger: the timers of a turn come before what is read in it. The last check fell before a request
-// that was read in the same turn, went to a node, and got no answer.
+// Guards against a lost request. The timers of a loop turn run before the input of that turn is read, so a
+// last check for unfinished work in a timer missed a request that was read in the same turn. The request was
+// sent to a node and got no answer.
 TEST_F(PlatformShutdown, AnswersRequestReadDuringFinalShutdownTurn) {
   Start();
   FakeClient& client = NewClient();
@@ -49,13 +51,13 @@
   RunUntil([&] { return client.closed || client.final_answers.count(1) > 0; });
   EXPECT_EQ(client.final_answers.count(1), 1u);
   EXPECT_EQ(daemon->Wait(), 0);
-  ExpectInvariantsKept();
+  ExpectNoViolations();
 }
 
-// The danger: the end of the program is the end of its sockets, and answers that a slow client had not read
-// were lost.
+// Guards against lost answers: when the program ends, its sockets are closed, and answers that a slow client
+// had not read were lost.
 TEST_F(PlatformShutdown, WaitsForAnswersThatASlowClientHasNotRead) {
-  memory_mb = 8192;  // what may wait unsent goes with it: 16 MiB
+  memory_mb = 8192;  // allows 16 MiB of unsent bytes per connection
   cores = 512;
   change_log.events.clear();
   std::string entries;
@@ -75,7 +77,7 @@
       return EncodeNodeMessage(answer);
     };
   }
-  constexpr std::size_t kRequests = 500;  // 7.5 MB: more than the kernel takes for one that does not read
+  constexpr std::size_t kRequests = 500;  // 7.5 MB of answers: more than the kernel buffers
   FakeClient& client = NewClient();
   loop.PauseReading(client.conn, true);
   for (RequestUid uid = 1; uid <= kRequests; ++uid) {
@@ -91,8 +93,9 @@
   EXPECT_EQ(daemon->Wait(), 0);
 }
 
-// The danger: clients of running tasks go on to stop them, and to check health. A program that waits until
-// nothing at all comes runs until it is killed, with whatever is unanswered then.
+// Guards against a shutdown that never completes. Clients of running tasks continue to stop them and to send
+// health checks. A program that waits until no message arrives would run until it is killed, with requests
+// unanswered.
 TEST_F(PlatformShutdown, StopsThoughMessagesWithoutAnswerKeepComing) {
   Start();
   FakeClient& client = NewClient();
@@ -104,7 +107,7 @@
     if (client.health_replies.size() > seen) {
       seen = client.health_replies.size();
       client.CheckHealth();
-      client.Stop(77);  // of a task that has ended
+      client.Stop(77);  // there is no task with this uid
     }
     return client.closed;
   });
@@ -113,7 +116,7 @@
   EXPECT_EQ(daemon->Wait(), 0);
 }
 
-// SIGKILL comes 3.7 s after SIGTERM where deadlines are longer than 3 s: what is unanswered is answered
+// With deadlines longer than 3 s, SIGKILL follows 3.7 s after SIGTERM. All pending requests must be answered
 // before.
 TEST_F(PlatformShutdown, AnswersLongRequestsBeforeTheKill) {
   Start();
@@ -126,14 +129,14 @@
   daemon->Signal(SIGTERM);
   const Micros began_at = loop.Now();
   WaitUntilTime(began_at + 550'000);
-  client.Launch(1, "batch", 3200);  // due 3.75 s after SIGTERM
+  client.Launch(1, "batch", 3200);  // its deadline is 3.75 s after SIGTERM
   RunUntil([&] { return client.closed || client.final_answers.count(1) > 0; });
   EXPECT_EQ(client.final_answers.count(1), 1u);
   EXPECT_LT(loop.Now(), began_at + 3'700'000);
   EXPECT_EQ(daemon->Wait(), 0);
 }
 
-// The configuration is a pipe: the program waits for its first line when the signals come.
+// The configuration file is a pipe, so the program is still waiting to read it when the signals arrive.
 TEST_F(PlatformShutdown, HandlesSignalsThatCameBeforeItWasReady) {
   for (const int signal : {SIGTERM, SIGHUP}) {
     const std::string file = folder_ + "/config.json";
@@ -142,7 +145,7 @@
     Spawn();
     const int to = open(file.c_str(), O_WRONLY);  // blocks until the program reads
     ASSERT_GE(to, 0);
-    Configure(change_log.address);  // the file that a reload reads
+    Configure(change_log.address);  // replaces the pipe by the file that a reload reads
     daemon->Signal(signal);
     const std::string text = Configuration(change_log.address);
     ASSERT_EQ(write(to, text.data(), text.size()), static_cast<ssize_t>(text.size()));
@@ -154,14 +157,14 @@
       FakeClient& client = NewClient();
       client.Launch(1, "service", 2000);
       RunUntil([&] { return client.final_answers.count(1) > 0; });
-      ExpectInvariantsKept();
+      ExpectNoViolations();
       daemon->Kill();
     }
     clients.clear();
   }
 }
 
-// A new configuration, a drain in the new change log, and the end, all at once.
+// A reload, a draining node in the new change log, and SIGTERM coincide.
 TEST_F(PlatformShutdown, HandlesReloadDrainAndShutdownTogether) {
   Start();
   FakeChangeLog other(&loop);
@@ -182,12 +185,13 @@
   RunUntil([&] { return client.final_answers.size() == 60; });
   EXPECT_EQ(nodes[0]->launches.size(), before);
   EXPECT_EQ(daemon->Wait(), 0);
-  ExpectInvariantsKept();
+  ExpectNoViolations();
 }
 
-// ---- Clients that leave ----
+// ---- Clients that close their connections ----
 
-// More than one read and one turn take: the close lies behind requests that were not read yet.
+// The client sends more requests than the program reads in one turn, so its close follows requests that have
+// not been read yet. None of them may be sent to a node.
 TEST_F(PlatformShutdown, SendsNothingOfAClientThatLeftBeforeItWasRead) {
   Start();
   FakeClient& gone = NewClient();
@@ -202,10 +206,10 @@
   other_client.Launch(1001, "service", 2000);
   RunUntil([&] { return other_client.final_answers.count(1001) > 0; });
   EXPECT_EQ(AttemptsOf(gone.launched), 0u);
-  ExpectInvariantsKept();
+  ExpectNoViolations();
 }
 
-// The close and a node's rejection come in one turn: there is no next attempt.
+// The client's close and a node's rejection arrive in the same turn. There must be no retry.
 TEST_F(PlatformShutdown, RetriesNothingForAClientThatLeftBeforeTheRejection) {
   Start();
   std::vector<std::pair<FakeNode*, RequestUid>> held;
@@ -235,11 +239,11 @@
   held.back().first->Send(held.back().first->Accept(1001));
   RunUntil([&] { return other_client.final_answers.count(1001) > 0; });
   EXPECT_EQ(AttemptsOf(client.launched), 20u);
-  ExpectInvariantsKept();
+  ExpectNoViolations();
 }
 
-// A notification whose client closes the connection in the same turn, before or after it, goes on the
-// client's other connection.
+// The client closes one of its connections in the same turn in which a task ends, shortly before or after the
+// end. The notification must be sent on the client's other connection.
 TEST_F(PlatformShutdown, NotifiesOnTheOtherConnectionWhenTheFirstClosesInTheSameTurn) {
   Start();
   FakeClient& other = NewClient();
@@ -254,7 +258,7 @@
     }
     ASSERT_NE(running_at, nullptr);
     other.final_answers[uid] =
-        first.final_answers[uid];  // it is one client: what one connection was told, the other knows
+        first.final_answers[uid];  // both connections belong to one client, which knows all its answers
     daemon->Halt();
     if (uid % 2 == 0) loop.Close(first.conn, true);
     running_at->EndTask(uid, 16);
@@ -262,10 +266,10 @@
     daemon->Signal(SIGCONT);
     RunUntil([&] { return other.notifications.count(uid) > 0; });
   }
-  ExpectInvariantsKept();
+  ExpectNoViolations();
 }
 
-// ---- Many at once ----
+// ---- Many connections ----
 
 TEST_F(PlatformShutdown, AnswersRequestsThatComeByteByByteOnManyConnections) {
   Start();
@@ -281,7 +285,7 @@
   for (std::size_t i = 0; i < lines[0].size(); ++i) {
     for (std::size_t client = 0; client < slow.size(); ++client)
       slow[client]->SendRaw(lines[client].substr(i, 1));
-    RunUntil([] { return true; });  // a turn
+    RunUntil([] { return true; });  // runs one turn of the loop
   }
   RunUntil([&] {
     return std::all_of(slow.begin(), slow.end(),
@@ -293,8 +297,8 @@
   }
 }
 
-// Idle clients take every descriptor that clients may have while the change log is down: it is reached again
-// without a restart, and so are nodes that have no connection yet.
+// Idle clients use all descriptors available to clients while the change log is unreachable. The program must
+// be able to connect to the change log again without a restart, and to nodes that have no connection yet.
 TEST_F(PlatformShutdown, ServesOthersWhileIdleClientsFillTheirDescriptors) {
   sockets = 64;
   Start();
@@ -323,11 +327,11 @@
     started += message.kind == ClientMessageKind::kAnswer;
   EXPECT_EQ(started, 30u);
   EXPECT_TRUE(nodes[0]->launches.empty());
-  ExpectInvariantsKept();
+  ExpectNoViolations();
 }
 
-// The danger: a connection that is closed is counted no more, and one whose peer does not read kept its
-// descriptor for 10 s.
+// Guards against too many descriptors in use: a closed connection no longer counts towards the connection
+// limit, but it held its descriptor for 10 s if its peer did not read.
 TEST(EventLoopShutdown, BoundsConnectionsThatFlush) {
   struct Accepting : event_loop::ConnectionHandler {
     void OnAccepted(event_loop::ListenerId, event_loop::ConnId conn, const event_loop::PeerInfo&) override {
@@ -354,9 +358,9 @@
   ASSERT_TRUE(until([&] { return accepting.conns.size() == 5; }));
   loop.SetMaxClosing(2);
   for (const event_loop::ConnId conn : accepting.conns) {
-    loop.Send(conn, std::string(16 << 20, 'x'));  // more than the kernel takes
+    loop.Send(conn, std::string(16 << 20, 'x'));  // more than the kernel buffers
     loop.Close(conn, true);
-    loop.Close(conn, true);  // again changes nothing
+    loop.Close(conn, true);  // a second call has no effect
   }
   EXPECT_EQ(loop.closing_count(), 2u);
   EXPECT_TRUE(loop.PeerClosed(accepting.conns[0]));
--- a/tests/platform/platform_soak_test.cpp
+++ b/tests/platform/platform_soak_test.cpp
@@ -1,8 +1,9 @@
-// The soak of the platform's program: runs on loopback with restarts, signals in series, crowds of clients,
-// and faults of nodes and of the node list, drawn from a seed and judged by the invariants. Restarts keep
-// clients on their open connections. CI plays the seeds below; scripts/soak plays others.
-//   MOUNTFLOW_SOAK_SEED=N platform_soak_test       plays that one; MOUNTFLOW_SOAK_SEEDS=COUNT that many from
-//   it on
+// The soak test of the platform's program. It runs the program on loopback with restarts, repeated signals,
+// floods of clients, and faults of nodes and of the node list, all chosen at random from a seed, and checks
+// the invariants. Clients use their open connections until the program has ended. CI runs the seeds below;
+// scripts/soak runs others.
+//   MOUNTFLOW_SOAK_SEED=N platform_soak_test    runs seed N only
+//   MOUNTFLOW_SOAK_SEEDS=COUNT                  with it: runs COUNT seeds from N on
 #include <cstdio>
 #include <cstdlib>
 
@@ -38,26 +39,26 @@
   for (const std::string& finding : report.findings) std::printf("  %s\n", finding.c_str());
 }
 
-// A disturbed run says nothing about the program: it is skipped, and never counted as passed.
+// A disturbed run is inconclusive: it is skipped and never counted as passed.
 TEST_P(PlatformSoak, KeepsTheRulesOverRestartsAndFaults) {
-  const SoakReport report = Play(GetParam());
+  const SoakReport report = RunSoak(GetParam());
   Print(GetParam(), report);
-  if (report.IsDisturbed()) GTEST_SKIP() << "disturbed: the machine was too busy for a verdict";
+  if (report.IsDisturbed()) GTEST_SKIP() << "disturbed: the host was too busy for a conclusive run";
   EXPECT_GT(report.requests, 200u);
   for (const std::string& finding : report.findings) ADD_FAILURE() << finding;
 }
 
-TEST(SoakPlan, TheSeedsOfCiHaveEveryFaultAndEveryExit) {
+TEST(SoakPlan, CiSeedsCoverEveryFaultAndEveryExit) {
   std::set<SoakFault> faults;
   std::set<SoakExit> exits;
   bool signalled_before_ready = false;
   bool requests_until_exit = false;
   for (const std::uint64_t seed : kCiSeeds) {
-    for (const SoakLife& life : SoakPlan(seed).lives) {
-      for (const TimedSoakFault& fault : life.faults) faults.insert(fault.fault);
-      exits.insert(life.exit);
-      signalled_before_ready |= life.signalled_before_ready;
-      requests_until_exit |= life.requests_until_exit;
+    for (const SoakIncarnation& incarnation : SoakPlan(seed).incarnations) {
+      for (const TimedSoakFault& fault : incarnation.faults) faults.insert(fault.fault);
+      exits.insert(incarnation.exit);
+      signalled_before_ready |= incarnation.signalled_before_ready;
+      requests_until_exit |= incarnation.requests_until_exit;
     }
   }
   EXPECT_EQ(faults.size(), 9u);
--- a/tests/platform/rate_limited_sink_test.cpp
+++ b/tests/platform/rate_limited_sink_test.cpp
@@ -1,4 +1,4 @@
-// The bound on log lines, with the time of each message chosen by the test.
+// Tests of RateLimitedSink. The timestamp of each message is set by the test.
 #include "platform/rate_limited_sink.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 namespace mountflow::platform {
 namespace {
 
-// Keeps what it gets.
+// Records the lines it receives.
 class RecordingSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
   std::vector<std::string> lines;
@@ -39,7 +39,7 @@
 
 TEST_F(RateLimitedSinkTest, PassesDifferentLinesInOrder) {
   Log(1000, "one");
-  Log(1001, "two {}");  // no format: it stays as it is
+  Log(1001, "two {}");  // the text is not interpreted as a format string
   EXPECT_EQ(lines(), (std::vector<std::string>{"one", "two {}"}));
 }
 
@@ -60,7 +60,7 @@
   EXPECT_EQ(lines().back(), "next");
 }
 
-TEST_F(RateLimitedSinkTest, SaysNothingOfASecondThatLeftNothingOut) {
+TEST_F(RateLimitedSinkTest, WritesNoCountForASecondWithoutDroppedLines) {
   Log(1000, "one");
   Log(9000, "two");
   EXPECT_EQ(lines(), (std::vector<std::string>{"one", "two"}));
--- a/tests/platform/read_buffer_test.cpp
+++ b/tests/platform/read_buffer_test.cpp
@@ -7,7 +7,7 @@
 namespace mountflow::platform {
 namespace {
 
-TEST(ReadBuffer, GivesWhatWasAppendedAndNotConsumed) {
+TEST(ReadBuffer, ReturnsBytesThatWereAppendedAndNotConsumed) {
   ReadBuffer buffer;
   EXPECT_TRUE(buffer.empty());
   buffer.Append("abcd");
@@ -20,7 +20,7 @@
   EXPECT_EQ(buffer.unread(), "");
 }
 
-TEST(ReadBuffer, KeepsUnreadBytesWhenAskedToReleaseMemory) {
+TEST(ReadBuffer, RetainsUnreadBytesInReleaseIfEmpty) {
   ReadBuffer buffer;
   buffer.Append("ab");
   buffer.Consume(1);
--- a/tests/platform/text_encoding_test.cpp
+++ b/tests/platform/text_encoding_test.cpp
@@ -5,7 +5,7 @@
 namespace mountflow::platform {
 namespace {
 
-TEST(TextEncoding, ReadsExactlyAsManyLowerCaseDigitsAsAsked) {
+TEST(TextEncoding, ReadsExactlyTheGivenNumberOfLowerCaseDigits) {
   std::uint64_t value = 7;
   EXPECT_TRUE(ReadHex("9b1f03aa5c7e2d41", 16, &value));
   EXPECT_EQ(value, 0x9b1f03aa5c7e2d41u);
@@ -15,7 +15,7 @@
     EXPECT_FALSE(ReadHex(text, 2, &value)) << text;
   }
   EXPECT_FALSE(ReadHex("00000000000000000", 17, &value));
-  EXPECT_EQ(value, 0x0fu) << "left as it was";
+  EXPECT_EQ(value, 0x0fu) << "must stay unchanged after an error";
 }
 
 TEST(TextEncoding, WritesSixteenDigits) {
--- a/tests/support/platform_invariants.hpp
+++ b/tests/support/platform_invariants.hpp
@@ -1,5 +1,11 @@
-// A log of the messages that passed on the sockets of the platform's program, and a checker that judges the
-// five rules by that log alone.
+// A log of the messages on the sockets of the platform's program, and a checker of five rules that uses only
+// this log:
+//   1. Each request gets one final answer in time, and its client is notified once of the end of its task.
+//   2. A request has at most one attempt in flight. One that may have run is not rejected, and it is retried
+//      only on nodes that recognise its deduplication key.
+//   3. A draining node gets no attempts after the grace period.
+//   4. A node that is warming up gets at most its slow-start budget.
+//   5. Tasks of one service are spread over the racks.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_INVARIANTS_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_INVARIANTS_HPP_
 
@@ -15,33 +21,36 @@
 
 using namespace platform;
 
+// One message on a socket of the program, or one event at a peer that the rules depend on.
 struct LoggedMessage {
   enum class Kind {
-    kRequested,     // a client asked for a task
-    kCancelled,     // its client cancelled it
-    kClientLeft,    // its client closed the connection
-    kAnswered,      // the final answer
-    kAttempt,       // a node got an attempt
-    kAttemptEnded,  // the node accepted it, or it ended otherwise
-    kNodeListed,    // a node came into the node list
+    kRequested,     // a client sent a launch request
+    kCancelled,     // the client cancelled its request
+    kClientLeft,    // the client closed its connection or cancelled its request
+    kAnswered,      // the client received the final answer
+    kAttempt,       // a node received an attempt
+    kAttemptEnded,  // the node accepted the attempt, or the attempt ended otherwise
+    kNodeListed,    // a node was added to the node list, or its entry changed
     kTaskEnded,     // a running task ended
-    kNotified       // its client was notified of the end
+    kNotified       // the client was notified of the task's end
   };
   Micros at = 0;
   Kind kind = Kind::kRequested;
   RequestUid uid = 0;
-  std::string node{};  // kAttempt, kAttemptEnded, kNodeListed
-  // kAnswered: 0 started, else the cause. kAttemptEnded: 0 it runs, 41 it may have run. kNodeListed: 0 ready,
-  // 1 draining, 2 gone.
+  std::string node{};  // set for kAttempt, kAttemptEnded, kNodeListed and kTaskEnded
+  // kAnswered: 0 if the task was started, otherwise the cause of the protocol. kAttemptEnded: 0 if the task
+  // is running, 41 if the attempt may have run, otherwise the cause. kNodeListed: 0 ready, 1 draining, 2
+  // gone.
   int cause = -1;
-  Micros time_left = 0;      // kRequested: until the final answer is due
-  std::string task_class{};  // kRequested, kAttempt
-  std::string service{};     // kRequested
-  unsigned rack = 0;         // kNodeListed
-  Micros started_at = 0;     // kNodeListed
+  Micros time_left = 0;      // set for kRequested: time until the final answer is due
+  std::string task_class{};  // set for kRequested and kAttempt
+  std::string service{};     // set for kRequested
+  unsigned rack = 0;         // set for kNodeListed
+  Micros started_at = 0;     // set for kNodeListed: start of a node that is warming up, otherwise 0
 };
 using MessageLog = std::vector<LoggedMessage>;
 
+// Limits that the rules allow; times are in microseconds.
 struct InvariantLimits {
   Micros answer_slack = 55'000;
   Micros drain_grace_period = 2'050'000;
@@ -56,6 +65,7 @@
   std::string spread_class = "batch";
 };
 
+// InvariantChecker checks the messages of a log one after the other and collects the violations.
 class InvariantChecker {
  public:
   explicit InvariantChecker(const InvariantLimits& limits) : limits_(limits) {}
@@ -82,13 +92,13 @@
         CheckAnswer(message);
         break;
       case LoggedMessage::Kind::kNodeListed:
-        TakeListing(message);
+        RecordListing(message);
         break;
       case LoggedMessage::Kind::kAttempt:
         CheckAttempt(message);
         break;
       case LoggedMessage::Kind::kAttemptEnded:
-        TakeAttemptEnd(message);
+        RecordAttemptEnd(message);
         break;
       case LoggedMessage::Kind::kTaskEnded:
         spread_tasks_.erase(message.uid);
@@ -97,7 +107,7 @@
     }
   }
 
-  // What was due by `end`. One line for each violation of the whole log.
+  // Checks for messages that were due by `end`. Returns one line for each violation in the log.
   std::vector<std::string> Finish(Micros end) {
     for (const auto& [uid, request] : requests_) {
       if (!request.closed && request.client_left_at == 0) AddViolation(1, uid, "no answer");
@@ -130,19 +140,20 @@
     violations_.push_back("rule " + std::to_string(rule) + ": " + WriteHex(uid) + ": " + what);
   }
 
-  // A node that started anew is another process: what was sent to the one before does not warm it up.
-  void TakeListing(const LoggedMessage& message) {
+  // Records a node's entry in the list. A restarted node is a new process, so the attempts sent to the
+  // previous incarnation do not count against its budget.
+  void RecordListing(const LoggedMessage& message) {
     LoggedMessage& node = nodes_[message.node];
     const bool is_new_incarnation = message.started_at != 0 && message.started_at != node.started_at;
     if (is_new_incarnation) sent_while_warming_up_.erase(message.node);
     node = message;
   }
 
-  // Rule 1: one final answer in time. Rule 2: what may have run is not rejected.
+  // Rule 1: there is one final answer, in time. Rule 2: a request that may have run is not rejected.
   void CheckAnswer(const LoggedMessage& message) {
     const auto found = requests_.find(message.uid);
     if (found == requests_.end() || found->second.closed) {
-      AddViolation(1, message.uid, "a second answer, or one that nobody asked for");
+      AddViolation(1, message.uid, "a second answer, or an answer without a request");
       return;
     }
     Request& request = found->second;
@@ -180,17 +191,17 @@
     in_flight_[message.uid] = message.node;
   }
 
-  // Rule 2: a request that may have run goes only to nodes that recognise its key.
+  // Rule 2: a request that may have run is sent only to nodes that recognise its deduplication key.
   void CheckRepeat(const LoggedMessage& message, const LoggedMessage& node) {
     for (const EndedAttempt& earlier : ended_attempts_[message.uid]) {
       if (!earlier.may_have_run || message.task_class != limits_.class_with_key) continue;
       if (nodes_[earlier.node].rack != node.rack || message.at > earlier.at + limits_.deduplication_window) {
-        AddViolation(2, message.uid, "sent to nodes that do not discard repeats");
+        AddViolation(2, message.uid, "sent to nodes that do not recognise its key");
       }
     }
   }
 
-  // Rule 4: nodes that are warming up get no more than their slow-start budget.
+  // Rule 4: a node that is warming up gets no more attempts than its slow-start budget.
   void CheckSlowStart(const LoggedMessage& message, const LoggedMessage& node) {
     if (node.started_at == 0 || message.at >= node.started_at + limits_.slow_start_duration) return;
     std::vector<Micros>& sent = sent_while_warming_up_[message.node];
@@ -210,7 +221,7 @@
     spread_tasks_[message.uid] = message.node;
   }
 
-  void TakeAttemptEnd(const LoggedMessage& message) {
+  void RecordAttemptEnd(const LoggedMessage& message) {
     const auto attempt = in_flight_.find(message.uid);
     if (attempt != in_flight_.end() && attempt->second == message.node) {
       const bool may_have_run = message.cause != 34 && message.cause != 102;
@@ -225,16 +236,16 @@
   InvariantLimits limits_;
   std::vector<std::string> violations_;
   std::map<RequestUid, Request> requests_;
-  std::map<RequestUid, std::string> in_flight_;  // the node of the attempt
+  std::map<RequestUid, std::string> in_flight_;  // node of the attempt in flight
   std::map<RequestUid, std::vector<EndedAttempt>> ended_attempts_;
-  std::map<RequestUid, std::string> spread_tasks_;  // attempts and running tasks of the class that is spread
+  std::map<RequestUid, std::string> spread_tasks_;  // nodes of attempts and running tasks of the spread class
   std::map<std::string, LoggedMessage> nodes_;
   std::map<std::string, std::vector<Micros>> sent_while_warming_up_;
-  std::map<RequestUid, Micros> not_notified_;  // when tasks ended whose clients were not notified yet
-  std::set<RequestUid> started_;               // whose client was answered that they run
+  std::map<RequestUid, Micros> not_notified_;  // end times of tasks whose clients were not notified yet
+  std::set<RequestUid> started_;               // requests whose final answer was that the task is running
 };
 
-// All messages that concern one request, a line each, with times in milliseconds since the first.
+// Returns one line for each message about a request, with times in microseconds since the first message.
 inline std::string DescribeRequest(const MessageLog& log, RequestUid uid) {
   static constexpr const char* kNames[] = {"requested",   "cancelled",  "client left",
                                            "answered",    "attempt",    "attempt ended",
@@ -255,7 +266,7 @@
   return text;
 }
 
-// When a node was listed and got attempts, in milliseconds since its latest start.
+// Returns the times at which a node was listed and received attempts, in milliseconds since its last start.
 inline std::string DescribeNode(const MessageLog& log, const std::string& node) {
   std::string text;
   Micros started_at = 0;
@@ -271,7 +282,7 @@
   return text + "\n";
 }
 
-// One line for each violation; empty: the rules were kept.
+// Checks a log. Returns one line for each violation.
 inline std::vector<std::string> CheckInvariants(const MessageLog& log, const InvariantLimits& limits = {}) {
   InvariantChecker checker(limits);
   for (const LoggedMessage& message : log) checker.Check(message);
--- a/tests/support/platform_process_fixture.hpp
+++ b/tests/support/platform_process_fixture.hpp
@@ -1,4 +1,5 @@
-// The platform's program itself, on loopback among fakes: waits on events, never on sleeps.
+// A test fixture that runs the platform's program on loopback with fake peers. It waits for events and never
+// sleeps.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_PROCESS_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_PROCESS_FIXTURE_HPP_
 
@@ -36,7 +37,7 @@
     daemon.reset();
     std::filesystem::remove_all(folder_);
   }
-  // `started_at`: of a node that warms up.
+  // Logs an entry of the node list. `started_at` is the start time of a node that is warming up, otherwise 0.
   void LogNodeListed(const FakeNode& node, int state, Micros started_at = 0) {
     LoggedMessage message{loop.Now(), LoggedMessage::Kind::kNodeListed, 0, node.name};
     message.cause = state;
@@ -44,7 +45,8 @@
     message.started_at = started_at;
     message_log.push_back(message);
   }
-  // `started_at_ms`: Unix milliseconds; 0 for a node that has run for long.
+  // Returns a node's entry in the node list as JSON. `started_at_ms` is in Unix milliseconds, or 0 for a node
+  // that has been running for a long time.
   std::string EntryOf(const FakeNode& node, const char* status = "ready",
                       std::uint64_t started_at_ms = 0) const {
     return R"({"name":")" + node.name + R"(","address":")" + node.address +
@@ -65,7 +67,7 @@
     for (const auto& [name, value] : parts) text.replace(text.find(name), std::strlen(name), value);
     return text;
   }
-  // The program, with the configuration file as it is.
+  // Starts the program with the current configuration file.
   void Spawn() {
     listen = "127.0.0.1:" + std::to_string(ChooseFreePort());
     daemon = std::make_unique<Process>(
@@ -73,8 +75,8 @@
         std::map<std::string, std::string>{
             {"LB_NAME", "n0"}, {"LB_LISTEN", listen}, {"LB_CONFIG", folder_ + "/config.json"}});
   }
-  // A port that was free just now. Danger: one that the kernel chooses may become another connection's before
-  // the program listens on it; these lie below the range that the kernel chooses from.
+  // Returns a port that is currently free. The port is below the range of ephemeral ports, because an
+  // ephemeral port could be assigned to another connection before the program listens on it.
   int ChooseFreePort() {
     constexpr int kFirst = 10'240, kCount = 20'000;
     static int next = getpid() * 37;
@@ -107,7 +109,7 @@
     clients.push_back(std::make_unique<FakeClient>(&loop, listen, &message_log));
     return *clients.back();
   }
-  // Runs the loop until `holds` is true; fails after kWaitLimit.
+  // Runs the loop until `holds` returns true. Fails the test after kWaitLimit.
   void RunUntil(const std::function<bool()>& holds) {
     bool held = false;
     bool late = false;
@@ -126,7 +128,7 @@
     loop.SetAfterTurn({});
     ASSERT_FALSE(late) << "the condition was not met in time";
   }
-  void ExpectInvariantsKept() {
+  void ExpectNoViolations() {
     for (const std::string& violation : CheckInvariants(message_log)) ADD_FAILURE() << violation;
   }
 
--- a/tests/support/platform_soak_fixture.hpp
+++ b/tests/support/platform_soak_fixture.hpp
@@ -1,10 +1,10 @@
-// One run of the platform's soak: the program on loopback over several lives, under the traffic of clients
-// and the faults of a SoakPlan. What passes is logged for the invariant checker; what the log cannot show is
-// a finding.
+// The fixture of the platform's soak test. A run starts the program on loopback several times, with the
+// traffic of clients and the faults of a SoakPlan. Messages are logged for the invariant checker; failures
+// that the log cannot show are reported as findings.
 //
-// The run measures how late its own timers are, and how long the program takes to answer a health check.
-// Where either is long enough for answers to be late because the machine is busy, the run is disturbed and
-// says nothing about the program.
+// A run measures how late its own timers fire and how long the program takes to answer a health check. If
+// either is long enough for answers to be late because the host is busy, the run is marked as disturbed and
+// is inconclusive.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_SOAK_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_SOAK_FIXTURE_HPP_
 
@@ -16,18 +16,20 @@
 
 namespace mountflow::testing {
 
-// Half of, and as much as, what the protocol's page adds to each time limit.
+// Limits of an undisturbed run: half of the tolerance that the protocol adds to each time limit, and the
+// whole tolerance.
 inline constexpr Micros kMaxLateness = 25'000;
 inline constexpr Micros kMaxReplyTime = 50'000;
 
+// The result of a run.
 struct SoakReport {
   std::vector<std::string> findings;
-  Micros max_lateness = 0;    // of the run's own timers
-  Micros max_reply_time = 0;  // of the program to a health check
+  Micros max_lateness = 0;    // maximum delay of the run's own timers
+  Micros max_reply_time = 0;  // maximum time until the program answered a health check
   std::size_t requests = 0;
   std::size_t started = 0;
-  std::size_t resent = 0;   // crossed the close of a connection
-  std::size_t excused = 0;  // of a killed program, or crossed its exit
+  std::size_t resent = 0;   // requests sent again, because they may have crossed the close of a connection
+  std::size_t excused = 0;  // requests without an answer after a kill, or that crossed the exit
 
   [[nodiscard]] bool IsDisturbed() const {
     return max_lateness > kMaxLateness || max_reply_time > kMaxReplyTime;
@@ -42,14 +44,15 @@
     folder_ = folder;
   }
 
-  SoakReport Play(std::uint64_t seed) {
+  SoakReport RunSoak(std::uint64_t seed) {
     StartPeers(seed);
     const SoakPlan plan(seed);
-    for (const SoakLife& life : plan.lives) PlayLife(life);
+    for (const SoakIncarnation& incarnation : plan.incarnations) RunIncarnation(incarnation);
     report_.requests = sent_.size();
     report_.started = answers_.size();
     InvariantLimits limits;
-    // The program counts by when it sent, this run by when the node read.
+    // The program counts attempts by the time at which it sends them, this run by the time at which the node
+    // reads them.
     limits.slow_start_window -= kMaxLateness;
     for (const std::string& violation : CheckInvariants(message_log, limits)) {
       report_.findings.push_back(violation + "\n" + DescribeRequest(message_log, UidIn(violation)));
@@ -76,13 +79,14 @@
   static constexpr unsigned kTicksPerRequest = 3;
   static constexpr std::size_t kClients = 6;
   static constexpr std::size_t kTasksPerNode = 8;
-  // From the protocol's page: a request that crosses a close within this time is sent once more.
+  // According to the protocol, a request sent at most this long before a close of its connection is sent once
+  // more.
   static constexpr Micros kCrossing = 50 * kMilli;
   static constexpr Micros kKillAfterSignal = 3'700 * kMilli;
   static constexpr Micros kMaxReadyTime = 10 * kSecond;
-  static constexpr Micros kSettleTime = 500 * kMilli;      // for what is on its way, before a kill
-  static constexpr Micros kReplaceTime = 400 * kMilli;     // from the end of a node to its next incarnation
-  static constexpr Micros kListRecovery = 2'000 * kMilli;  // until an ended list fault has no effect any more
+  static constexpr Micros kSettleTime = 500 * kMilli;      // wait for messages in flight, before a kill
+  static constexpr Micros kReplaceTime = 400 * kMilli;     // time until an ended node is restarted
+  static constexpr Micros kListRecovery = 2'000 * kMilli;  // time until an ended list fault has no effect
   static constexpr std::size_t kDescriptorSlack = 16;
   static constexpr std::size_t kMaxMemoryGrowthKb = 4'096;
 
@@ -111,9 +115,9 @@
   }
   void StopPeers() {
     soak_clients_.clear();
-    crowd_.clear();
+    flood_clients_.clear();
     health_client_.reset();
-    moved_log_.reset();
+    replacement_log_.reset();
     change_log.silent = false;
     daemon.reset();
     for (const event_loop::TimerId timer : timers_) loop.CancelTimer(timer);
@@ -130,7 +134,7 @@
   }
 
   std::uint64_t Draw(std::uint64_t below) { return random_() % below; }
-  // Of "rule N: UID: ...".
+  // Returns the uid in a violation of the form "rule N: UID: ...".
   static RequestUid UidIn(const std::string& violation) {
     return std::strtoull(violation.substr(violation.find(": ") + 2).c_str(), nullptr, 16);
   }
@@ -146,17 +150,18 @@
   }
   void RunFor(Micros length) {
     const Micros until = loop.Now() + length;
-    After(length, [] {});  // a turn at that time, also when nothing else happens
+    After(length, [] {});  // makes the loop run a turn at that time even if nothing else happens
     RunTurnsUntil([this, until] { return loop.Now() >= until; });
   }
 
-  // Sockets that are ready in one turn are read in any order. What was written first is put first: ends of
-  // earlier attempts, then attempts with their own ends, then what clients received.
+  // Sorts the messages that were logged in this turn, because sockets that are ready in one turn are read in
+  // any order. The order of writing is: ends of earlier attempts, then attempts with their own ends, then the
+  // messages that clients received.
   void OrderTurn() {
     for (std::size_t i = 0; i < nodes.size(); ++i) Node(i).EndClosedAttempts();
     using Kind = LoggedMessage::Kind;
     const auto begin = message_log.begin() + static_cast<std::ptrdiff_t>(ordered_);
-    std::set<std::pair<RequestUid, std::string>> begun;  // with the node
+    std::set<std::pair<RequestUid, std::string>> begun;  // attempts of this turn with their nodes
     std::vector<std::vector<LoggedMessage>> parts(3);
     for (auto it = begin; it != message_log.end(); ++it) {
       const bool is_received = it->kind == Kind::kAnswered || it->kind == Kind::kNotified;
@@ -170,32 +175,33 @@
     ordered_ = message_log.size();
   }
 
-  // ---- A life of the program ----
+  // ---- One incarnation of the program ----
 
-  void PlayLife(const SoakLife& life) {
-    StartLife(life);
-    for (const TimedSoakFault& fault : life.faults) {
+  void RunIncarnation(const SoakIncarnation& incarnation) {
+    StartIncarnation(incarnation);
+    for (const TimedSoakFault& fault : incarnation.faults) {
       After(fault.at, [this, fault] { Inject(fault); });
     }
     is_serving_ = may_connect_ = sends_requests_ = ends_tasks_ = true;
     next_tick_ = loop.Now();
     Tick();
-    RunFor(life.length);
+    RunFor(incarnation.length);
     CheckNodeListIsFollowed();
-    life.exit == SoakExit::kKilled ? KillProgram() : TerminateProgram(life);
-    FinishLife();
+    incarnation.exit == SoakExit::kKilled ? KillProgram() : TerminateProgram(incarnation);
+    FinishIncarnation();
   }
 
-  void StartLife(const SoakLife& life) {
+  void StartIncarnation(const SoakIncarnation& incarnation) {
     Configure(LogAddress());
     const Micros spawned_at = loop.Now();
-    life.signalled_before_ready ? SpawnWithSignalBeforeReady() : Spawn();
+    incarnation.signalled_before_ready ? SpawnWithSignalBeforeReady() : Spawn();
     WaitUntilReady();
     clients.clear();
     if (loop.Now() > spawned_at + kMaxReadyTime) AddFinding("not ready within 10 s");
-    HandOverRunningTasks();
+    RecoverRunningTasks();
   }
-  // The configuration is a pipe, so that the signal comes when the program handles signals and is not ready.
+  // Uses a pipe as configuration file, so that the signals arrive when the program has installed its signal
+  // handlers but is not ready.
   void SpawnWithSignalBeforeReady() {
     const std::string file = folder_ + "/config.json";
     std::filesystem::remove(file);
@@ -210,22 +216,22 @@
     ASSERT_EQ(write(pipe, text.data(), text.size()), static_cast<ssize_t>(text.size()));
     close(pipe);
   }
-  // Running tasks that clients know of are handed to the new program; others end.
-  void HandOverRunningTasks() {
+  // Sends the running tasks that the client knows to the new incarnation of the program. The other ones end.
+  void RecoverRunningTasks() {
     SoakClient& client = NewSoakClient();
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       for (const RequestUid uid : std::set<RequestUid>(nodes[i]->running)) {
         const auto request = sent_.find(uid);
         const bool is_known = request != sent_.end() && WasStarted(uid) && !request->second.is_excused;
         if (!is_known) {
-          Node(i).Forget(uid);
+          Node(i).EndUnknownTask(uid);
           continue;
         }
         client.Launch(uid, request->second.task_class, 2000, request->second.service,
                       ";at:" + nodes[i]->name);
       }
     }
-    RunFor(kHandOverTime);
+    RunFor(kRecoveryTime);
   }
   [[nodiscard]] bool WasStarted(RequestUid uid) const {
     return std::any_of(answers_.begin(), answers_.end(), [uid](const auto& answer) {
@@ -233,7 +239,8 @@
     });
   }
 
-  // Events that were in the change log for a while, without a fault of the list since, were asked beyond.
+  // Checks that the program has polled beyond every event that was in the change log for kListRecovery
+  // without a fault of the list.
   void CheckNodeListIsFollowed() {
     std::uint64_t due = 0;
     for (const auto& [at, number] : listed_at_) {
@@ -242,7 +249,7 @@
     const std::vector<std::uint64_t>& polls = ActiveLog().requested_since;
     const std::uint64_t known = polls.empty() ? 0 : polls.back();
     if (due <= known) return;
-    AddFinding("the node list is not followed: event " + std::to_string(due) + ", asked beyond " +
+    AddFinding("the node list was not read: event " + std::to_string(due) + " is due, last poll was since " +
                std::to_string(known));
   }
 
@@ -256,29 +263,31 @@
     daemon->Kill();
   }
 
-  void TerminateProgram(const SoakLife& life) {
-    if (life.reload_before_exit) Reload(!life.invalid_reload);
+  void TerminateProgram(const SoakIncarnation& incarnation) {
+    if (incarnation.reload_before_exit) Reload(!incarnation.invalid_reload);
     const Micros signalled_at = loop.Now();
     daemon->Signal(SIGTERM);
-    if (life.reload_after_exit) Reload(!life.invalid_reload);
-    if (life.second_signal) After(100 * kMilli + Draw(400) * kMilli, [this] { daemon->Signal(SIGTERM); });
+    if (incarnation.reload_after_exit) Reload(!incarnation.invalid_reload);
+    if (incarnation.second_signal)
+      After(100 * kMilli + Draw(400) * kMilli, [this] { daemon->Signal(SIGTERM); });
     After(300 * kMilli, [this] { ends_tasks_ = false; });
-    After(life.new_connections_for, [this] { may_connect_ = false; });
-    if (!life.requests_until_exit) {
-      After(life.new_connections_for + 200 * kMilli, [this] { sends_requests_ = false; });
+    After(incarnation.new_connections_for, [this] { may_connect_ = false; });
+    if (!incarnation.requests_until_exit) {
+      After(incarnation.new_connections_for + 200 * kMilli, [this] { sends_requests_ = false; });
     }
     RunTurnsUntil([&] { return daemon->HasEnded() || loop.Now() >= signalled_at + kKillAfterSignal; });
     is_serving_ = may_connect_ = sends_requests_ = ends_tasks_ = false;
     if (!daemon->HasEnded()) {
-      AddFinding("runs still when SIGKILL is due");
+      AddFinding("still running when SIGKILL is due");
       return daemon->Kill();
     }
     const int status = daemon->Wait();
     if (status != 0) AddFinding("exit status " + std::to_string(status) + " after SIGTERM");
   }
 
-  // What lies in the sockets is read; then each request has its answer or crossed the exit.
-  void FinishLife() {
+  // Reads the bytes that are still in the sockets. Then each request must have its answer or have crossed the
+  // exit.
+  void FinishIncarnation() {
     RunFor(100 * kMilli);
     for (const auto& client : soak_clients_) {
       for (const RequestUid uid : client->launched) {
@@ -288,7 +297,7 @@
       }
     }
     soak_clients_.clear();
-    crowd_.clear();
+    flood_clients_.clear();
     health_client_.reset();
     daemon.reset();
   }
@@ -307,7 +316,7 @@
     if (sends_requests_ && ++ticks_ % kTicksPerRequest == 0) SendRequest();
   }
 
-  // One check is in flight at a time, on a connection of its own.
+  // Sends a health check on a connection of its own. At most one is in flight.
   void CheckHealth() {
     if (health_client_ && !health_client_->closed && health_client_->health_replies.empty()) {
       report_.max_reply_time = std::max(report_.max_reply_time, loop.Now() - health_checked_at_);
@@ -325,11 +334,11 @@
   void EndTasks() {
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       if (nodes[i]->running.size() <= kTasksPerNode || nodes[i]->connections.empty()) continue;
-      Node(i).Release(*nodes[i]->running.begin());
+      Node(i).EndTaskWithRepeats(*nodes[i]->running.begin());
     }
   }
 
-  // Null when no connection may be used.
+  // Returns null if no connection can be used.
   SoakClient* ChooseClient() {
     std::vector<SoakClient*> open;
     for (const auto& client : soak_clients_) {
@@ -362,13 +371,13 @@
     const std::string bytes = sent_[uid].bytes;
     const std::size_t cut = 1 + Draw(bytes.size() - 1);
     client->SendLaunch(uid, bytes.substr(0, cut));
-    // Another request of this connection must not come in between.
+    // Until the second part is sent, no other request may be sent on this connection.
     client->part = uid;
     const event_loop::ConnId conn = client->conn;
     After(1 * kMilli + Draw(20) * kMilli, [this, conn, uid, time_left, rest = bytes.substr(cut)] {
       SoakClient* sender = FindClient(conn);
       if (sender == nullptr || sender->closed || sent_[uid].is_excused) {
-        sent_.erase(uid);  // it was never whole, or the program was killed before it was
+        sent_.erase(uid);  // the request was not completed before its connection or the program ended
         return;
       }
       sender->part = 0;
@@ -457,31 +466,31 @@
       case SoakFault::kHangNode:
         Node(fault.node).SetHanging(true);
         return After(fault.duration, [this, fault] { Node(fault.node).SetHanging(false); });
-      case SoakFault::kListAway:
+      case SoakFault::kListUnreachable:
       case SoakFault::kListSilent:
         return DisturbList(fault);
-      case SoakFault::kListCut:
+      case SoakFault::kListReplyCut:
         ActiveLog().replies_to_cut = 1;
         list_recovered_at_ = loop.Now() + kListRecovery;
         return ListNode(fault.node, "ready", 0);
-      case SoakFault::kListMoves:
-        return MoveList();
+      case SoakFault::kListReplaced:
+        return ReplaceList();
       case SoakFault::kReloads:
         for (std::size_t i = 1; i < fault.size; ++i) Reload(i % 2 == 0);
         return Reload(true);
-      case SoakFault::kCrowd:
-        return AddCrowd(fault);
+      case SoakFault::kClientFlood:
+        return AddClientFlood(fault);
     }
   }
 
-  FakeChangeLog& ActiveLog() { return moved_log_ ? *moved_log_ : change_log; }
+  FakeChangeLog& ActiveLog() { return replacement_log_ ? *replacement_log_ : change_log; }
   std::string LogAddress() { return ActiveLog().address; }
 
-  // What the node list says of a node is logged when the program can know it: at once, or with its next poll
-  // after a fault of the list.
+  // Adds a node's state to the change log. It is written to the message log when the program can know it:
+  // immediately, or after a fault of the list with the program's next poll.
   void ListNode(std::size_t index, const char* status, int state, Micros started_at = 0) {
     const std::string entry = EntryOf(*nodes[index], status, started_at / kMilli);
-    if (moved_log_) change_log.AddEvent(entry);
+    if (replacement_log_) change_log.AddEvent(entry);
     ActiveLog().AddEvent(entry);
     const std::uint64_t number = ActiveLog().first_number + ActiveLog().events.size() - 1;
     listed_at_.emplace_back(loop.Now(), number);
@@ -515,19 +524,20 @@
 
   void DisturbList(const TimedSoakFault& fault) {
     FakeChangeLog& log = ActiveLog();
-    const bool is_away = fault.fault == SoakFault::kListAway;
+    const bool is_unreachable = fault.fault == SoakFault::kListUnreachable;
     list_recovered_at_ = loop.Now() + fault.duration + kListRecovery;
-    is_away ? log.SetListening(false) : void(log.silent = true);
+    is_unreachable ? log.SetListening(false) : void(log.silent = true);
     ListNode(fault.node, "draining", 1);
-    After(fault.duration,
-          [this, &log, is_away] { is_away ? log.SetListening(true) : void(log.silent = false); });
-  }
-  // The numbers go on, and the old log stays silent.
-  void MoveList() {
-    if (moved_log_) return;
-    moved_log_ = std::make_unique<FakeChangeLog>(&loop);
-    moved_log_->events = change_log.events;
-    moved_log_->first_number = change_log.first_number;
+    After(fault.duration, [this, &log, is_unreachable] {
+      is_unreachable ? log.SetListening(true) : void(log.silent = false);
+    });
+  }
+  // Switches to another change log that continues the numbers. The old one no longer responds.
+  void ReplaceList() {
+    if (replacement_log_) return;
+    replacement_log_ = std::make_unique<FakeChangeLog>(&loop);
+    replacement_log_->events = change_log.events;
+    replacement_log_->first_number = change_log.first_number;
     change_log.silent = true;
     list_recovered_at_ = loop.Now() + kListRecovery;
     Reload(true);
@@ -542,26 +552,26 @@
     daemon->Signal(SIGHUP);
   }
 
-  void AddCrowd(const TimedSoakFault& fault) {
+  void AddClientFlood(const TimedSoakFault& fault) {
     const std::size_t descriptors = OpenDescriptors();
     const std::size_t memory_kb = ResidentMemoryKb();
-    for (std::size_t i = 0; i < fault.size; ++i) AddToCrowd(i);
-    After(fault.duration, [this] { crowd_.clear(); });
+    for (std::size_t i = 0; i < fault.size; ++i) AddFloodClient(i);
+    After(fault.duration, [this] { flood_clients_.clear(); });
     After(fault.duration + kSettleTime, [this, descriptors, memory_kb] {
       if (!is_serving_) return;
       if (OpenDescriptors() > descriptors + kDescriptorSlack) {
-        AddFinding("descriptors after a crowd: " + std::to_string(OpenDescriptors()) + ", before it " +
+        AddFinding("descriptors after a client flood: " + std::to_string(OpenDescriptors()) + ", before it " +
                    std::to_string(descriptors));
       }
       if (ResidentMemoryKb() > memory_kb + kMaxMemoryGrowthKb) {
-        AddFinding("resident kB after a crowd: " + std::to_string(ResidentMemoryKb()) + ", before it " +
-                   std::to_string(memory_kb));
+        AddFinding("resident kB after a client flood: " + std::to_string(ResidentMemoryKb()) +
+                   ", before it " + std::to_string(memory_kb));
       }
     });
   }
-  void AddToCrowd(std::size_t number) {
-    crowd_.push_back(std::make_unique<FakeClient>(&loop, listen, &message_log));
-    FakeClient& client = *crowd_.back();
+  void AddFloodClient(std::size_t number) {
+    flood_clients_.push_back(std::make_unique<FakeClient>(&loop, listen, &message_log));
+    FakeClient& client = *flood_clients_.back();
     switch (number % 6) {
       case 0:
         return client.SendRaw(R"({"kind":"launch","uid":"00)");
@@ -573,7 +583,7 @@
         for (int i = 0; i < 50; ++i) client.CheckHealth();
         return;
       default:
-        return;  // sends nothing
+        return;  // the client sends nothing
     }
   }
   [[nodiscard]] std::size_t OpenDescriptors() const {
@@ -590,35 +600,35 @@
   }
 
   struct LateListing {
-    std::uint64_t number = 0;  // of the event
+    std::uint64_t number = 0;  // event number
     std::string node;
     unsigned rack = 0;
     int state = 0;
   };
 
-  static constexpr Micros kHandOverTime = 300 * kMilli;
+  static constexpr Micros kRecoveryTime = 300 * kMilli;
 
   std::mt19937_64 random_;
   SoakReport report_;
   std::map<RequestUid, SentRequest> sent_;
   AnswerHistory answers_;
   std::vector<std::unique_ptr<SoakClient>> soak_clients_;
-  std::vector<std::unique_ptr<FakeClient>> crowd_;
-  std::unique_ptr<FakeChangeLog> moved_log_;
+  std::vector<std::unique_ptr<FakeClient>> flood_clients_;
+  std::unique_ptr<FakeChangeLog> replacement_log_;
   std::vector<LateListing> late_listings_;
-  std::vector<std::pair<Micros, std::uint64_t>> listed_at_;  // events of the change log, with their numbers
+  std::vector<std::pair<Micros, std::uint64_t>> listed_at_;  // times and numbers of the change log's events
   std::vector<event_loop::TimerId> timers_;
-  std::size_t ordered_ = 0;  // messages of the log that OrderTurn has ordered
+  std::size_t ordered_ = 0;  // number of messages in the log that OrderTurn() has sorted
   RequestUid next_uid_ = 0x1000;
   unsigned ticks_ = 0;
   Micros next_tick_ = 0;
   std::unique_ptr<FakeClient> health_client_;
   Micros health_checked_at_ = 0;
   Micros list_recovered_at_ = 0;
-  bool is_serving_ = false;      // the program runs and was not killed
-  bool may_connect_ = false;     // clients open connections
-  bool sends_requests_ = false;  // clients send requests
-  bool ends_tasks_ = false;      // nodes end tasks
+  bool is_serving_ = false;      // true while the program runs and has not been killed
+  bool may_connect_ = false;     // true while clients open connections
+  bool sends_requests_ = false;  // true while clients send requests
+  bool ends_tasks_ = false;      // true while nodes end tasks
 };
 
 }  // namespace mountflow::testing
--- a/tests/support/platform_soak_peers.hpp
+++ b/tests/support/platform_soak_peers.hpp
@@ -1,5 +1,5 @@
-// Nodes and clients of the platform's soak: the fakes of platform_fakes.hpp, which also keep what a
-// connection that ends, a hang and a restart make of attempts and answers.
+// Nodes and clients of the platform's soak test. They extend the fakes of platform_fakes.hpp and also track
+// the outcome of attempts and answers when connections end, nodes hang or the program restarts.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_SOAK_PEERS_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_SOAK_PEERS_HPP_
 
@@ -15,7 +15,7 @@
 
 namespace mountflow::testing {
 
-// A node that answers as a draw says, and accepts most attempts.
+// A node that chooses its answers at random and accepts most attempts.
 class SoakNode : public FakeNode {
  public:
   SoakNode(event_loop::EventLoop* loop, std::string name, unsigned rack, MessageLog* log, std::uint64_t seed)
@@ -23,14 +23,15 @@
     reply = [this](const NodeMessage& launch) { return AnswerLaunch(launch.uid); };
   }
 
-  // While it hangs, nothing is answered; afterwards what is still asked for is accepted.
+  // Sets whether the node hangs. A hanging node does not respond. When it stops hanging, it accepts the
+  // attempts that are still pending.
   void SetHanging(bool hanging) {
     hanging_ = hanging;
     answers_health_checks = !hanging;
     if (hanging) return;
     for (const auto& [uid, conn] : std::exchange(unanswered_, {})) loop_->Send(conn, Accept(uid));
   }
-  // The process ends, and with it its attempts and tasks.
+  // Ends the node's process with its attempts and running tasks.
   void End() {
     for (const auto& [uid, conn] : std::exchange(unanswered_, {})) {
       Log(LoggedMessage::Kind::kAttemptEnded, uid, kMayHaveRun);
@@ -40,17 +41,18 @@
     }
     Kill();
   }
-  // The release goes out on the open connection, and on the next one that is opened within a while.
-  void Release(RequestUid uid) {
+  // Ends a running task. The end is reported on the open connection, and again on each connection that is
+  // accepted within kRepeatEndsTime.
+  void EndTaskWithRepeats(RequestUid uid) {
     EndTask(uid, kCompleted);
-    releases_.emplace_back(loop_->Now(), uid);
+    reported_ends_.emplace_back(loop_->Now(), uid);
   }
-  // A task that no client knows of ends without a notification.
-  void Forget(RequestUid uid) {
+  // Ends a task that no client knows, without a notification.
+  void EndUnknownTask(RequestUid uid) {
     running.erase(uid);
     Log(LoggedMessage::Kind::kTaskEnded, uid, kCancelled);
   }
-  // Attempts on connections that the scheduler has closed are given up, also where the close was not read
+  // Ends the attempts on connections that the scheduler has closed, even if the node has not read the close
   // yet.
   void EndClosedAttempts() {
     std::vector<event_loop::ConnId> closed;
@@ -63,9 +65,10 @@
   void OnAccepted(event_loop::ListenerId listener, event_loop::ConnId conn,
                   const event_loop::PeerInfo& peer) override {
     FakeNode::OnAccepted(listener, conn, peer);
-    std::erase_if(releases_,
-                  [this](const auto& release) { return release.first + kRepeatReleases < loop_->Now(); });
-    for (const auto& [at, uid] : releases_) loop_->Send(conn, EncodeRelease(uid));
+    std::erase_if(reported_ends_, [this](const auto& reported_end) {
+      return reported_end.first + kRepeatEndsTime < loop_->Now();
+    });
+    for (const auto& [at, uid] : reported_ends_) loop_->Send(conn, EncodeTaskEnd(uid));
   }
   void OnReceived(event_loop::ConnId conn, std::string_view bytes) override {
     reading_ = conn;
@@ -84,9 +87,9 @@
 
  private:
   static constexpr int kCompleted = 16, kCancelled = 31, kMayHaveRun = 41;
-  static constexpr Micros kRepeatReleases = 5'000'000;
+  static constexpr Micros kRepeatEndsTime = 5'000'000;
 
-  static std::string EncodeRelease(RequestUid uid) {
+  static std::string EncodeTaskEnd(RequestUid uid) {
     NodeMessage stop;
     stop.kind = NodeMessageKind::kStop;
     stop.uid = uid;
@@ -119,23 +122,25 @@
   bool hanging_ = false;
   event_loop::ConnId reading_ = 0;
   std::map<RequestUid, event_loop::ConnId> unanswered_;
-  std::vector<std::pair<Micros, RequestUid>> releases_;
+  std::vector<std::pair<Micros, RequestUid>> reported_ends_;
 };
 
-// Final answers that any connection received: all clients of the soak are one.
+// Final answers received on any connection. All connections of the soak test belong to one client.
 using AnswerHistory = std::vector<std::pair<RequestUid, ClientMessage>>;
 
+// One connection of the client of the soak test.
 class SoakClient : public FakeClient {
  public:
   SoakClient(event_loop::EventLoop* loop, const std::string& to, MessageLog* log, AnswerHistory* history)
       : FakeClient(loop, to, log), created_at(loop->Now()), history_(history) {}
 
-  // Not logged here: the caller logs the request with its last byte.
+  // Sends the bytes of a request or a part of them. The caller logs the request when it sends the last byte.
   void SendLaunch(RequestUid uid, const std::string& bytes) {
     launched.insert(uid);
     SendRaw(bytes);
   }
-  // A cancelled request may still be answered, if the answer crosses the cancel.
+  // Cancels a request. It may still be answered if the program sent the answer before it read the
+  // cancellation.
   void Cancel(RequestUid uid) {
     log_->push_back({loop_->Now(), LoggedMessage::Kind::kClientLeft, uid});
     ClientMessage message;
@@ -161,7 +166,7 @@
   Micros created_at = 0;
   Micros closed_at = 0;
   bool connected = false;
-  RequestUid part = 0;  // the request of which a part was sent
+  RequestUid part = 0;  // uid of a request that was sent only in part; 0 if there is none
 
  private:
   void ShareAnswers() {
@@ -170,7 +175,8 @@
       if (answer != final_answers.end() && shared_.insert(uid).second) history_->push_back(*answer);
     }
   }
-  // A second answer is no notification; the checker counts it as an answer nobody asked for.
+  // Logs second answers as answers, because the base class records them as notifications. The checker reports
+  // them as violations.
   void LogSecondAnswers() {
     for (auto& [uid, messages] : notifications) {
       std::erase_if(messages, [this, uid = uid](const ClientMessage& message) {
--- a/tests/support/platform_soak_plan.hpp
+++ b/tests/support/platform_soak_plan.hpp
@@ -1,5 +1,5 @@
-// What happens in one run of the platform's soak, drawn from a seed: faults with their times, and how each
-// life of the program begins and ends.
+// The plan of one run of the platform's soak test, generated from a seed: the faults with their times, and
+// how each incarnation of the program starts and ends. All times are in microseconds.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_SOAK_PLAN_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_SOAK_PLAN_HPP_
 
@@ -14,51 +14,57 @@
 namespace mountflow::testing {
 
 enum class SoakFault {
-  kDrainAndReplace,  // a node drains, ends, and comes back in a new incarnation
-  kKillNode,         // the same without a drain
-  kHangNode,         // a node answers nothing for a while
-  kListAway,         // the change log cannot be reached while a node drains
-  kListSilent,       // it reads requests and answers nothing meanwhile
-  kListCut,          // its next reply ends in the middle
-  kListMoves,        // another one takes over, as a reload tells
-  kReloads,          // SIGHUP several times within milliseconds, some with a file that cannot be used
-  kCrowd,            // clients that send nothing, half a message, or leave at once
+  kDrainAndReplace,  // a node drains, ends, and restarts as a new incarnation
+  kKillNode,         // a node ends without a drain and restarts as a new incarnation
+  kHangNode,         // a node does not respond for a while
+  kListUnreachable,  // the change log is unreachable while a node starts to drain
+  kListSilent,       // the change log reads requests and does not respond while a node starts to drain
+  kListReplyCut,     // the next reply of the change log is truncated
+  kListReplaced,     // a reload switches to another change log
+  kReloads,          // several SIGHUPs within milliseconds, some with an invalid configuration file
+  kClientFlood,      // many clients that send nothing or half a message, do not read, or disconnect
 };
 
+// A fault and the time at which it is injected.
 struct TimedSoakFault {
-  Micros at = 0;  // since the program was ready
+  Micros at = 0;  // time since the program became ready
   SoakFault fault = SoakFault::kReloads;
   std::size_t node = 0;
   Micros duration = 0;
-  std::size_t size = 0;  // of a crowd; signals of kReloads
+  std::size_t size = 0;  // number of clients of kClientFlood or of signals of kReloads
 };
 
 enum class SoakExit { kTerminated, kKilled };
 
-struct SoakLife {
-  bool signalled_before_ready = false;
-  Micros length = 0;  // from ready to the signal that ends it
+// One incarnation of the program.
+struct SoakIncarnation {
+  bool signalled_before_ready = false;  // SIGHUP twice before the program is ready
+  Micros length = 0;                    // time from ready to the signal that ends the program
   std::vector<TimedSoakFault> faults;
   SoakExit exit = SoakExit::kTerminated;
-  bool reload_before_exit = false;   // SIGHUP right before SIGTERM
-  bool reload_after_exit = false;    // and right after it
-  bool invalid_reload = false;       // with a file that cannot be used
-  bool second_signal = false;        // SIGTERM again, during the shutdown
-  Micros new_connections_for = 0;    // after SIGTERM
-  bool requests_until_exit = false;  // on open connections; else until 0.2 s after the last new connection
+  bool reload_before_exit = false;  // SIGHUP directly before SIGTERM
+  bool reload_after_exit = false;   // SIGHUP directly after SIGTERM
+  bool invalid_reload = false;      // the reloads before and after SIGTERM find an invalid file
+  bool second_signal = false;       // a second SIGTERM during the shutdown
+  Micros new_connections_for = 0;   // time after SIGTERM in which clients open new connections
+  // If true, clients send requests on open connections until the program exits; otherwise they stop 0.2 s
+  // after `new_connections_for`.
+  bool requests_until_exit = false;
 };
 
+// SoakPlan generates the incarnations of a run. Equal seeds give equal plans.
 class SoakPlan {
  public:
   static constexpr std::size_t kNodes = 4;
 
   explicit SoakPlan(std::uint64_t seed) : random_(seed) {
-    constexpr std::size_t kLives = 2;
-    has_crowd_ = Chance(40);
-    for (std::size_t i = 0; i < kLives; ++i) lives.push_back(DrawLife(i + 1 == kLives));
+    constexpr std::size_t kIncarnations = 2;
+    has_client_flood_ = Chance(40);
+    for (std::size_t i = 0; i < kIncarnations; ++i)
+      incarnations.push_back(DrawIncarnation(i + 1 == kIncarnations));
   }
 
-  std::vector<SoakLife> lives;
+  std::vector<SoakIncarnation> incarnations;
 
  private:
   static constexpr Micros kMilli = 1000;
@@ -67,50 +73,51 @@
   bool Chance(unsigned percent) { return Draw(100) < percent; }
   Micros DrawMillis(std::uint64_t from, std::uint64_t to) { return (from + Draw(to - from)) * kMilli; }
 
-  SoakLife DrawLife(bool is_last) {
-    SoakLife life;
-    life.signalled_before_ready = Chance(25);
-    life.length = DrawMillis(3'200, 4'500);
-    DrawFaults(&life);
-    life.exit = !is_last && Chance(25) ? SoakExit::kKilled : SoakExit::kTerminated;
-    life.reload_before_exit = Chance(40);
-    life.reload_after_exit = Chance(40);
-    life.invalid_reload = Chance(30);
-    life.second_signal = Chance(50);
-    life.new_connections_for = DrawMillis(200, 400);
-    life.requests_until_exit = Chance(50);
-    return life;
+  SoakIncarnation DrawIncarnation(bool is_last) {
+    SoakIncarnation incarnation;
+    incarnation.signalled_before_ready = Chance(25);
+    incarnation.length = DrawMillis(3'200, 4'500);
+    DrawFaults(&incarnation);
+    incarnation.exit = !is_last && Chance(25) ? SoakExit::kKilled : SoakExit::kTerminated;
+    incarnation.reload_before_exit = Chance(40);
+    incarnation.reload_after_exit = Chance(40);
+    incarnation.invalid_reload = Chance(30);
+    incarnation.second_signal = Chance(50);
+    incarnation.new_connections_for = DrawMillis(200, 400);
+    incarnation.requests_until_exit = Chance(50);
+    return incarnation;
   }
-  // One fault of each node and of the list at a time, so that what the checker may expect is certain.
-  void DrawFaults(SoakLife* life) {
+  // Adds at most one fault per node and one fault of the node list, so that faults do not overlap and the
+  // checker's expectations are unambiguous.
+  void DrawFaults(SoakIncarnation* incarnation) {
     static constexpr SoakFault kNodeFaults[] = {SoakFault::kDrainAndReplace, SoakFault::kKillNode,
                                                 SoakFault::kHangNode};
-    static constexpr SoakFault kListFaults[] = {SoakFault::kListAway, SoakFault::kListSilent,
-                                                SoakFault::kListCut, SoakFault::kListMoves};
+    static constexpr SoakFault kListFaults[] = {SoakFault::kListUnreachable, SoakFault::kListSilent,
+                                                SoakFault::kListReplyCut, SoakFault::kListReplaced};
     const std::size_t first_node = Draw(kNodes);
     for (std::size_t i = 0; i < 2; ++i) {
       const Micros at = DrawMillis(200, 1'000);
       const std::size_t node = (first_node + i) % kNodes;
       const SoakFault fault = kNodeFaults[Draw(3)];
-      // A drain lasts longer than the grace period, in which attempts may still come.
+      // A drain lasts longer than the grace period, during which attempts may still arrive.
       const bool is_drain = fault == SoakFault::kDrainAndReplace;
       const Micros duration = is_drain ? DrawMillis(2'200, 2'800) : DrawMillis(300, 1'500);
-      life->faults.push_back({at, fault, node, duration, 0});
+      incarnation->faults.push_back({at, fault, node, duration, 0});
     }
     const std::size_t drained_with_list = (first_node + 2) % kNodes;
-    life->faults.push_back(
+    incarnation->faults.push_back(
         {DrawMillis(200, 1'000), kListFaults[Draw(4)], drained_with_list, DrawMillis(300, 1'200), 0});
     for (std::uint64_t i = Draw(3); i > 0; --i) {
-      life->faults.push_back({DrawMillis(100, 2'400), SoakFault::kReloads, 0, 0, 2 + Draw(6)});
+      incarnation->faults.push_back({DrawMillis(100, 2'400), SoakFault::kReloads, 0, 0, 2 + Draw(6)});
     }
-    if (has_crowd_) {
-      life->faults.push_back(
-          {DrawMillis(300, 1'000), SoakFault::kCrowd, 0, DrawMillis(300, 1'000), 100 + Draw(300)});
+    if (has_client_flood_) {
+      incarnation->faults.push_back(
+          {DrawMillis(300, 1'000), SoakFault::kClientFlood, 0, DrawMillis(300, 1'000), 100 + Draw(300)});
     }
   }
 
   std::mt19937_64 random_;
-  bool has_crowd_ = false;
+  bool has_client_flood_ = false;
 };
 
 }  // namespace mountflow::testing
--- a/tests/support/platform_world.hpp
+++ b/tests/support/platform_world.hpp
@@ -1,6 +1,6 @@
-// A simulated world for the platform's parts: several schedulers, nodes, a node list and clients under one
-// virtual clock, with faults drawn from a seed. Equal seeds give equal runs. The order in which the parts
-// draw from the generator is recorded by platform_search_test.
+// A simulation of several schedulers, nodes, a node list and clients with one virtual clock and random faults
+// from a seed. Equal seeds give equal runs. The recorded digest of platform_search_test depends on the order
+// in which random numbers are drawn.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_WORLD_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_WORLD_HPP_
 
@@ -16,6 +16,7 @@
 
 namespace mountflow::testing {
 
+// PlatformWorld runs the platform's classes in the simulation.
 class PlatformWorld : public PlatformWorldState {
  public:
   PlatformWorld(std::uint64_t seed, unsigned scheduler_count) : PlatformWorldState(seed, scheduler_count) {
@@ -28,8 +29,8 @@
     }
   }
 
-  // Clients launch requests and faults happen for `length`; then all goes on for a while, so that what is due
-  // comes.
+  // Runs the simulation. Clients send requests and faults are injected for `length` microseconds. Then the
+  // simulation continues for 12 s, so that all pending messages arrive.
   void Run(Micros length) {
     const Micros end = now_ + length;
     for (unsigned i = 0; i < schedulers_.size(); ++i) {
@@ -44,16 +45,17 @@
   // ---- The node list ----
 
   void AddNode(const std::string& address, unsigned rack, Micros started_at);
-  // The change log announces a node; each scheduler reads it up to 1.5 s later, in order.
-  void ListNode(std::size_t which);
+  // Publishes a node's state in the node list. Each scheduler reads it up to 1.5 s later, in order.
+  void ListNode(std::size_t node_index);
 
   // ---- Schedulers ----
 
   void StartScheduler(unsigned index);
   void KillScheduler(unsigned index);
-  // After every call into a scheduler: what it closed, sent and opened; its next timer.
+  // Handles the effects of a call into a scheduler: the connections that it closed and opened, the bytes that
+  // it sent, and its next timer. Must be called after each such call.
   void AfterCall(unsigned index);
-  void CarryBytes(unsigned index, ConnId conn, const std::string& bytes);
+  void DeliverBytes(unsigned index, ConnId conn, const std::string& bytes);
   void SetTimer(unsigned index);
 
   // ---- Nodes ----
@@ -62,11 +64,12 @@
   void NodeReads(unsigned index, unsigned incarnation, ConnId conn, const std::string& bytes);
   void HandleNodeMessage(unsigned index, ConnId conn, NodeConnection& connection, const NodeMessage& message,
                          Micros reads_at);
-  // `roll`, of 100: what the node does.
+  // Answers an attempt. `roll` is a random number below 100 that selects the answer.
   void AnswerAttempt(unsigned index, ConnId conn, RequestUid uid, Micros roll);
   void EndTaskByItself(RequestUid uid, std::size_t node);
   void NodeSends(unsigned index, ConnId conn, const std::string& bytes);
-  // A node knows what was not read, and reports ends of tasks again.
+  // Records the ends of tasks in `bytes`, which a scheduler did not read, so that the node reports them
+  // again.
   void QueueUnreadEnds(unsigned index, std::size_t node, const std::string& bytes);
   void ReportEndsAgain(unsigned index, ConnId conn);
   void ResetConnection(unsigned index, ConnId conn);
@@ -77,9 +80,10 @@
   void ConnectClient(unsigned index);
   void LaunchRequests(unsigned index, Micros end);
   void CancelRequest(unsigned index, unsigned incarnation, ConnId conn, RequestUid uid);
-  // The scheduler reads the close `read_delay` after it has arrived.
+  // Closes a client's connection. The scheduler reads the close `read_delay` after it has arrived.
   void CloseClient(unsigned index, ConnId conn, Micros read_delay);
-  // `knew_closed`: the scheduler could know that the client had closed the connection when it sent this.
+  // Delivers bytes to a client. `knew_closed` is true if the client's close had arrived at the scheduler when
+  // it sent the bytes.
   void ClientReads(unsigned index, unsigned incarnation, ConnId conn, const std::string& bytes,
                    bool knew_closed);
   void HandleClientMessage(SchedulerProcess& scheduler, ClientRequest& request, const ClientMessage& message);
@@ -87,8 +91,9 @@
   // ---- Faults ----
 
   void InjectFault();
-  // The process dies, and a new node, warming up, has its address; the node list says so later.
-  void ReplaceNode(std::size_t which);
+  // Ends a node's process and starts a new node, which is warming up, at the same address. The node list
+  // reports both later.
+  void ReplaceNode(std::size_t node_index);
 };
 
 }  // namespace mountflow::testing
--- a/tests/support/platform_world_clients.cpp
+++ b/tests/support/platform_world_clients.cpp
@@ -1,4 +1,4 @@
-// The clients of a simulated world, and its faults.
+// The clients and the faults of PlatformWorld.
 #include "tests/support/platform_world.hpp"
 
 namespace mountflow::testing {
@@ -28,7 +28,7 @@
   message.task_class = task_class;
   message.service = "b4d65521";
   scheduler.log.push_back(message);
-  // A scheduler that is behind reads it, and a close after it, a while later.
+  // An overloaded scheduler reads the request, and a close after it, later.
   const unsigned incarnation = scheduler.incarnation;
   const Micros read_at = now_ + 200 + (Chance(10) ? Draw(40'000) : Draw(600));
   At(read_at, [this, index, incarnation, conn, uid, task_class, time_left] {
@@ -92,7 +92,7 @@
     if (!closed) {
       HandleClientMessage(scheduler, request, message);
     } else if (request.knows_running && !knew_closed) {
-      // The client closed under this notification: on the wire they cannot see each other.
+      // The client's close and this notification crossed each other.
       request.knows_running = false;
       scheduler.log.push_back({now_, Kind::kClientLeft, message.uid});
     }
@@ -109,8 +109,8 @@
     answer.cause = request.knows_running ? 0 : message.cause.value_or(-1);
     scheduler.log.push_back(answer);
   } else if (request.knows_running && message.kind == ClientMessageKind::kStop) {
-    // Its node may have reported the end while this was under way; a task that runs and is reported ended is
-    // lost.
+    // The node may have reported the task's end while this notification was in flight. If the task is still
+    // running, its scheduler has lost it.
     if (request.runs) EndTask(message.uid, request, kCauseEnded);
     request.knows_running = false;
     request.over = true;
@@ -121,8 +121,8 @@
 // ---- Faults ----
 
 void PlatformWorld::InjectFault() {
-  const std::size_t which = Draw(nodes_.size());
-  SimulatedNode& node = nodes_[which];
+  const std::size_t node_index = Draw(nodes_.size());
+  SimulatedNode& node = nodes_[node_index];
   switch (Draw(6)) {
     case 0:
       if (schedulers_[0]->incarnation < 3 && Chance(50)) {
@@ -131,7 +131,7 @@
       }
       break;
     case 1:
-      if (node.alive && node.silent_until <= now_) ReplaceNode(which);
+      if (node.alive && node.silent_until <= now_) ReplaceNode(node_index);
       break;
     case 2:
       if (node.alive && node.silent_until < now_) node.silent_until = now_ + kSec + Draw(4 * kSec);
@@ -139,25 +139,25 @@
     case 3:
       if (!node.alive || node.status != "ready") break;
       node.status = "draining";
-      ListNode(which);
+      ListNode(node_index);
       break;
     default:
-      ResetConnectionsOf(which);
+      ResetConnectionsOf(node_index);
       break;
   }
 }
 
-void PlatformWorld::ReplaceNode(std::size_t which) {
+void PlatformWorld::ReplaceNode(std::size_t node_index) {
   ++nodes_replaced;
-  nodes_[which].alive = false;
-  nodes_[which].status = "gone";
+  nodes_[node_index].alive = false;
+  nodes_[node_index].status = "gone";
   for (auto& [uid, request] : requests_) {
-    if (request.runs && request.node == which) EndTask(uid, request, kCauseMayHaveRun);
+    if (request.runs && request.node == node_index) EndTask(uid, request, kCauseMayHaveRun);
   }
-  ResetConnectionsOf(which);
-  ListNode(which);
-  const std::string address = nodes_[which].address;
-  AddNode(address, nodes_[which].rack, now_ + 1);
+  ResetConnectionsOf(node_index);
+  ListNode(node_index);
+  const std::string address = nodes_[node_index].address;
+  AddNode(address, nodes_[node_index].rack, now_ + 1);
 }
 
 }  // namespace mountflow::testing
--- a/tests/support/platform_world_nodes.cpp
+++ b/tests/support/platform_world_nodes.cpp
@@ -1,4 +1,4 @@
-// The nodes of a simulated world.
+// The nodes of PlatformWorld.
 #include "tests/support/platform_world.hpp"
 
 namespace mountflow::testing {
@@ -28,9 +28,9 @@
   const auto found = connections_.find({index, conn});
   if (found == connections_.end() || found->second.incarnation != incarnation) return;
   NodeConnection& connection = found->second;
-  // What came while the node was silent lies in its kernel.
+  // Bytes that arrive while the node is silent are buffered by its kernel.
   const Micros reads_at = std::max(now_, nodes_[connection.node].silent_until);
-  if (!std::exchange(connection.received_any, true)) {  // who connected is known now: ends are reported again
+  if (!std::exchange(connection.received_any, true)) {  // the first message identifies the scheduler
     At(reads_at, [this, index, conn] { ReportEndsAgain(index, conn); });
   }
   connection.reader.Feed(bytes);
@@ -68,7 +68,7 @@
   if (found == connections_.end() || found->second.unanswered.count(uid) == 0) return;  // cancelled
   NodeConnection& connection = found->second;
   if (roll < 3) return ResetConnection(index, conn);
-  if (roll < 5) return;  // no answer at all
+  if (roll < 5) return;  // the node does not answer
   connection.unanswered.erase(uid);
   if (roll < 15) {
     LogAttemptEnd(connection, uid, kCauseRejected);
--- a/tests/support/platform_world_schedulers.cpp
+++ b/tests/support/platform_world_schedulers.cpp
@@ -1,4 +1,4 @@
-// The schedulers of a simulated world and the node list that they read.
+// The schedulers of PlatformWorld and the node list that they read.
 #include "tests/support/platform_world.hpp"
 
 namespace mountflow::testing {
@@ -15,10 +15,10 @@
   ListNode(nodes_.size() - 1);
 }
 
-void PlatformWorld::ListNode(std::size_t which) {
-  const LoggedMessage message = LogEntryOf(nodes_[which]);
+void PlatformWorld::ListNode(std::size_t node_index) {
+  const LoggedMessage message = LogEntryOf(nodes_[node_index]);
   NodeListEvent change;
-  change.nodes = {EntryOf(nodes_[which])};
+  change.nodes = {EntryOf(nodes_[node_index])};
   const Micros delay = Draw(1'500'000);
   last_listed_at_ = std::max(last_listed_at_ + 1, now_ + delay);
   for (unsigned i = 0; i < schedulers_.size(); ++i) {
@@ -42,7 +42,7 @@
   scheduler.transport->digest = &digest;
   NodeConnectionOptions options;
   if (scheduler_count_ % 2 == 0) options.max_connections = 4;         // fewer than nodes
-  scheduler.transport->last_conn += 100'000 * scheduler.incarnation;  // no number comes again
+  scheduler.transport->last_conn += 100'000 * scheduler.incarnation;  // ids are never reused
   scheduler.last_seen_conn = scheduler.transport->last_conn;
   scheduler.config = ReadPlatformConfig(ConfigurationOf(index), nullptr, nullptr);
   ASSERT_TRUE(scheduler.config.ok()) << Describe(scheduler.config.errors[0]);
@@ -61,7 +61,7 @@
   scheduler.dispatcher->Start(now_, {cached});
   scheduler.last_client_conn = 0;
   for (int i = 0; i < 3; ++i) ConnectClient(index);
-  for (const auto& [uid, request] : requests_) {  // clients hand over what runs
+  for (const auto& [uid, request] : requests_) {  // clients send their running tasks to the new process
     if (request.scheduler != index || !request.knows_running) continue;
     scheduler.client_connections->OnBytes(now_, scheduler.client_conns[0],
                                           LaunchLine(uid, "service", 0, ";at:" + nodes_[request.node].name));
@@ -103,7 +103,7 @@
   }
   for (auto& [conn, bytes] : scheduler.transport->sent) {
     if (bytes.empty()) continue;
-    CarryBytes(index, conn, std::exchange(bytes, {}));
+    DeliverBytes(index, conn, std::exchange(bytes, {}));
   }
   for (; scheduler.last_seen_conn < scheduler.transport->last_conn; ++scheduler.last_seen_conn) {
     OpenConnection(index, scheduler.incarnation, scheduler.last_seen_conn + 1);
@@ -111,7 +111,7 @@
   SetTimer(index);
 }
 
-void PlatformWorld::CarryBytes(unsigned index, ConnId conn, const std::string& bytes) {
+void PlatformWorld::DeliverBytes(unsigned index, ConnId conn, const std::string& bytes) {
   SchedulerProcess& scheduler = *schedulers_[index];
   const unsigned incarnation = scheduler.incarnation;
   if (conn < kFirstNodeConn) {
@@ -123,7 +123,7 @@
   }
   const auto found = connections_.find({index, conn});
   if (found == connections_.end()) return;
-  NodeMessageReader sent;  // an attempt is in flight until its end is written
+  NodeMessageReader sent;  // an attempt is in flight until its cancellation is sent
   sent.Feed(bytes);
   for (NodeMessage message; sent.Next(&message) == NodeMessageReader::State::kMessage;) {
     if (message.kind == NodeMessageKind::kStop && found->second.unanswered.erase(message.uid) > 0) {
--- a/tests/support/platform_world_state.hpp
+++ b/tests/support/platform_world_state.hpp
@@ -1,5 +1,5 @@
-// What a simulated world of the platform's parts consists of: schedulers, nodes, clients' requests,
-// connections, a virtual clock and a source of chance; and the check of what passed in it.
+// The state of the simulation in platform_world.hpp: schedulers, nodes, clients' requests, connections, a
+// virtual clock and a random number generator; and the check of its message logs.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_PLATFORM_WORLD_STATE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_PLATFORM_WORLD_STATE_HPP_
 
@@ -19,9 +19,11 @@
 
 namespace mountflow::testing {
 
+// PlatformWorldState holds the state of a simulation. All times are in microseconds.
 class PlatformWorldState {
  public:
-  // One line for each violation, with what passed about its request.
+  // Checks the message logs of all schedulers. Returns one entry for each violation, with the messages about
+  // its request.
   std::vector<std::string> CheckInvariantsOfAll() {
     std::vector<std::string> violations;
     const InvariantLimits limits;
@@ -41,7 +43,8 @@
         }
       }
     }
-    // Rule 4 holds for the sum of all schedulers: beyond the budget only so much is chance.
+    // Rule 4 also holds for the sum over all schedulers. The tolerance allows for random variation of their
+    // shares.
     const auto budget = static_cast<double>(limits.slow_start_budget);
     const double tolerated = budget + 2 * std::sqrt(budget) + 2;
     for (auto& [name, sent] : sent_while_warming_up) {
@@ -63,13 +66,13 @@
   std::size_t clients_left = 0;
   std::size_t nodes_replaced = 0;
   std::size_t sent_to_warming_up = 0;
-  Digest digest;  // of the bytes that all schedulers sent
+  Digest digest;  // digest of the bytes sent by all schedulers
 
  protected:
   using Kind = LoggedMessage::Kind;
-  // FakeTransport counts the connections to nodes from there; those of clients are below.
+  // FakeTransport numbers connections to nodes from this id; ids of client connections are smaller.
   static constexpr ConnId kFirstNodeConn = 1000;
-  // Causes in the messages of nodes.
+  // Causes in messages from nodes.
   static constexpr int kCauseEnded = 16;
   static constexpr int kCauseCancelled = 31;
   static constexpr int kCauseMayHaveRun = 41;
@@ -84,9 +87,9 @@
     Micros tick_at = kNever;
     ConnId last_seen_conn = kFirstNodeConn;
     ConnId last_client_conn = 0;
-    std::vector<ConnId> client_conns;                 // open ones
-    std::map<ConnId, ClientMessageReader> to_client;  // what clients read
-    std::set<std::string> known_nodes;                // by name
+    std::vector<ConnId> client_conns;                 // open client connections
+    std::map<ConnId, ClientMessageReader> to_client;  // readers of the clients, by connection
+    std::set<std::string> known_nodes;                // names of the nodes
     MessageLog log;
   };
   // An open connection to a node.
@@ -95,10 +98,10 @@
     unsigned incarnation;
     std::size_t node;
     NodeMessageReader reader;
-    std::set<RequestUid> unanswered;  // attempts
+    std::set<RequestUid> unanswered;  // attempts without an answer
     bool received_any = false;
   };
-  using ConnKey = std::pair<unsigned, ConnId>;  // the scheduler, and its connection
+  using ConnKey = std::pair<unsigned, ConnId>;  // scheduler index and connection id
   struct SimulatedNode {
     std::string name;
     std::string address;
@@ -112,11 +115,11 @@
     unsigned scheduler = 0;
     ConnId conn = 0;
     bool answered = false;
-    bool knows_running = false;  // the client believes that its task runs
-    bool runs = false;
-    bool over = false;  // the client wants no notification
+    bool knows_running = false;  // the client was answered that its task is running
+    bool runs = false;           // the task is running on `node`
+    bool over = false;           // the client has ended the task or was notified; no notification is expected
     std::size_t node = 0;
-    ConnId node_conn = 0;  // of its attempt
+    ConnId node_conn = 0;  // connection of the accepted attempt
   };
 
   PlatformWorldState(std::uint64_t seed, unsigned scheduler_count)
@@ -126,7 +129,7 @@
   bool Chance(unsigned percent) { return Draw(100) < percent; }
   void At(Micros at, std::function<void()> call) { queue_.emplace(at, std::move(call)); }
 
-  // Makes the calls that are due before `end`, in the order of their times.
+  // Runs the queued calls that are due before `end`, in the order of their times.
   void RunQueue(Micros end) {
     while (!queue_.empty() && queue_.begin()->first < end) {
       const auto first = queue_.begin();
@@ -184,13 +187,14 @@
     message.cause = cause;
     schedulers_[connection.scheduler]->log.push_back(message);
   }
-  // A node at the address of another one, which the scheduler does not know yet, is that other one to it.
-  std::string NameKnownTo(unsigned scheduler, std::size_t which) const {
-    for (std::size_t i = which + 1; i-- > 0;) {
+  // Returns the name of a node as a scheduler knows it. A scheduler that has not read the entry of a new node
+  // yet takes it for the previous node at the same address.
+  std::string NameKnownTo(unsigned scheduler, std::size_t node_index) const {
+    for (std::size_t i = node_index + 1; i-- > 0;) {
       const bool known = schedulers_[scheduler]->known_nodes.count(nodes_[i].name) > 0;
-      if (nodes_[i].address == nodes_[which].address && known) return nodes_[i].name;
+      if (nodes_[i].address == nodes_[node_index].address && known) return nodes_[i].name;
     }
-    return nodes_[which].name;
+    return nodes_[node_index].name;
   }
   std::size_t ListeningAt(const std::string& address) const {
     for (std::size_t i = nodes_.size(); i-- > 0;) {
@@ -201,7 +205,7 @@
   void EndTask(RequestUid uid, ClientRequest& request, int cause) {
     request.runs = false;
     LoggedMessage message{now_, Kind::kTaskEnded, uid, nodes_[request.node].name};
-    message.cause = request.over ? kCauseCancelled : cause;  // a client that has ended it is not notified
+    message.cause = request.over ? kCauseCancelled : cause;  // cancelled: no notification is expected
     schedulers_[request.scheduler]->log.push_back(message);
   }
 
@@ -213,17 +217,17 @@
   std::vector<SimulatedNode> nodes_;
   std::map<ConnKey, NodeConnection> connections_;
   std::map<RequestUid, ClientRequest> requests_;
-  std::map<RequestUid, std::string> attempt_node_;  // of the latest attempt, as its scheduler names it
+  std::map<RequestUid, std::string> attempt_node_;  // node of the latest attempt, as the scheduler names it
   Micros last_listed_at_ = 0;
   RequestUid last_uid_ = 0;
-  // Bytes of one connection keep their order.
+  // Arrival times of the last bytes on a connection, so that bytes are delivered in order.
   std::map<ConnKey, Micros> node_reads_at_;
   std::map<ConnKey, Micros> scheduler_reads_at_;
-  // By scheduler and node.
+  // Task ends that a node reports again to a scheduler, by scheduler and node.
   std::map<std::pair<unsigned, std::size_t>, std::set<RequestUid>> ends_to_report_again_;
 
  private:
-  // The messages about the request that a violation names.
+  // Returns the messages about the request in a violation, one per line.
   static std::string LogOf(const MessageLog& log, const std::string& violation) {
     static const char* const kNames[] = {"requested",     "cancelled",   "client left", "answered", "attempt",
                                          "attempt ended", "node listed", "task ended",  "notified"};
