--- a/src/platform/node_watch.hpp
+++ b/src/platform/node_watch.hpp
@@ -16,8 +16,9 @@
 
 namespace mountflow::platform {
 
+// Limits of the size of a reply in bytes and of the number of entries of an event.
 inline constexpr std::size_t kMaxReplyBytes = 2 << 20;
-inline constexpr std::size_t kMaxNodes = 4096;  // per event
+inline constexpr std::size_t kMaxNodes = 4096;
 
 // Time for which the service may hold a poll open, in microseconds. It is short because events are missed
 // while the service is silent, and a silent service is detected only after this time plus kReplyGracePeriod.
--- a/src/platform/nonblocking_stderr_sink.hpp
+++ b/src/platform/nonblocking_stderr_sink.hpp
@@ -16,6 +16,7 @@
 // poll() reports as writable does not block.
 inline constexpr std::size_t kMaxLogLineBytes = 500;
 
+// NonblockingStderrSink writes each message as one line, or drops it.
 class NonblockingStderrSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  protected:
   void sink_it_(const spdlog::details::log_msg& message) override;
--- a/src/platform/platform_config.hpp
+++ b/src/platform/platform_config.hpp
@@ -17,6 +17,7 @@
 
 namespace mountflow::platform {
 
+// Maximum size of the configuration text.
 inline constexpr std::size_t kMaxConfigBytes = 8 << 20;
 
 // Minimum number of descriptors for client connections that have not sent a message yet. At least as many as
@@ -74,8 +75,8 @@
 // JSON, settings that cannot be parsed).
 PlatformConfig ReadPlatformConfig(std::string_view text, const char* name, const char* listen);
 
-// Returns the address of the change log, the only part of a configuration that can change while the daemon
-// runs.
+// Returns the address of the change log in a configuration, or an error. The address is the only part of the
+// configuration that can change while the daemon runs.
 tl::expected<std::string, ConfigError> ReadChangeLogAddress(std::string_view text);
 
 // Converts the nested object `settings` to path=value lines, the input format of settings::ParseSettings():
--- a/src/platform/rate_limited_sink.hpp
+++ b/src/platform/rate_limited_sink.hpp
@@ -19,6 +19,7 @@
 // Enough to follow normal operation, and few enough that a flood of messages takes no time from requests.
 inline constexpr unsigned kMaxLinesPerSecond = 20;
 
+// RateLimitedSink passes a limited number of different lines per second to another sink.
 class RateLimitedSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
   // Passes the lines that are not dropped to `output`.
--- a/tests/platform/platform_shutdown_test.cpp
+++ b/tests/platform/platform_shutdown_test.cpp
@@ -17,6 +17,7 @@
     loop.AddTimer(until, [&due] { due = true; });
     RunUntil([&due] { return due; });
   }
+  // Returns the number of attempts that nodes received for these requests.
   std::size_t AttemptsOf(const std::set<RequestUid>& uids) const {
     std::size_t sent = 0;
     for (const auto& node : nodes) {
--- a/tests/support/platform_process_fixture.hpp
+++ b/tests/support/platform_process_fixture.hpp
@@ -15,6 +15,7 @@
 
 namespace mountflow::testing {
 
+// PlatformProcess runs the program with fake nodes, a fake change log and fake clients.
 class PlatformProcess : public ::testing::Test {
  protected:
   static constexpr std::size_t kNodes = 4;
--- a/tests/support/platform_soak_fixture.hpp
+++ b/tests/support/platform_soak_fixture.hpp
@@ -36,6 +36,7 @@
   }
 };
 
+// PlatformSoakFixture runs the program according to a SoakPlan and collects the findings.
 class PlatformSoakFixture : public PlatformProcess {
  protected:
   void SetUp() override {
@@ -44,6 +45,7 @@
     folder_ = folder;
   }
 
+  // Runs the plan of a seed with all its incarnations.
   SoakReport RunSoak(std::uint64_t seed) {
     StartPeers(seed);
     const SoakPlan plan(seed);
--- a/tests/support/platform_soak_plan.hpp
+++ b/tests/support/platform_soak_plan.hpp
@@ -13,6 +13,7 @@
 
 namespace mountflow::testing {
 
+// A kind of fault.
 enum class SoakFault {
   kDrainAndReplace,  // a node drains, ends, and restarts as a new incarnation
   kKillNode,         // a node ends without a drain and restarts as a new incarnation
@@ -34,6 +35,7 @@
   std::size_t size = 0;  // number of clients of kClientFlood or of signals of kReloads
 };
 
+// The way in which an incarnation of the program ends: by SIGTERM or by SIGKILL.
 enum class SoakExit { kTerminated, kKilled };
 
 // One incarnation of the program.
