--- a/src/platform/dispatcher.cpp
+++ b/src/platform/dispatcher.cpp
@@ -321,19 +321,19 @@
   if (request.state == RequestState::kRunning && result != AttemptResult::kCancelled) {
     NotifyClient(request, ClientMessageKind::kStop, cause);
   }
-  EndAttempt(request,
-             {result, request.IsRunning(), ReadRejectionReason(message.Text(kSaid)), ReadReport(message)});
+  EndAttempt(request, {result, request.IsRunning(), ReadRejectionReason(message.Text(kStatusText)),
+                       ReadReport(message)});
 }
 
 void Dispatcher::OnProgress(const Request& request, const NodeMessage& message) {
-  const auto kind = ReadProgressKind(message.Text(kSaid));
+  const auto kind = ReadProgressKind(message.Text(kStatusText));
   if (!kind.has_value()) return;
   TaskProgress progress;
   progress.kind = *kind;
   progress.request = request.id;
   progress.attempt = request.attempt;
   progress.node = request.node;
-  ReadReportedNumber(message.Text(kFigure), &progress.value);
+  ReadReportedNumber(message.Text(kProgressValue), &progress.value);
   pending_events_.push_back(progress);
   RunScheduler();
 }
--- a/src/platform/dispatcher_actions.cpp
+++ b/src/platform/dispatcher_actions.cpp
@@ -21,7 +21,7 @@
   message.params[kClass] = payload.task_class;
   message.params[kWait] = std::to_string(std::max<Micros>(1, wait / kMicrosPerMilli));
   message.params[kTaskName] = payload.task_name;
-  if (!payload.idempotency_key.empty()) message.params[kIdem] = payload.idempotency_key;
+  if (!payload.idempotency_key.empty()) message.params[kDeduplicationKey] = payload.idempotency_key;
   if (!payload.description.empty()) message.params[kDescription] = payload.description;
   return message;
 }
--- a/src/platform/node_codec.hpp
+++ b/src/platform/node_codec.hpp
@@ -33,15 +33,15 @@
 // The code byte of a parameter. The enum is unscoped because codes that are not listed here are decoded and
 // encoded unchanged.
 enum NodeParameter : std::uint8_t {
-  kClass = 129,       // name of the task's class
-  kWait = 132,        // how long the scheduler waits for the attempt, in milliseconds
-  kTaskName = 141,    // the task's key, 16 hexadecimal digits
-  kSaid = 150,        // the reason for the end of an attempt, or the kind of a progress note
-  kReport = 156,      // load report in the form name:value;...
-  kFigure = 165,      // the number in a progress note
-  kIdem = 168,        // deduplication key, 32 hexadecimal digits
-  kCauseCode = 171,   // cause of a kStop or health check message, one byte
-  kDescription = 174  // passed unchanged between client and node
+  kClass = 129,             // name of the task's class
+  kWait = 132,              // how long the scheduler waits for the attempt, in milliseconds
+  kTaskName = 141,          // the task's key, 16 hexadecimal digits
+  kStatusText = 150,        // reason for the end of an attempt, or kind of a progress note
+  kReport = 156,            // load report in the form name:value;...
+  kProgressValue = 165,     // the number in a progress note
+  kDeduplicationKey = 168,  // deduplication key, 32 hexadecimal digits
+  kCauseCode = 171,         // cause of a kStop or health check message, one byte
+  kDescription = 174        // passed unchanged between client and node
 };
 
 // A decoded message.
--- a/tests/daemon/wire_golden_test.cpp
+++ b/tests/daemon/wire_golden_test.cpp
@@ -101,8 +101,8 @@
     message.kind = static_cast<platform::NodeMessageKind>(kind);
     message.uid = 0x9b1f03aa5c7e2d41u;
     for (const platform::NodeParameter param :
-         {platform::kClass, platform::kWait, platform::kTaskName, platform::kSaid, platform::kReport,
-          platform::kFigure, platform::kIdem, platform::kDescription}) {
+         {platform::kClass, platform::kWait, platform::kTaskName, platform::kStatusText, platform::kReport,
+          platform::kProgressValue, platform::kDeduplicationKey, platform::kDescription}) {
       message.params[param] = "value " + std::to_string(message.params.size());
     }
     message.cause = 41;
--- a/tests/platform/dispatcher_test.cpp
+++ b/tests/platform/dispatcher_test.cpp
@@ -16,7 +16,7 @@
   EXPECT_EQ(sent[0].Text(kClass), "service");
   EXPECT_EQ(sent[0].Text(kWait), "2000");
   EXPECT_EQ(sent[0].Text(kTaskName), WriteHex(kUid + 1));
-  EXPECT_EQ(sent[0].Text(kIdem), WriteHex(kUid) + WriteHex(kUid));
+  EXPECT_EQ(sent[0].Text(kDeduplicationKey), WriteHex(kUid) + WriteHex(kUid));
   EXPECT_EQ(sent[0].Text(kDescription), "v=0\r\n\xc3\xa9");
   EXPECT_EQ(sent[0].params.size(), 5u);
   fixture.NodeSends(
@@ -66,7 +66,8 @@
   PlatformFixture fixture;
   const ConnId first = fixture.LaunchAttempt(kUid);
   fixture.NodeSends(
-      first, EndedBytes(kUid, 34, {{kSaid, "no_cores"}, {kReport, "x0:1;x1:-2;pending:3;cpu_share:0.5"}}));
+      first,
+      EndedBytes(kUid, 34, {{kStatusText, "no_cores"}, {kReport, "x0:1;x1:-2;pending:3;cpu_share:0.5"}}));
   ConnId second = 0;
   for (const auto& [conn, address] : fixture.transport.outgoing) second = conn != first ? conn : second;
   ASSERT_NE(second, 0u);
@@ -76,7 +77,7 @@
   fixture.NodeSends(first, StartedBytes(kUid));
   fixture.NodeSends(first, EndedBytes(kUid, 47));
   EXPECT_TRUE(fixture.transport.SentToClient(fixture.client).empty());
-  fixture.NodeSends(second, EndedBytes(kUid, 34, {{kSaid, "no_memory"}}));
+  fixture.NodeSends(second, EndedBytes(kUid, 34, {{kStatusText, "no_memory"}}));
   const auto answers = fixture.transport.SentToClient(fixture.client);
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].cause, kCauseRejected);
--- a/tests/platform/node_codec_test.cpp
+++ b/tests/platform/node_codec_test.cpp
@@ -116,9 +116,9 @@
 
 TEST(NodeCodec, GivesAnEmptyTextForAnAbsentParameter) {
   NodeMessage message;
-  message.params[kSaid] = "runs";
-  EXPECT_EQ(message.Text(kSaid), "runs");
-  EXPECT_EQ(message.Text(kFigure), "");
+  message.params[kStatusText] = "runs";
+  EXPECT_EQ(message.Text(kStatusText), "runs");
+  EXPECT_EQ(message.Text(kProgressValue), "");
 }
 
 }  // namespace
--- a/tests/platform/node_connections_test.cpp
+++ b/tests/platform/node_connections_test.cpp
@@ -80,8 +80,8 @@
   ASSERT_NE(next, 0u);
   EXPECT_TRUE(fixture.transport.SentToClient(fixture.client).empty());
   fixture.Establish(next);
-  fixture.NodeSends(next,
-                    NodeMessageBytes(NodeMessageKind::kNote, kUid, -1, {{kSaid, "runs"}, {kFigure, "1"}}));
+  fixture.NodeSends(next, NodeMessageBytes(NodeMessageKind::kNote, kUid, -1,
+                                           {{kStatusText, "runs"}, {kProgressValue, "1"}}));
   fixture.EndNodeConnection(next);
   fixture.AdvanceTime(0);
   fixture.EndNodeConnection(fixture.transport.ConnTo(address), true);
--- a/tests/support/platform_fakes.hpp
+++ b/tests/support/platform_fakes.hpp
@@ -64,7 +64,7 @@
     stop.kind = NodeMessageKind::kStop;
     stop.uid = uid;
     stop.cause = static_cast<std::uint8_t>(cause);
-    if (!reason.empty()) stop.params[kSaid] = reason;
+    if (!reason.empty()) stop.params[kStatusText] = reason;
     return EncodeNodeMessage(stop);
   }
 
--- a/tests/support/platform_world_nodes.cpp
+++ b/tests/support/platform_world_nodes.cpp
@@ -72,7 +72,7 @@
   connection.unanswered.erase(uid);
   if (roll < 15) {
     LogAttemptEnd(connection, uid, kCauseRejected);
-    return NodeSends(index, conn, EndedBytes(uid, kCauseRejected, {{kSaid, "no_cores"}}));
+    return NodeSends(index, conn, EndedBytes(uid, kCauseRejected, {{kStatusText, "no_cores"}}));
   }
   LogAttemptEnd(connection, uid, 0);
   ClientRequest& request = requests_[uid];
