--- a/src/ledger/outbox.cpp
+++ b/src/ledger/outbox.cpp
@@ -23,7 +23,7 @@
                      "ledger record " + std::to_string(last_sequence_ + 1), std::to_string(sequence));
   }
   Entry entry;
-  entry.record = read.rest();
+  entry.record = read.remaining();
   entry.missing = sequence > last_sequence_;
   if (entry.missing) last_sequence_ = sequence;
   return entry;
--- a/src/storage/commit_gate.cpp
+++ b/src/storage/commit_gate.cpp
@@ -6,7 +6,7 @@
 namespace mountflow::storage {
 namespace {
 
-constexpr std::size_t kMaxWarnings = 64;
+constexpr std::size_t kMaxWarnings = 64;  // further warnings are dropped until TakeWarnings() is called
 
 }  // namespace
 
--- a/src/storage/committer.cpp
+++ b/src/storage/committer.cpp
@@ -67,7 +67,8 @@
 }
 
 void Committer::CollectGroup(Group* group) {
-  // A snapshot contains the records before it. Those after it go with the next commit.
+  // A pending snapshot contains only the records that were added before it, so later records are left for the
+  // next commit.
   const std::size_t count = snapshot_ ? records_before_snapshot_ : waiting_.size();
   const auto end = waiting_.begin() + static_cast<std::ptrdiff_t>(count);
   for (auto it = waiting_.begin(); it != end; ++it) group->bytes += it->size();
@@ -85,7 +86,7 @@
     result.snapshot_error = committed.error();
     return result;
   }
-  // A snapshot of the same state as the last one would add nothing.
+  // If no record was committed since the last snapshot, the log already has a snapshot of this state.
   if (!group.snapshot || log_->last_sequence() <= log_->snapshot_sequence()) return result;
   const StorageStatus written = log_->WriteSnapshot(log_->last_sequence(), *group.snapshot);
   if (!written) result.snapshot_error = written.error();
@@ -101,7 +102,7 @@
   }
   if (group->snapshot) {
     status_.snapshot_error = result.snapshot_error;
-    status_.snapshot_pending = snapshot_.has_value();  // another may have been requested meanwhile
+    status_.snapshot_pending = snapshot_.has_value();  // one may have been requested during the write
     group->snapshot.reset();
   }
   status_.bytes_since_snapshot = log_->bytes_since_snapshot();
--- a/src/storage/fields.hpp
+++ b/src/storage/fields.hpp
@@ -1,9 +1,11 @@
-// The encoding of fields in records: integers as varints (7 bits a byte, least significant first, the top bit
-// set on all but the last), signed ones zigzag-folded before, doubles as eight little-endian bytes, strings
-// with their length in front.
+// The binary encoding of the fields of a record:
+//   - Integers are varints: 7 bits in each byte, least significant first, with the top bit set on all bytes
+//     but the last. Signed integers are zigzag-encoded first.
+//   - A double has eight little-endian bytes.
+//   - A string is its length, followed by its bytes.
 //
-// FieldWriter and FieldReader have the same overloads, so that one template with the list of a record's
-// fields serves both directions:
+// FieldWriter and FieldReader have the same overloads, so that one template, which lists the fields of a
+// record, both writes and reads it:
 //
 //   template <typename Archive, typename T>
 //   void Fields(Archive& archive, T& value) {
@@ -11,7 +13,7 @@
 //     archive("size", value.size);
 //   }
 //
-// Names of fields are not stored. They appear in errors only.
+// The names of the fields are not stored. They appear only in errors.
 #ifndef MOUNTFLOW_STORAGE_FIELDS_HPP_
 #define MOUNTFLOW_STORAGE_FIELDS_HPP_
 
@@ -33,7 +35,8 @@
 
 constexpr std::size_t kDoubleSize = 8;
 
-// Folds the sign into the lowest bit, so that small numbers of either sign stay short.
+// Encodes the sign in the lowest bit, so that numbers of small magnitude have short varints whatever their
+// sign.
 constexpr std::uint64_t ZigzagEncode(std::int64_t value) {
   return static_cast<std::uint64_t>(value) << 1 ^ static_cast<std::uint64_t>(value >> 63);
 }
@@ -41,22 +44,22 @@
   return static_cast<std::int64_t>(value >> 1 ^ (~(value & 1) + 1));
 }
 
-// Where and why a record could not be read.
+// The first field of a record that could not be read.
 struct FieldError {
   std::string field;
-  std::size_t offset = 0;  // within the bytes given to the reader
-  std::string expected;
+  std::size_t offset = 0;  // in bytes, within the input of the reader
+  std::string expected;    // description of a valid value
 };
 
-// "FIELD at byte N: EXPECTED"
+// Returns the text "FIELD at byte N: EXPECTED".
 [[nodiscard]] inline std::string Describe(const FieldError& error) {
   return error.field + " at byte " + std::to_string(error.offset) + ": " + error.expected;
 }
 
-// Appends fields to a string.
+// FieldWriter appends encoded fields to a string.
 class FieldWriter {
  public:
-  // `to` is not owned.
+  // `to` is not owned and must outlive the writer.
   explicit FieldWriter(std::string* to) : to_(to) {}
 
   void operator()(const char*, std::uint64_t value) {
@@ -81,12 +84,12 @@
     (*this)(name, std::uint64_t{value.size()});
     *to_ += value;
   }
-  // The last argument is the greatest value, which only the reader needs.
+  // Writes an enumerator. The last argument is the greatest valid value, which only FieldReader::Enum uses.
   template <typename T>
   void Enum(const char* name, T value, T) {
     (*this)(name, static_cast<std::uint64_t>(value));
   }
-  // Calls `write_element` with each element, after their number.
+  // Writes the number of elements, then calls `write_element` with each of them.
   template <typename T, typename Function>
   void List(const char* name, const std::vector<T>& list, Function write_element) {
     (*this)(name, std::uint64_t{list.size()});
@@ -97,8 +100,8 @@
   std::string* to_;
 };
 
-// Reads fields in the order in which they were written. After the first error every call does nothing, or
-// sets the value to zero, so callers may read all fields and check once.
+// FieldReader reads fields in the order in which they were written. After the first error every call sets its
+// value to zero or leaves it unchanged, so callers may read all fields and check for an error once.
 class FieldReader {
  public:
   // `from` must outlive the reader.
@@ -149,18 +152,18 @@
     value.assign(from_.substr(offset_, size));
     offset_ += size;
   }
-  // `max` is the greatest valid value.
+  // Reads an enumerator. `max` is the greatest valid value.
   template <typename T>
   void Enum(const char* name, T& value, T max) {
     const std::uint64_t wide = ReadUnsigned(name);
     if (wide > static_cast<std::uint64_t>(max)) return Fail(name, "a known value");
     value = static_cast<T>(wide);
   }
-  // Calls `read_element` with each element.
+  // Resizes `list` to the stored number of elements, then calls `read_element` with each of them.
   template <typename T, typename Function>
   void List(const char* name, std::vector<T>& list, Function read_element) {
     const std::uint64_t size = ReadUnsigned(name);
-    // An element has at least one byte, so a damaged number cannot exhaust memory.
+    // Each element has at least one byte. This bound prevents a damaged length from exhausting memory.
     if (!ok() || size > from_.size() - offset_) return Fail(name, "as many elements as its length says");
     list.resize(size);
     for (T& element : list) {
@@ -168,20 +171,21 @@
     }
   }
 
+  // Reports whether no error has occurred so far.
   bool ok() const { return !error_.has_value(); }
-  // The first error, also when bytes are left over.
+  // Returns the first error, if any. Unread bytes at the end of the input are an error, too.
   [[nodiscard]] tl::expected<void, FieldError> Finish() {
     if (offset_ != from_.size()) Fail("end", "nothing more");
     if (error_) return tl::unexpected(*error_);
     return {};
   }
-  // The first error so far.
+  // Returns the first error so far, if any.
   [[nodiscard]] const std::optional<FieldError>& error() const { return error_; }
-  // The bytes that were not read yet.
-  std::string_view rest() const { return from_.substr(offset_); }
+  // Returns the bytes that were not read yet.
+  std::string_view remaining() const { return from_.substr(offset_); }
 
  private:
-  // Zero after an error.
+  // Reads an unsigned integer; returns zero after an error.
   std::uint64_t ReadUnsigned(const char* name) {
     std::uint64_t value = 0;
     (*this)(name, value);
--- a/src/storage/files.cpp
+++ b/src/storage/files.cpp
@@ -26,7 +26,7 @@
   return tl::unexpected(std::move(error));
 }
 
-// Takes the lock of an open directory. Returns the descriptor that holds it.
+// Locks an open directory. Returns the descriptor that holds the lock.
 StorageResult<int> LockDirectory(const std::string& directory, int directory_fd) {
   const int lock_fd = openat(directory_fd, kLockFile, O_RDWR | O_CREAT | O_CLOEXEC, kFileMode);
   if (lock_fd < 0) return SystemError(directory, "lock", errno);
@@ -40,8 +40,8 @@
   return tl::unexpected(std::move(error));
 }
 
-// Reads to the end of the file or, when it grows meanwhile, to the size that it had. False with errno on
-// failure.
+// Reads the whole file. If the file grows meanwhile, reads only as many bytes as it had at the start. Returns
+// false and sets errno on failure.
 bool ReadAll(int fd, std::string* bytes) {
   struct stat status {};
   if (fstat(fd, &status) != 0) return false;
--- a/src/storage/log.cpp
+++ b/src/storage/log.cpp
@@ -6,8 +6,8 @@
 namespace mountflow::storage {
 namespace {
 
-// The newest snapshot, and one to fall back to when that is broken.
-constexpr std::size_t kKeptSnapshots = 2;
+// The newest snapshot, and the previous one for the case that the newest one is broken.
+constexpr std::size_t kRetainedSnapshots = 2;
 constexpr const char* kBrokenSuffix = ".broken";
 
 tl::unexpected<StorageError> Damaged(const std::string& file, std::size_t offset, std::string expected,
@@ -59,7 +59,7 @@
   const std::size_t count = segments_.size();
   for (std::size_t i = 0; i < count; ++i) {
     if (StorageStatus status = ReplaySegment(i, replay, notices); !status) return status;
-    // A segment whose header was torn holds nothing. If it was the last one, it has been removed.
+    // A segment with a torn header contains no records. If it was the last one, ReplaySegment has removed it.
     if (i < segments_.size() && segments_[i].first_sequence == 0)
       segments_[i].first_sequence = last_sequence_ + 1;
   }
@@ -114,7 +114,7 @@
   if (!bytes) return tl::unexpected(bytes.error());
 
   const std::optional<std::uint64_t> first_sequence = DecodeSegmentHeader(*bytes);
-  std::size_t end = 0;  // of the last whole frame
+  std::size_t end = 0;  // end of the last whole frame
   if (first_sequence) {
     segment.first_sequence = *first_sequence;
     if (StorageStatus status = CheckSequence(file, 0, *first_sequence); !status) return status;
@@ -124,16 +124,18 @@
     if (end == bytes->size()) return {};
   }
 
-  // The rest does not begin with a whole frame. Only the torn last frame of a crash is acceptable here.
+  // The bytes at `end` are not a whole frame. A crash can explain this only if no whole frame follows,
+  // because a frame is synced before the next one is written.
   if (const std::optional<std::size_t> later = FindFrame(*bytes, end + 1)) {
     return Damaged(
         file, end, "a whole frame with sequence " + std::to_string(last_sequence_ + 1),
         "the next whole frame at byte " + std::to_string(*later) + "; this is damage, not a crash");
   }
   const bool is_last = index + 1 == segments_.size();
-  // A commit that failed. The next segment continues with it, or shows the gap.
+  // A segment that is not the last one ends with a commit that failed. The next segment repeats that commit;
+  // otherwise the first sequence of the next segment reveals the gap.
   if (!is_last) return {};
-  if (!first_sequence) {  // the crash tore the header of a new segment
+  if (!first_sequence) {  // a crash left an incomplete header in a new segment
     segments_.pop_back();
     return files_->Remove(file);
   }
@@ -167,7 +169,8 @@
   const std::uint64_t last_before = last_sequence_;
   std::uint64_t sequence = frame.first_sequence;
   for (const std::string_view record : *records) {
-    // A record that is here twice (a retried commit), or in the snapshot already, counts once.
+    // Skips records that were replayed before, because their commit was retried, and records that the
+    // snapshot contains.
     if (sequence == last_sequence_ + 1) {
       last_sequence_ = sequence;
       if (replay.record) replay.record(sequence, record);
@@ -198,8 +201,8 @@
   const std::string file = SegmentName(segments_.back().number);
   StorageStatus written = files_->Append(file, frame).and_then([&] { return files_->Sync(file); });
   if (!written) {
-    // Danger: after a failed sync the kernel may have dropped the data and still report the pages as clean.
-    // This segment is not written to again.
+    // After a failed sync the kernel may have dropped the data and still report the pages as clean, so a
+    // second sync could succeed without writing them. Therefore this segment is never appended to again.
     segment_open_ = false;
     return written;
   }
@@ -224,8 +227,8 @@
 
 StorageStatus Log::BeginSegment() {
   if (last_segment_empty_) {
-    // Danger: a commit to a disk that stays full is retried again and again, and each retry could leave a
-    // file.
+    // A commit to a disk that stays full is retried indefinitely. Without this removal each retry could leave
+    // another file behind.
     if (StorageStatus status = files_->Remove(SegmentName(segments_.back().number)); !status) return status;
     segments_.pop_back();
     last_segment_empty_ = false;
@@ -254,7 +257,7 @@
   }
   const std::string file = SnapshotName(sequence);
   const std::string unfinished = NumberedFileName(options_.name, sequence, kUnfinishedSnapshotSuffix);
-  // What a failed attempt may have left. Usually there is nothing, which is reported as an error.
+  // Removes the file that a failed attempt may have left behind. Usually there is none, and Remove fails.
   static_cast<void>(files_->Remove(unfinished));
   StorageStatus written =
       files_->Create(unfinished)
@@ -265,18 +268,18 @@
           .and_then([&] { return files_->SyncDirectory(); });
   if (!written) return written;
   snapshots_.push_back(sequence);
-  segment_open_ = false;  // a new segment, so that older ones can be removed
+  segment_open_ = false;  // the next commit starts a new segment, so that older ones can be removed later
   bytes_since_snapshot_ = 0;
   return RemoveObsoleteFiles();
 }
 
-// Keeps the newest snapshots, and the segments with what came after the oldest of them.
+// Retains the newest snapshots, and the segments with records that are newer than the oldest of them.
 StorageStatus Log::RemoveObsoleteFiles() {
-  while (snapshots_.size() > kKeptSnapshots) {
+  while (snapshots_.size() > kRetainedSnapshots) {
     if (StorageStatus status = files_->Remove(SnapshotName(snapshots_.front())); !status) return status;
     snapshots_.erase(snapshots_.begin());
   }
-  if (snapshots_.size() < kKeptSnapshots) return {};
+  if (snapshots_.size() < kRetainedSnapshots) return {};
   while (segments_.size() > 1 && segments_[1].first_sequence <= snapshots_.front() + 1) {
     if (StorageStatus status = files_->Remove(SegmentName(segments_.front().number)); !status) return status;
     segments_.erase(segments_.begin());
--- a/src/storage/log.hpp
+++ b/src/storage/log.hpp
@@ -1,20 +1,20 @@
-// An append-only log of records in segments, with snapshots.
+// An append-only log of records, stored in segment files, with snapshots.
 //
-// One commit is one frame: all its records under one checksum, written and then synced. The next frame is not
-// written before that, so a crash can tear only the last frame, and whole frames after a broken one mean
-// damage, not a crash.
+// Each commit is one frame, which contains all records of the commit under one checksum. A frame is written
+// and synced before the next one is written. Therefore a crash can tear only the last frame. If whole frames
+// follow a broken one, the file was damaged in another way.
 //
-// Opening replays the newest whole snapshot and every record after it.
+// Opening a log replays the newest valid snapshot and every record after it.
 // - A torn last frame is removed, with a notice. Its commit had not been acknowledged.
-// - A broken frame with whole ones after it, a gap between segments, or a missing segment that a snapshot
-//   needs: kDamaged, with file and offset.
-// - A broken newest snapshot is skipped, with a notice, and the one before it is used. What that one needs is
-//   kept until there are two newer ones.
+// - kDamaged, with file and offset, is returned when whole frames follow a broken frame, when there is a gap
+//   between segments, or when a segment is missing that the snapshot needs.
+// - A broken newest snapshot is skipped, with a notice, and the previous snapshot is used. The files that the
+//   previous snapshot needs are retained until there are two newer snapshots.
 //
 // A commit that failed (disk full, error on sync) is retried with the same records in a new segment, because
-// after a failed sync the contents of the disk are unknown. If both copies are whole, the records count once,
-// by their sequence. An empty segment left by such a retry is removed by the next one, so there is at most
-// one.
+// the contents of the disk are unknown after a failed sync. If both copies turn out to be whole, each record
+// is replayed once, because it is identified by its sequence. An empty segment that such a retry leaves
+// behind is removed by the next retry, so there is at most one.
 #ifndef MOUNTFLOW_STORAGE_LOG_HPP_
 #define MOUNTFLOW_STORAGE_LOG_HPP_
 
@@ -33,91 +33,103 @@
 
 struct LogOptions {
   std::string name = "log";               // files are NAME-NUMBER.log and NAME-SEQUENCE.snap
-  std::size_t segment_bytes = 64u << 20;  // a segment of this size or more is followed by a new one
+  std::size_t segment_bytes = 64u << 20;  // a segment that has reached this size is not appended to
   std::size_t max_record_bytes = 16u << 20;
 };
 
-// Called while a log is opened; either may be empty. The views are valid during the call.
+// Functions that Log::Open calls with the stored state and records. Either may be empty. The views are valid
+// only during the call.
 struct Replay {
   std::function<void(std::uint64_t sequence, std::string_view state)> snapshot;
   std::function<void(std::uint64_t sequence, std::string_view record)> record;
 };
 
-// What Open removed or skipped.
+// Something that Log::Open removed or skipped.
 struct RecoveryNotice {
   enum class Kind {
-    kTornCommitRemoved,  // an incomplete last commit was cut off
+    kTornCommitRemoved,  // an incomplete last commit was removed from the end of the file
     kSnapshotSkipped,    // a broken snapshot was renamed to FILE.broken
   };
   Kind kind = Kind::kTornCommitRemoved;
   std::string file;
-  std::size_t offset = 0;           // kTornCommitRemoved: where the commit began
-  std::size_t removed_bytes = 0;    // kTornCommitRemoved
-  std::uint64_t last_sequence = 0;  // kTornCommitRemoved: the newest record before it
+  std::size_t offset = 0;           // kTornCommitRemoved: byte offset at which the commit began
+  std::size_t removed_bytes = 0;    // kTornCommitRemoved: size of the removed part
+  std::uint64_t last_sequence = 0;  // kTornCommitRemoved: sequence of the newest record before the commit
 };
 
-// One line for operators.
+// Returns one line of text for operators.
 [[nodiscard]] std::string Describe(const RecoveryNotice& notice);
 
-// Not thread-safe. Every error of a file operation is returned as Files reports it.
+// Log is the append-only log that the comment at the head of this file describes. Not thread-safe. Errors of
+// file operations are returned as Files reports them.
 class Log {
  public:
-  // `files` is not owned and must outlive the log. Logs of different names may share it, on one thread: Files
-  // is not synchronized.
+  // `files` is not owned and must outlive the log. Logs with different names may share it if they are used on
+  // the same thread, because Files is not thread-safe.
   Log(Files* files, LogOptions options) : files_(files), options_(std::move(options)) {}
 
-  // Must be called once, before any other method. `notices` are valid after an error too.
+  // Opens the log and replays it. Must be called once, before any other method. Appends to `notices`, which
+  // are valid even after an error.
   [[nodiscard]] StorageStatus Open(const Replay& replay, std::vector<RecoveryNotice>* notices);
 
-  // Makes these records durable as sequences last_sequence() + 1 and up. kTooLarge before anything is written
-  // when a record or the commit exceeds its limit. After any other error it must be called again with the
-  // same first records (more may follow them).
+  // Makes these records durable with the sequences last_sequence() + 1 and up. Returns kTooLarge, before
+  // anything is written, when a record or the whole commit exceeds its limit. After any other error the next
+  // call must begin with the same records; more records may follow them.
   [[nodiscard]] StorageStatus Commit(const std::vector<std::string>& records);
 
-  // Writes the state after the record `sequence`, which must be newer than the last snapshot and at most
-  // last_sequence() (else kInvalidArgument). Removes the files that only older snapshots need.
+  // Writes a snapshot of the state after the record `sequence`, and removes the files that only older
+  // snapshots need. Returns kInvalidArgument unless `sequence` is newer than the last snapshot and at most
+  // last_sequence().
   [[nodiscard]] StorageStatus WriteSnapshot(std::uint64_t sequence, std::string_view state);
 
-  // The newest durable sequence; 0 when there is none.
+  // Returns the newest durable sequence; 0 when there is none.
   std::uint64_t last_sequence() const { return last_sequence_; }
-  // The sequence of the newest snapshot; 0 when there is none.
+  // Returns the sequence of the newest snapshot; 0 when there is none.
   std::uint64_t snapshot_sequence() const { return snapshots_.empty() ? 0 : snapshots_.back(); }
+  // Returns the size in bytes of the frames that were replayed or committed after the newest snapshot.
   std::uint64_t bytes_since_snapshot() const { return bytes_since_snapshot_; }
 
  private:
   struct Segment {
     std::uint64_t number = 0;
-    std::uint64_t first_sequence = 0;  // 0 while not known
+    std::uint64_t first_sequence = 0;  // 0 until the header has been read
   };
 
   std::string SegmentName(std::uint64_t number) const;
   std::string SnapshotName(std::uint64_t sequence) const;
 
+  // Lists the segments and snapshots of this log, and removes unfinished snapshots.
   StorageStatus FindFiles();
+  // Replays the newest valid snapshot, and renames the broken ones that are newer.
   StorageStatus LoadSnapshot(const Replay& replay, std::vector<RecoveryNotice>* notices);
+  // Replays one segment. Removes a torn frame or a torn header at the end of the last segment.
   StorageStatus ReplaySegment(std::size_t index, const Replay& replay, std::vector<RecoveryNotice>* notices);
   // Replays the frames of a segment with a valid header. Returns the offset after the last whole frame.
   StorageResult<std::size_t> ReplayFrames(const std::string& file, std::string_view segment,
                                           const Replay& replay);
   StorageStatus ReplayFrame(const std::string& file, std::size_t offset, const Frame& frame,
                             const Replay& replay);
+  // Returns kDamaged when `first_sequence` leaves a gap after last_sequence_.
   StorageStatus CheckSequence(const std::string& file, std::size_t offset,
                               std::uint64_t first_sequence) const;
 
+  // Returns kTooLarge when a record or the whole commit exceeds its limit.
   StorageStatus CheckSizes(const std::vector<std::string>& records) const;
+  // Creates the next segment, to which commits are appended from then on.
   StorageStatus BeginSegment();
+  // Removes snapshots except for the newest ones, and the segments that no remaining snapshot needs.
   StorageStatus RemoveObsoleteFiles();
 
   Files* const files_;
   const LogOptions options_;
-  std::vector<Segment> segments_;         // ascending; the last is appended to when `segment_open_`
-  std::vector<std::uint64_t> snapshots_;  // sequences, ascending
+  std::vector<Segment> segments_;         // in ascending order
+  std::vector<std::uint64_t> snapshots_;  // sequences of the snapshots, in ascending order
   std::uint64_t last_sequence_ = 0;
   std::uint64_t next_segment_number_ = 1;
   std::uint64_t bytes_since_snapshot_ = 0;
-  std::size_t segment_size_ = 0;  // of the segment that is appended to
-  bool segment_open_ = false;
-  bool last_segment_empty_ = false;  // this object created the last segment, and it holds no commit yet
+  std::size_t segment_size_ = 0;     // size in bytes of the last segment; valid while `segment_open_`
+  bool segment_open_ = false;        // the next commit may be appended to the last segment
+  bool last_segment_empty_ = false;  // this object created the last segment, which contains no commit yet
 };
 
 }  // namespace mountflow::storage
--- a/src/storage/log_format.cpp
+++ b/src/storage/log_format.cpp
@@ -9,7 +9,6 @@
 namespace {
 
 using namespace std::string_view_literals;
-// other import
 
 constexpr std::string_view kSegmentMagic = "MFLOG\0\0\1"sv;
 constexpr std::string_view kSnapshotMagic = "MFSNAP\0\1"sv;
--- a/src/storage/storage_error.hpp
+++ b/src/storage/storage_error.hpp
@@ -12,20 +12,21 @@
 
 enum class StorageErrorCode {
   kSystem,           // a system call failed; see `operation` and `system`
-  kLocked,           // another process has the directory locked
-  kDamaged,          // stored bytes are not what was written; see `file` and `offset`
+  kLocked,           // another process has locked the directory
+  kDamaged,          // stored bytes differ from those that were written; see `file` and `offset`
   kTooLarge,         // a record or a commit exceeds its limit
   kInvalidArgument,  // the state does not allow the call
 };
 
+// An error with the details that its code has. Details that do not apply are empty.
 struct StorageError {
   StorageErrorCode code = StorageErrorCode::kSystem;
   std::string file;                     // path, or name within the directory of the log; may be empty
   std::optional<std::uint64_t> offset;  // kDamaged: byte offset within `file`
-  std::string operation;                // kSystem: "open", "write", ...
-  std::error_code system;               // kSystem
-  std::string expected;                 // other codes: what was expected
-  std::string found;                    // and what was found in its place; may be empty
+  std::string operation;                // kSystem: the operation that failed, such as "open" or "write"
+  std::error_code system;               // kSystem: the error of the system call
+  std::string expected;                 // kDamaged, kTooLarge, kInvalidArgument: the valid value
+  std::string found;                    // the invalid value found instead of `expected`; may be empty
 
   bool operator==(const StorageError&) const = default;
 };
@@ -34,7 +35,7 @@
 using StorageResult = tl::expected<T, StorageError>;
 using StorageStatus = StorageResult<void>;
 
-// One line for operators: "FILE at byte N: expected X, found Y" or "FILE: OPERATION: REASON".
+// Returns one line of text for operators: "FILE at byte N: expected X, found Y" or "FILE: OPERATION: REASON".
 [[nodiscard]] std::string Describe(const StorageError& error);
 
 }  // namespace mountflow::storage
--- a/tests/storage/storage_fields_test.cpp
+++ b/tests/storage/storage_fields_test.cpp
@@ -108,7 +108,7 @@
   FieldReader reader("\x81\x01rest");
   reader("value", value);
   EXPECT_EQ(value, 129u);
-  EXPECT_EQ(reader.rest(), "rest");
+  EXPECT_EQ(reader.remaining(), "rest");
 }
 
 }  // namespace
