--- a/src/ledger/amount.cpp
+++ b/src/ledger/amount.cpp
@@ -14,8 +14,8 @@
   const bool negative = amount < 0;
   const auto bits = static_cast<Magnitude>(amount);
   std::string text;
-  for (Magnitude rest = negative ? ~bits + 1 : bits; rest != 0; rest /= 10)
-    text.push_back(static_cast<char>('0' + static_cast<int>(rest % 10)));
+  for (Magnitude remaining = negative ? ~bits + 1 : bits; remaining != 0; remaining /= 10)
+    text.push_back(static_cast<char>('0' + static_cast<int>(remaining % 10)));
   if (negative) text.push_back('-');
   std::reverse(text.begin(), text.end());
   return text;
@@ -24,7 +24,8 @@
 Amount DivideHalfUp(Amount dividend, Amount divisor) {
   const Amount doubled = 2 * dividend + divisor;
   const Amount quotient = doubled / (2 * divisor);
-  const bool was_rounded_up = doubled % (2 * divisor) < 0;  // towards zero, from below it
+  // Integer division rounds towards zero, which is up if the exact quotient is negative and not an integer.
+  const bool was_rounded_up = doubled % (2 * divisor) < 0;
   return was_rounded_up ? quotient - 1 : quotient;
 }
 
--- a/src/ledger/amount.hpp
+++ b/src/ledger/amount.hpp
@@ -1,4 +1,5 @@
-// Exact amounts of 128 bits: usage in millicore-microseconds or mebibyte-microseconds, money in micro-units.
+// Exact amounts as 128-bit integers: usage in millicore-microseconds or mebibyte-microseconds, and money in
+// micro-units.
 #ifndef MOUNTFLOW_LEDGER_AMOUNT_HPP_
 #define MOUNTFLOW_LEDGER_AMOUNT_HPP_
 
@@ -8,10 +9,11 @@
 
 __extension__ typedef __int128 Amount;
 
-// Decimal digits, with a minus sign where negative.
+// Returns the decimal digits of `amount`, after a minus sign if it is negative.
 [[nodiscard]] std::string ToText(Amount amount);
 
-// Rounds half up, also below zero. `divisor` is positive.
+// Returns the quotient rounded to the nearest integer. Halves are rounded up, for negative quotients too.
+// `divisor` must be positive.
 [[nodiscard]] Amount DivideHalfUp(Amount dividend, Amount divisor);
 
 }  // namespace mountflow::ledger
--- a/src/ledger/book.cpp
+++ b/src/ledger/book.cpp
@@ -13,7 +13,7 @@
   return MakeError(LedgerErrorCode::kInvalidArgument, std::move(subject), std::move(expected));
 }
 
-Record PeriodRecord(RecordKind kind, const std::string& period, Micros at) {
+Record MakePeriodRecord(RecordKind kind, const std::string& period, Micros at) {
   Record record;
   record.kind = kind;
   record.period = period;
@@ -21,7 +21,7 @@
   return record;
 }
 
-bool IsText(const std::string& text) { return !text.empty() && text.size() <= kMaxTextBytes; }
+bool IsValidText(const std::string& text) { return !text.empty() && text.size() <= kMaxTextBytes; }
 
 }  // namespace
 
@@ -44,14 +44,15 @@
   return rules_.reopen && now >= closed_at && now - closed_at <= rules_.reopen_within;
 }
 
-std::string Book::CountingPeriod(Micros now, const Period& own, Records* records) const {
-  if (!IsClosed(own.name)) return own.name;
-  if (!MayReopen(own.name, now)) return FirstOpenPeriod(std::max(now, EndOf(own))).name;
-  const bool reopened = std::any_of(records->begin(), records->end(), [&own](const Record& record) {
-    return record.kind == RecordKind::kReopen && record.period == own.name;
-  });
-  if (!reopened) records->push_back(PeriodRecord(RecordKind::kReopen, own.name, now));
-  return own.name;
+std::string Book::PostingPeriod(Micros now, const Period& period_of_work, Records* records) const {
+  if (!IsClosed(period_of_work.name)) return period_of_work.name;
+  if (!MayReopen(period_of_work.name, now)) return FirstOpenPeriod(std::max(now, EndOf(period_of_work))).name;
+  const bool reopened =
+      std::any_of(records->begin(), records->end(), [&period_of_work](const Record& record) {
+        return record.kind == RecordKind::kReopen && record.period == period_of_work.name;
+      });
+  if (!reopened) records->push_back(MakePeriodRecord(RecordKind::kReopen, period_of_work.name, now));
+  return period_of_work.name;
 }
 
 std::string Book::FindOpenPeriod(const std::string& period) const {
@@ -79,7 +80,7 @@
   Records records;
   std::uint64_t sequence = last_sequence_;
   Micros from = usage.start;
-  do {  // an attempt without duration has one posting
+  do {  // an attempt with no duration still has one posting
     Record record;
     record.posting = PostingFrom(now, usage, from, &records);
     record.posting.sequence = ++sequence;
@@ -97,7 +98,8 @@
     if (*digest == DigestOf(usage)) return MakeError(LedgerErrorCode::kDuplicate, subject, "one report");
     return MakeError(LedgerErrorCode::kConflict, subject, "the figures that were posted before");
   }
-  // Danger: a forgotten name cannot be told from a new one. To count such an attempt might count it twice.
+  // It is unknown whether this attempt is new or was posted and then forgotten. Posting it could count it
+  // twice.
   if (usage.end <= posted_attempts_.forgotten_until()) {
     return MakeError(LedgerErrorCode::kTooOld, subject,
                      "an end after " + std::to_string(posted_attempts_.forgotten_until()) +
@@ -108,8 +110,8 @@
 }
 
 Posting Book::PostingFrom(Micros now, const AttemptUsage& usage, Micros from, Records* records) const {
-  const Period own = PeriodAt(from);
-  const Micros to = NextPriceChange(rules_.prices, from, std::min(usage.end, EndOf(own)));
+  const Period period_of_work = PeriodAt(from);
+  const Micros to = NextPriceChange(rules_.prices, from, std::min(usage.end, EndOf(period_of_work)));
   Posting posting;
   posting.attempt = usage.attempt;
   posting.tenant = usage.tenant;
@@ -123,8 +125,8 @@
     posting.core_hour_price = price->core_hour;
     posting.gib_hour_price = price->gib_hour;
   }
-  posting.period = CountingPeriod(now, own, records);
-  if (posting.period != own.name) posting.refers_to_period = own.name;
+  posting.period = PostingPeriod(now, period_of_work, records);
+  if (posting.period != period_of_work.name) posting.refers_to_period = period_of_work.name;
   posting.posted_at = now;
   return posting;
 }
@@ -132,7 +134,7 @@
 LedgerResult<Book::Records> Book::Correct(Micros now, const Correction& correction) const {
   const Posting* corrected = Find(correction.sequence);
   if (corrected == nullptr) return Invalid("sequence " + std::to_string(correction.sequence), "a posting");
-  if (!IsText(correction.author) || !IsText(correction.reason))
+  if (!IsValidText(correction.author) || !IsValidText(correction.reason))
     return Invalid("author and reason", "1 to 1024 bytes each");
   if (correction.millicore_us == 0 && correction.mebibyte_us == 0) return Invalid("correction", "an amount");
   Record record;
@@ -145,7 +147,8 @@
   posting.author = correction.author;
   posting.reason = correction.reason;
   posting.posted_at = now;
-  // Never into a closed period, and without reopening it: the correction shows where it is made.
+  // A correction neither counts in a closed period nor reopens it. It appears in the period in which it is
+  // made.
   posting.period = FirstOpenPeriod(std::max(now, corrected->from)).name;
   const std::string& work_period = corrected->work_period();
   posting.refers_to_period = posting.period == work_period ? "" : work_period;
@@ -157,7 +160,7 @@
   if (name.empty()) return Invalid(period.empty() ? "period" : period, "an open period with postings");
   if (now < EndOfPeriod(name) + rules_.grace)
     return Invalid(name, "a period whose end and grace have passed");
-  return Records{PeriodRecord(RecordKind::kClose, name, now)};
+  return Records{MakePeriodRecord(RecordKind::kClose, name, now)};
 }
 
 // ---- State ----
@@ -178,7 +181,9 @@
 
 LedgerStatus Book::ApplyPosting(Record record) {
   const std::uint64_t sequence = record.posting.sequence;
-  if (sequence == last_sequence_ + 1) pending_.clear();  // of an event whose rest never came
+  // A first posting after pending ones means that a crash lost the remaining postings of the previous event,
+  // so that event does not count.
+  if (sequence == last_sequence_ + 1) pending_.clear();
   const std::uint64_t next = last_sequence_ + pending_.size() + 1;
   if (sequence != next) {
     return MakeError(LedgerErrorCode::kOutOfSequence, "", "sequence " + std::to_string(next),
--- a/src/ledger/book.hpp
+++ b/src/ledger/book.hpp
@@ -1,25 +1,30 @@
-// The ledger of what was used: decisions and state, free of I/O and clock.
+// The usage ledger: its state and the decisions on how usage is posted. It performs no I/O and reads no
+// clock.
 //
-// What a node reports of an attempt (start, end, cores and memory requested) becomes postings, one for each
-// period and each price that it spans. A posting debits its tenant and credits the fleet's account of its
-// class and kind of node, in exact units: millicore-microseconds and mebibyte-microseconds. Money is computed
-// from sums only, with one rounding for each line of a statement, so nothing drifts.
+// A node reports the usage of an attempt (start, end, requested cores and memory) as one event. The event
+// becomes postings, one for each period and each price that it spans. A posting debits the account of the
+// tenant and credits the account of the task class and the kind of node. Both use exact units:
+// millicore-microseconds and mebibyte-microseconds. Money is computed only from sums, with one rounding for
+// each line of a statement, so rounding errors do not accumulate.
 //
-// - The same event twice counts once, by the attempt's name. The same name with other figures is a conflict:
-//   it is reported and not counted, and an operator corrects.
-// - A closed period is never written to. What comes late goes to the open period, with a reference to its
-//   own. Where the rules say so, it reopens its own period within `reopen_within` of the close.
-// - A correction is a posting that names what it corrects, its author and a reason, and counts in the open
-//   period. A restated statement moves what refers to a period into it.
-// - Periods follow from the events' own times: a clock that is set back changes none, and reopens nothing.
+// - An event that is reported twice counts once; the name of the attempt identifies it. An event with the
+//   same name and different usage is a conflict: it is reported and does not count, and an operator must post
+//   a correction.
+// - Nothing is posted to a closed period. A late event is posted to the open period, with a reference to the
+//   period in which the work was done. If the rules allow it, a late event reopens that period instead,
+//   within `reopen_within` after the close.
+// - A correction is a posting that names the corrected posting, an author and a reason. It counts in the open
+//   period. A restated statement moves postings that refer to another period into that period.
+// - The period of work follows from the times in the event, not from the current time. A clock that is set
+//   back therefore changes no period and reopens none.
 //
-// State changes only by Apply, with records that the caller made durable before. The same records in the same
-// order make the same book.
+// Only Apply changes the state, with records that the caller has made durable before. Applying the same
+// records in the same order produces the same state.
 //
-// Bounds: at `max_postings` RejectionReason rejects new jobs; what runs by then is still counted, so that the
-// bound is exceeded by at most the jobs that were accepted. Names of attempts are remembered for
-// `max_attempts`; beyond that the ones that ended first are forgotten, and events that end before the newest
-// of those are too old.
+// Limits: from `max_postings` on, RejectionReason rejects new jobs. Jobs that were accepted before are still
+// posted, so the limit is exceeded by at most their postings. The names of `max_attempts` attempts are
+// remembered. Beyond that the attempts that ended first are forgotten, and an event of an unknown attempt is
+// rejected as too old unless it ends after every forgotten one.
 #ifndef MOUNTFLOW_LEDGER_BOOK_HPP_
 #define MOUNTFLOW_LEDGER_BOOK_HPP_
 
@@ -42,45 +47,47 @@
 
 namespace mountflow::ledger {
 
-// A change of a posting's amounts.
+// A change of the amounts of a posting.
 struct Correction {
-  std::uint64_t sequence = 0;  // of the posting
-  Amount millicore_us = 0;     // added to it; negative to take away
-  Amount mebibyte_us = 0;
+  std::uint64_t sequence = 0;  // sequence of the corrected posting
+  Amount millicore_us = 0;     // amount to add; negative to subtract
+  Amount mebibyte_us = 0;      // amount to add; negative to subtract
   std::string author;
   std::string reason;
 };
 
-// Not thread-safe.
+// Book is the ledger that the comment at the head of this file describes. Not thread-safe.
 class Book {
  public:
   using Records = std::vector<Record>;
 
   explicit Book(BillingRules rules) : rules_(std::move(rules)), posted_attempts_(rules_.max_attempts) {}
 
-  // ---- Decisions: the records to make durable and then to apply. They change nothing. ----
+  // ---- Decisions. They return records, which the caller makes durable and then applies. They do not change
+  // the book. ----
 
-  // kInvalidArgument, kDuplicate, kConflict or kTooOld.
+  // Returns the records that post this usage. Errors: kInvalidArgument, kDuplicate, kConflict, kTooOld.
   [[nodiscard]] LedgerResult<Records> Post(Micros now, const AttemptUsage& usage) const;
-  // kInvalidArgument.
+  // Returns the record that posts this correction. Errors: kInvalidArgument.
   [[nodiscard]] LedgerResult<Records> Correct(Micros now, const Correction& correction) const;
-  // Closes this period or, without a name, the oldest open one with postings. kInvalidArgument when there is
-  // none, or when its end and grace have not passed.
+  // Returns the record that closes `period` or, if that is empty, the oldest open period with postings.
+  // Returns kInvalidArgument if there is no such period, or if its end and the grace time have not passed.
   [[nodiscard]] LedgerResult<Records> Close(Micros now, const std::string& period = "") const;
 
   // ---- State ----
 
-  // kOutOfSequence, or kPeriodClosed for a posting that would write to a closed period.
+  // Applies a durable record. Returns kOutOfSequence if it does not follow the previous record, and
+  // kPeriodClosed if it is a posting to a closed period.
   [[nodiscard]] LedgerStatus Apply(Record record);
 
   // ---- Reading ----
 
-  // Null when there is none. Valid until the next Apply.
+  // Returns the posting with this sequence; null if there is none. The pointer is valid until the next Apply.
   [[nodiscard]] const Posting* Find(std::uint64_t sequence) const;
-  // Of the newest posting; 0 when there is none.
+  // Returns the sequence of the newest posting; 0 if there is none.
   [[nodiscard]] std::uint64_t last_sequence() const { return last_sequence_; }
   [[nodiscard]] bool IsClosed(const std::string& period) const { return closed_at_.count(period) > 0; }
-  // Names of all periods with postings, by time.
+  // Returns the names of all periods with postings, oldest first.
   [[nodiscard]] std::vector<std::string> Periods() const;
   [[nodiscard]] std::vector<StatementLine> Statement(const std::string& period, StatementKind kind) const {
     return MakeStatement(postings_, period, kind);
@@ -88,38 +95,44 @@
   [[nodiscard]] std::map<std::string, UsageTotals> TrialBalance() const {
     return MakeTrialBalance(postings_);
   }
-  // Why a new job of this tenant is rejected, as text for the client; empty when it is accepted.
+  // Returns the reason for which a new job of this tenant is rejected, as text for the client; empty if the
+  // job is accepted.
   [[nodiscard]] std::string RejectionReason(const std::string& tenant, Micros now) const;
-  // What is left of a tenant's budget in the period of `now`, in millicore-microseconds; nullopt without a
-  // budget.
+  // Returns the budget of a tenant in the period of `now` minus its usage, in millicore-microseconds. The
+  // result is negative if the budget is exceeded, and nullopt if the tenant has no budget.
   [[nodiscard]] std::optional<Amount> RemainingBudget(const std::string& tenant, Micros now) const;
 
  private:
   Period PeriodAt(Micros at) const;
   Period NextPeriod(const Period& period) const;
-  // The first open period at or after this moment. With the clock set back, "now" may lie in a closed one.
+  // Returns the first open period that contains `from` or begins after it. The period of the current time may
+  // be closed if the clock was set back.
   Period FirstOpenPeriod(Micros from) const;
+  // Reports whether the rules allow a late event to reopen this closed period at `now`.
   bool MayReopen(const std::string& period, Micros now) const;
-  // The name of the period in which work done in `own` counts now. Adds the record that reopens it, where
-  // needed.
-  std::string CountingPeriod(Micros now, const Period& own, Records* records) const;
+  // Returns the name of the period to which work done in `period_of_work` is posted at `now`. If that
+  // requires reopening the period, appends the record that does so.
+  std::string PostingPeriod(Micros now, const Period& period_of_work, Records* records) const;
+  // Returns kDuplicate or kConflict if the attempt was posted before, and kTooOld if that is unknown.
   LedgerStatus CheckNotPosted(const AttemptUsage& usage) const;
-  // The posting, without sequence, for the part of the usage from `from` to the end of the period or of the
-  // price.
+  // Returns a posting, without sequence, for the part of the usage that begins at `from` and ends with the
+  // usage, the period or the price, whichever ends first.
   Posting PostingFrom(Micros now, const AttemptUsage& usage, Micros from, Records* records) const;
-  // The name of the oldest open period with postings, or of `period` if it is one; empty when there is none.
+  // Returns `period` if it is an open period with postings or, if `period` is empty, the name of the oldest
+  // such period. Returns an empty name if there is none.
   std::string FindOpenPeriod(const std::string& period) const;
-  // When the period with this name ends; for one with late postings only, when the last of them was made.
+  // Returns the end of the period with this name. If the period contains only postings that refer to other
+  // periods, returns the time at which the last of them was posted.
   Micros EndOfPeriod(const std::string& name) const;
   LedgerStatus ApplyPosting(Record record);
 
   const BillingRules rules_;
   std::uint64_t last_sequence_ = 0;
-  std::vector<Posting> postings_;  // by sequence - 1
-  std::vector<Posting> pending_;   // of an event that is not complete yet
+  std::vector<Posting> postings_;  // the posting with sequence N has index N - 1
+  std::vector<Posting> pending_;   // applied postings of an event whose last posting was not applied yet
   PostedAttempts posted_attempts_;
-  std::map<std::string, Micros> closed_at_;                            // by period
-  std::map<std::string, std::map<std::string, Amount>> millicore_us_;  // by period and tenant
+  std::map<std::string, Micros> closed_at_;                            // time of the close, by period
+  std::map<std::string, std::map<std::string, Amount>> millicore_us_;  // usage by period and tenant
 };
 
 }  // namespace mountflow::ledger
--- a/src/ledger/posted_attempts.hpp
+++ b/src/ledger/posted_attempts.hpp
@@ -1,5 +1,5 @@
-// Remembers which attempts were posted, so that a repeated report counts once. Bounded: beyond its capacity
-// the attempts that ended first are forgotten.
+// Deduplication of usage reports: remembers which attempts were posted, so that a repeated report counts
+// once. The number of attempts is bounded. Beyond the capacity the attempts that ended first are forgotten.
 #ifndef MOUNTFLOW_LEDGER_POSTED_ATTEMPTS_HPP_
 #define MOUNTFLOW_LEDGER_POSTED_ATTEMPTS_HPP_
 
@@ -20,15 +20,16 @@
  public:
   explicit PostedAttempts(std::size_t capacity) : capacity_(capacity) {}
 
-  // The digest with which this attempt was added; nullopt when it was not, or is forgotten.
+  // Returns the digest with which this attempt was added; nullopt if it was not added or is forgotten.
   [[nodiscard]] std::optional<std::uint64_t> FindDigest(std::string_view attempt) const;
-  // The newest end of a forgotten attempt; 0 when none is. Attempts that ended up to here may have been
-  // posted.
+  // Returns the latest end of all forgotten attempts; 0 if there are none. An unknown attempt that ended at
+  // or before this time may have been posted.
   [[nodiscard]] Micros forgotten_until() const { return forgotten_until_; }
+  // Adds an attempt that ended at `end`. Beyond the capacity, forgets the attempt that ended first.
   void Add(std::string_view attempt, std::uint64_t digest, Micros end);
 
  private:
-  // A hash of the name, of 128 bits: names are long and there are millions.
+  // A 128-bit hash of the attempt's name. It saves memory, because names are long and there are millions.
   struct Key {
     std::uint64_t low = 0;
     std::uint64_t high = 0;
@@ -48,7 +49,7 @@
 
   std::size_t capacity_;
   std::unordered_map<Key, std::uint64_t, KeyHash> digests_;
-  std::priority_queue<EndAndKey, std::vector<EndAndKey>, EndsLater> by_end_;  // the first end on top
+  std::priority_queue<EndAndKey, std::vector<EndAndKey>, EndsLater> by_end_;  // earliest end on top
   Micros forgotten_until_ = 0;
 };
 
--- a/src/ledger/record.cpp
+++ b/src/ledger/record.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr std::uint8_t kVersion = 1;
-constexpr std::size_t kHeaderSize = 2;  // kind, version
+constexpr std::size_t kHeaderSize = 2;  // one byte for the kind and one for the version
 
-// The stored fields of a record, for a FieldWriter or a FieldReader.
+// Passes the stored fields of a posting, in their stored order, to a FieldWriter or a FieldReader.
 template <typename Archive, typename Value>
 void PostingFields(Archive& archive, Value& posting) {
   archive("sequence", posting.sequence);
@@ -32,6 +32,7 @@
   archive("posted_at", posting.posted_at);
 }
 
+// Passes the stored fields of a record, except for its header, to a FieldWriter or a FieldReader.
 template <typename Archive, typename Value>
 void RecordFields(Archive& archive, Value& record) {
   if (record.kind == RecordKind::kPosting) {
--- a/src/ledger/statement.cpp
+++ b/src/ledger/statement.cpp
@@ -10,7 +10,8 @@
 constexpr Amount kMillicoresPerCore = 1000;
 constexpr Amount kMebibytesPerGib = 1024;
 
-// Over the common denominator, so that it is rounded once.
+// Returns the price of a line in micro-units. Both parts are added over their common denominator, so that the
+// sum is rounded only once.
 Amount MoneyOf(const StatementLine& line) {
   const Amount cores = line.totals.millicore_us * line.core_hour_price * kMebibytesPerGib;
   const Amount memory = line.totals.mebibyte_us * line.gib_hour_price * kMillicoresPerCore;
--- a/src/ledger/statement.hpp
+++ b/src/ledger/statement.hpp
@@ -1,4 +1,4 @@
-// Sums over postings: statements of a period and the trial balance.
+// Reports that sum postings: the statement of a period and the trial balance.
 #ifndef MOUNTFLOW_LEDGER_STATEMENT_HPP_
 #define MOUNTFLOW_LEDGER_STATEMENT_HPP_
 
@@ -21,24 +21,27 @@
 struct StatementLine {
   std::string tenant;
   std::string task_class;
-  std::string kind;  // of node
-  std::int64_t core_hour_price = 0;
-  std::int64_t gib_hour_price = 0;
+  std::string kind;                  // kind of node
+  std::int64_t core_hour_price = 0;  // micro-units of money
+  std::int64_t gib_hour_price = 0;   // micro-units of money
   UsageTotals totals;
-  Amount money = 0;  // micro-units, rounded half up once
+  Amount money = 0;  // micro-units; the exact sum, rounded half up once
 };
 
 enum class StatementKind {
-  kAsPosted,  // what counts in the period
-  kRestated,  // what was done in the period: with later postings about it, without its own about other
-              // periods
+  // All postings that count in the period.
+  kAsPosted,
+  // All work that was done in the period. This includes postings in other periods that refer to this one, and
+  // excludes postings in this period that refer to other ones.
+  kRestated,
 };
 
-// One line for each tenant, class, kind and price, sorted by these.
+// Returns one line for each tenant, task class, kind of node and price, sorted in this order.
 [[nodiscard]] std::vector<StatementLine> MakeStatement(const std::vector<Posting>& postings,
                                                        const std::string& period, StatementKind kind);
 
-// Debits and credits by account: "tenant/TENANT" and "fleet/CLASS/KIND". All of them add up to zero.
+// Returns the sum of debits and credits of each account. Accounts are named "tenant/TENANT" and
+// "fleet/CLASS/KIND". Debits are positive and credits are negative, so all amounts add up to zero.
 [[nodiscard]] std::map<std::string, UsageTotals> MakeTrialBalance(const std::vector<Posting>& postings);
 
 }  // namespace mountflow::ledger
--- a/src/ledger/time_zone.cpp
+++ b/src/ledger/time_zone.cpp
@@ -12,15 +12,16 @@
 constexpr std::int64_t kSecondsPerDay = 86'400;
 constexpr std::int64_t kSecondsPerHour = 3'600;
 constexpr std::int64_t kSecondsPerMinute = 60;
-constexpr std::size_t kMinNameLetters = 3;      // of POSIX
-constexpr std::size_t kMaxDigits = 4;           // beyond every number of the text
-constexpr std::int64_t kMaxHours = 24 * 7 - 1;  // of POSIX, in times of changes
+constexpr std::size_t kMinNameLetters = 3;      // required by POSIX
+constexpr std::size_t kMaxDigits = 4;           // more than any valid number in a TZ text has
+constexpr std::int64_t kMaxHours = 24 * 7 - 1;  // the limit in POSIX for the time of a clock change
 constexpr std::int64_t kMaxMinutes = 59;
 constexpr std::int64_t kMaxMonth = 12;
 constexpr std::int64_t kMaxWeek = 5;
 constexpr std::int64_t kMaxWeekday = 6;
 constexpr unsigned kLastWeek = 5;
 
+// Returns the day that contains a local time in seconds since 1970. Rounds down for negative times too.
 sys_days DayOfLocal(std::int64_t local) {
   const std::int64_t days =
       local >= 0 ? local / kSecondsPerDay : (local - kSecondsPerDay + 1) / kSecondsPerDay;
@@ -29,13 +30,13 @@
 
 }  // namespace
 
-// Reads a TZ text from left to right. The methods return false when the text is not as they expect.
+// TimeZoneParser reads a TZ text from left to right. Its methods return false when the text is invalid.
 class TimeZoneParser {
  public:
   explicit TimeZoneParser(const std::string& text) : text_(text) {}
 
   bool Parse(TimeZone* zone) {
-    std::int64_t west = 0;  // POSIX counts west of Greenwich
+    std::int64_t west = 0;  // in POSIX, offsets west of Greenwich are positive
     if (!SkipName() || !ReadTime(&west)) return false;
     zone->standard_offset_ = -west;
     zone->daylight_offset_ = -west;
@@ -44,7 +45,7 @@
     zone->has_daylight_saving_ = true;
     zone->daylight_offset_ = zone->standard_offset_ + kSecondsPerHour;
     if (!SkipName()) return false;
-    const bool has_offset = !AtEnd() && text_[at_] != ',';
+    const bool has_offset = !AtEnd() && text_[position_] != ',';
     if (has_offset) {
       if (!ReadTime(&west)) return false;
       zone->daylight_offset_ = -west;
@@ -53,26 +54,27 @@
   }
 
  private:
-  // Letters, or any characters in <>.
+  // Skips the name of a time zone: letters, or any characters between < and >.
   bool SkipName() {
-    const std::size_t start = at_;
+    const std::size_t start = position_;
     if (Skip('<')) {
-      while (!AtEnd() && text_[at_] != '>') ++at_;
-      return Skip('>') && at_ - start >= kMinNameLetters + 2;
+      while (!AtEnd() && text_[position_] != '>') ++position_;
+      return Skip('>') && position_ - start >= kMinNameLetters + 2;
     }
-    while (!AtEnd() && std::isalpha(static_cast<unsigned char>(text_[at_])) != 0) ++at_;
-    return at_ - start >= kMinNameLetters;
+    while (!AtEnd() && std::isalpha(static_cast<unsigned char>(text_[position_])) != 0) ++position_;
+    return position_ - start >= kMinNameLetters;
   }
 
   bool ReadNumber(std::int64_t max, std::int64_t* value) {
-    const std::size_t start = at_;
+    const std::size_t start = position_;
     *value = 0;
-    while (!AtEnd() && at_ - start < kMaxDigits && std::isdigit(static_cast<unsigned char>(text_[at_])) != 0)
-      *value = *value * 10 + (text_[at_++] - '0');
-    return at_ > start && *value <= max;
+    while (!AtEnd() && position_ - start < kMaxDigits &&
+           std::isdigit(static_cast<unsigned char>(text_[position_])) != 0)
+      *value = *value * 10 + (text_[position_++] - '0');
+    return position_ > start && *value <= max;
   }
 
-  // [+-]hh[:mm[:ss]]
+  // Reads a time of the form [+-]hh[:mm[:ss]].
   bool ReadTime(std::int64_t* seconds) {
     const bool negative = Skip('-');
     if (!negative) Skip('+');
@@ -88,7 +90,7 @@
     return true;
   }
 
-  // ,Mm.w.d[/time]
+  // Reads a rule of the form ,Mm.w.d[/time].
   bool ReadRule(TimeZone::ChangeRule* rule) {
     std::int64_t month = 0;
     std::int64_t week = 0;
@@ -103,14 +105,14 @@
   }
 
   bool Skip(char expected) {
-    if (AtEnd() || text_[at_] != expected) return false;
-    ++at_;
+    if (AtEnd() || text_[position_] != expected) return false;
+    ++position_;
     return true;
   }
-  bool AtEnd() const { return at_ == text_.size(); }
+  bool AtEnd() const { return position_ == text_.size(); }
 
   const std::string& text_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
 };
 
 LedgerResult<TimeZone> TimeZone::Parse(const std::string& text) {
@@ -133,7 +135,7 @@
   const std::chrono::year year = year_month_day(DayOfLocal(utc + standard_offset_)).year();
   const std::int64_t begins = MomentOf(daylight_begins_, year, standard_offset_);
   const std::int64_t ends = MomentOf(daylight_ends_, year, daylight_offset_);
-  // South of the equator daylight saving time spans the end of the year.
+  // In the southern hemisphere daylight saving time spans the end of the year.
   const bool saving = begins < ends ? utc >= begins && utc < ends : utc >= begins || utc < ends;
   return saving ? daylight_offset_ : standard_offset_;
 }
@@ -144,7 +146,7 @@
   const std::int64_t late = local - std::min(standard_offset_, daylight_offset_);
   if (early + OffsetAt(early) == local) return early;
   if (late + OffsetAt(late) == local) return late;
-  // The clock skips this midnight: search for the first moment after it.
+  // The clock skips this midnight. The binary search finds the first second after it.
   std::int64_t low = early;
   std::int64_t high = late;
   while (low + 1 < high) {
