--- a/tests/ledger/ledger_amount_test.cpp
+++ b/tests/ledger/ledger_amount_test.cpp
@@ -1,4 +1,4 @@
-// Amounts: text and rounding.
+// Tests of amounts: text and rounding.
 #include <gtest/gtest.h>
 
 #include "ledger/amount.hpp"
@@ -12,7 +12,7 @@
   EXPECT_EQ(ToText(0), "0");
   EXPECT_EQ(ToText(-1), "-1");
   EXPECT_EQ(ToText(Amount{1} << 100), "1267650600228229401496703205376");
-  EXPECT_EQ(ToText(Amount{1} << 126 << 1), "-170141183460469231731687303715884105728");  // the least one
+  EXPECT_EQ(ToText(Amount{1} << 126 << 1), "-170141183460469231731687303715884105728");  // the minimum
 }
 
 TEST(Amount, RoundsHalfUpAlsoBelowZero) {
--- a/tests/ledger/ledger_attempt_usage_test.cpp
+++ b/tests/ledger/ledger_attempt_usage_test.cpp
@@ -1,4 +1,4 @@
-// Bounds and digest of an attempt's usage.
+// Tests of the bounds and the digest of an attempt's usage.
 #include <gtest/gtest.h>
 
 #include "ledger/attempt_usage.hpp"
@@ -9,7 +9,7 @@
 
 using namespace ledger;
 
-TEST(AttemptUsage, AcceptsItsBoundsAndRejectsWhatIsBeyond) {
+TEST(AttemptUsage, AcceptsItsBoundsAndRejectsValuesBeyondThem) {
   const AttemptUsage usage = MakeUsage(std::string(kMaxTextBytes, 'a'), kStart, kStart);
   EXPECT_TRUE(Validate(usage));
   const auto expect_invalid = [&usage](const char* subject, void (*change)(AttemptUsage*)) {
--- a/tests/ledger/ledger_billing_rules_test.cpp
+++ b/tests/ledger/ledger_billing_rules_test.cpp
@@ -1,4 +1,4 @@
-// Which price applies.
+// Tests of the billing rules: the price that applies to work, and the times of price changes.
 #include <gtest/gtest.h>
 
 #include "ledger/billing_rules.hpp"
--- a/tests/ledger/ledger_book_test.cpp
+++ b/tests/ledger/ledger_book_test.cpp
@@ -1,4 +1,4 @@
-// ledger::Book: postings that count once, lateness, corrections, sums without drift.
+// Tests of ledger::Book: postings that count once, late events, corrections, limits and exact sums.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -56,11 +56,11 @@
   Book book(DailyRules());
   PostAndApply(&book, kStart + kHour, MakeUsage("1.d0/1", kStart, kStart + kHour));
   EXPECT_EQ(CodeOf(book.Close(kStart + kDay + kHour - 1)),
-            LedgerErrorCode::kInvalidArgument);  // within its grace
+            LedgerErrorCode::kInvalidArgument);  // within the grace time
   ApplyStored(&book, book.Close(kStart + kDay + kHour));
   ASSERT_TRUE(book.IsClosed("2026-12-01"));
   EXPECT_EQ(CodeOf(book.Close(kStart + 9 * kDay, "2026-12-01")), LedgerErrorCode::kInvalidArgument);
-  // A node reports an end hours late, of work over the end of the period.
+  // A node reports hours late that an attempt ended. The work spans the end of the period.
   EXPECT_EQ(PostAndApply(&book, kStart + kDay + 5 * kHour,
                          MakeUsage("2.d0/1", kStart + 23 * kHour, kStart + kDay + kHour)),
             kSuccess);
@@ -70,7 +70,7 @@
   EXPECT_EQ(TotalsOf(book, "2026-12-01").postings, 1u);
   EXPECT_EQ(TotalsOf(book, "2026-12-01", kRestated).postings, 2u);
   EXPECT_EQ(TotalsOf(book, "2026-12-02", kRestated).postings, 1u);
-  // A record that would write to it is rejected, whoever made it.
+  // A posting to the closed period is rejected even if Post did not make it.
   Record forged;
   forged.posting = *book.Find(1);
   forged.posting.sequence = 4;
@@ -90,19 +90,19 @@
   EXPECT_EQ(Describe(applied.error()), "expected sequence 1, found 2");
 }
 
-TEST(Book, CountsAnEventOnlyWhenAllItsPostingsAreHere) {
+TEST(Book, CountsAnEventOnlyWhenAllItsPostingsAreApplied) {
   Book book(DailyRules());
   const auto decided = book.Post(kStart + 2 * kDay, MakeUsage("1.d0/1", kStart, kStart + kDay + kHour));
   ASSERT_TRUE(decided);
   ASSERT_EQ(decided->size(), 2u);
-  ApplyStored(&book, {decided->front()});  // a crash cut off the rest
+  ApplyStored(&book, {decided->front()});  // as if a crash had lost the second posting
   EXPECT_EQ(book.last_sequence(), 0u);
   EXPECT_EQ(PostAndApply(&book, kStart + 2 * kDay, MakeUsage("2.d0/1", kStart, kStart + kHour)), kSuccess);
   EXPECT_EQ(book.last_sequence(), 1u);
   EXPECT_EQ(book.Find(1)->attempt, "2.d0/1");
 }
 
-TEST(Book, LateWorkReopensItsPeriodOnlyByRuleAndInTime) {
+TEST(Book, LateWorkReopensItsPeriodOnlyIfConfiguredAndInTime) {
   BillingRules rules = DailyRules();
   rules.reopen = true;
   rules.reopen_within = 2 * kHour;
@@ -143,7 +143,7 @@
   Book book(DailyRules());
   PostAndApply(&book, kStart + kHour, MakeUsage("1.d0/1", kStart, kStart + kHour));
   ApplyStored(&book, book.Close(kStart + kDay + kHour));
-  const Micros set_back = kStart + kDay - 30 * 60 * kSecond;  // the clock shows the day before again
+  const Micros set_back = kStart + kDay - 30 * 60 * kSecond;  // the clock shows the previous day again
   EXPECT_EQ(PostAndApply(&book, set_back, MakeUsage("2.d0/1", kStart + 2 * kHour, kStart + 3 * kHour)),
             kSuccess);
   EXPECT_EQ(book.Find(2)->period, "2026-12-02");
@@ -177,7 +177,7 @@
   EXPECT_FALSE(book.RemainingBudget("other", kStart));
 }
 
-TEST(Book, RejectsJobsOfATenantWhoseBudgetIsSpentOnlyByRule) {
+TEST(Book, RejectsJobsOfATenantWhoseBudgetIsSpentOnlyIfConfigured) {
   for (const bool reject : {false, true}) {
     BillingRules rules = DailyRules();
     rules.budgets["t"] = 1;
@@ -192,7 +192,7 @@
   }
 }
 
-TEST(Book, RejectsNewJobsAtItsBoundAndStillCountsWhatRuns) {
+TEST(Book, RejectsNewJobsAtMaxPostingsAndStillCountsRunningJobs) {
   BillingRules rules = DailyRules();
   rules.max_postings = 1;
   Book book(rules);
@@ -202,8 +202,8 @@
   EXPECT_EQ(PostAndApply(&book, kStart + kHour, MakeUsage("2.d0/1", kStart, kStart + kHour)), kSuccess);
 }
 
-// Whatever the events, their order, repeats, and closes between them: every microsecond counts once, accounts
-// add up to zero, and the records make the same book again.
+// For random events in random order, each reported twice, with closes between them: every microsecond of work
+// counts once, the accounts add up to zero, and replaying the records produces the same book.
 TEST(BookProperty, SumsAreExactWhateverTheOrder) {
   EXPECT_TRUE(rc::check([](const std::vector<std::tuple<unsigned, unsigned, unsigned>>& raw, unsigned seed) {
     BillingRules rules = DailyRules();
@@ -226,7 +226,7 @@
     std::mt19937 random(seed);
     std::vector<std::size_t> order(usages.size());
     std::iota(order.begin(), order.end(), 0);
-    order.insert(order.end(), order.begin(), order.end());  // each comes twice
+    order.insert(order.end(), order.begin(), order.end());  // each event is reported twice
     std::shuffle(order.begin(), order.end(), random);
     Book book(rules);
     Book replayed(rules);
--- a/tests/ledger/ledger_outbox_test.cpp
+++ b/tests/ledger/ledger_outbox_test.cpp
@@ -1,4 +1,4 @@
-// ledger::Outbox: which records the ledger's log has and which it lacks.
+// Tests of ledger::Outbox: detection of the records that are missing from the ledger's log.
 #include <gtest/gtest.h>
 
 #include "ledger/outbox.hpp"
@@ -8,11 +8,11 @@
 
 using namespace ledger;
 
-TEST(Outbox, TellsRecordsThatTheLogHasFromThoseThatItLacks) {
+TEST(Outbox, DistinguishesRecordsInTheLogFromMissingOnes) {
   Outbox writer(7);
   const std::vector<std::string> sent = {writer.Encode("a"), writer.Encode("b"),
                                          writer.Encode(std::string(300, 'c'))};
-  Outbox reader(8);  // the log got one of them
+  Outbox reader(8);  // the ledger's log contains one of the three records
   auto entry = reader.Decode(sent[0]);
   ASSERT_TRUE(entry);
   EXPECT_FALSE(entry->missing);
--- a/tests/ledger/ledger_posted_attempts_test.cpp
+++ b/tests/ledger/ledger_posted_attempts_test.cpp
@@ -1,4 +1,4 @@
-// ledger::PostedAttempts: a bounded memory of attempts.
+// Tests of ledger::PostedAttempts: a bounded number of attempts is remembered.
 #include <gtest/gtest.h>
 
 #include "ledger/posted_attempts.hpp"
--- a/tests/ledger/ledger_record_test.cpp
+++ b/tests/ledger/ledger_record_test.cpp
@@ -1,4 +1,4 @@
-// The encoding of the ledger's records.
+// Tests of the encoding of the ledger's records.
 #include <gtest/gtest.h>
 
 #include "ledger/record.hpp"
@@ -26,7 +26,7 @@
   }
 }
 
-TEST(Record, KeepsClosesAndReopens) {
+TEST(Record, DecodesClosesAndReopensAsEncoded) {
   for (const RecordKind kind : {RecordKind::kClose, RecordKind::kReopen}) {
     Record record;
     record.kind = kind;
--- a/tests/ledger/ledger_statement_test.cpp
+++ b/tests/ledger/ledger_statement_test.cpp
@@ -1,4 +1,4 @@
-// Statements and the trial balance.
+// Tests of statements and the trial balance.
 #include <gtest/gtest.h>
 
 #include "ledger/statement.hpp"
--- a/tests/ledger/ledger_time_zone_test.cpp
+++ b/tests/ledger/ledger_time_zone_test.cpp
@@ -1,4 +1,4 @@
-// Time zones and billing periods.
+// Tests of time zones and billing periods.
 #include <gtest/gtest.h>
 
 #include <utility>
@@ -41,8 +41,9 @@
 }
 
 TEST(TimeZone, ASkippedMidnightLeavesNoMomentInTwoDays) {
-  const TimeZone santiago = ParsedZone("<-04>4<-03>,M9.1.6/24,M4.1.6/24");  // the day begins at one o'clock
-  std::int64_t at = 1'788'000'000;                                          // late August 2026
+  // Daylight saving time begins at midnight, so the day of the change begins at 01:00.
+  const TimeZone santiago = ParsedZone("<-04>4<-03>,M9.1.6/24,M4.1.6/24");
+  std::int64_t at = 1'788'000'000;  // late August 2026
   for (int i = 0; i < 40; ++i) {
     const Period period = PeriodOf(santiago, PeriodKind::kDay, at);
     EXPECT_LE(period.from, at);
--- a/tests/storage/storage_commit_gate_test.cpp
+++ b/tests/storage/storage_commit_gate_test.cpp
@@ -1,4 +1,4 @@
-// storage::CommitGate: what is released, accepted and snapshotted while state is on its way to the disk.
+// Tests of storage::CommitGate: release of outputs, rejection of new jobs, and due snapshots.
 #include <gtest/gtest.h>
 
 #include "storage/commit_gate.hpp"
@@ -27,7 +27,7 @@
   CommitGate gate({});
   EXPECT_EQ(gate.Hold(0, 1), 1u);  // depends on no record
   EXPECT_EQ(gate.Hold(3, 1), 2u);
-  EXPECT_EQ(gate.Hold(3, 1), 3u);  // adds no records, but comes after the one before
+  EXPECT_EQ(gate.Hold(3, 1), 3u);  // adds no records, but must be released after the previous output
   EXPECT_EQ(gate.Hold(5, 1), 4u);
   gate.UpdateStatus(DurableUpTo(2), nullptr, 0);
   EXPECT_EQ(gate.ReleaseNext(), std::optional<std::uint64_t>(1));
@@ -89,7 +89,7 @@
   gate.UpdateStatus(jobs, &ledger, 5);
   EXPECT_FALSE(gate.SnapshotDue(1099));
   EXPECT_TRUE(gate.SnapshotDue(1100));
-  EXPECT_EQ(gate.RejectionReason(), "");  // the log is only longer
+  EXPECT_EQ(gate.RejectionReason(), "");  // a failed snapshot only leaves a longer log
   EXPECT_EQ(gate.TakeWarnings().size(), 1u);
 }
 
--- a/tests/storage/storage_committer_test.cpp
+++ b/tests/storage/storage_committer_test.cpp
@@ -1,4 +1,4 @@
-// storage::Committer: group commit, retries, snapshots.
+// Tests of storage::Committer: group commit, retries and snapshots.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -21,7 +21,7 @@
 using storage::Committer;
 using storage::Log;
 
-// FaultyFiles whose syncs fail while `failing`, which any thread may change.
+// FaultyFiles whose Sync fails while `failing` is true. Any thread may change `failing`.
 class SwitchableFiles : public FaultyFiles {
  public:
   std::atomic<bool> failing{false};
@@ -35,7 +35,7 @@
 
 class CommitterTest : public ::testing::Test {
  protected:
-  // A committer for a log that was just opened.
+  // Opens a log and creates a committer for it.
   void Start() {
     auto log = std::make_unique<Log>(&files_, SmallLogOptions());
     LogState state;
@@ -48,7 +48,7 @@
         },
         1ms);
   }
-  // Waits for a status; the last one seen if it does not come in time.
+  // Waits until `reached` holds for the status. Returns the status; fails the test after 10 seconds.
   CommitStatus WaitUntil(const std::function<bool(const CommitStatus&)>& reached) {
     std::unique_lock<std::mutex> lock(mutex_);
     const auto deadline = std::chrono::steady_clock::now() + 10s;
@@ -60,6 +60,7 @@
     EXPECT_TRUE(reached(status));
     return status;
   }
+  // Destroys the committer and opens the log again. Returns the replayed state.
   LogState Reopen() {
     committer_.reset();
     Log log(&files_, SmallLogOptions());
@@ -79,14 +80,14 @@
   EXPECT_EQ(committer_->Add({}), 0u);
   EXPECT_EQ(committer_->Add({RecordText(1), RecordText(2)}), 1u);
   EXPECT_EQ(committer_->Add({RecordText(3)}), 2u);
-  EXPECT_EQ(committer_->Add({}), 2u);  // durable with the batch before
+  EXPECT_EQ(committer_->Add({}), 2u);  // no records, so the number of the previous batch
   const CommitStatus status = WaitUntil([](const CommitStatus& seen) { return seen.durable_batch == 2; });
   EXPECT_EQ(status.waiting_bytes, 0u);
   EXPECT_FALSE(status.error);
   EXPECT_EQ(Reopen().records.size(), 3u);
 }
 
-TEST_F(CommitterTest, RetriesAFailedCommitWithAllThatWaits) {
+TEST_F(CommitterTest, RetriesAFailedCommitWithAllPendingRecords) {
   Start();
   files_.failing = true;
   committer_->Add({RecordText(1)});
@@ -100,7 +101,7 @@
   Reopen().ExpectPrefixOfAtLeast(2);
 }
 
-TEST_F(CommitterTest, CommitsWhatWaitsBeforeItEnds) {
+TEST_F(CommitterTest, CommitsPendingRecordsBeforeItIsDestroyed) {
   Start();
   committer_->Add({RecordText(1)});
   committer_->Add({RecordText(2)});
--- a/tests/storage/storage_fields_test.cpp
+++ b/tests/storage/storage_fields_test.cpp
@@ -1,4 +1,4 @@
-// The encoding of fields in records.
+// Tests of the encoding of fields in records.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -68,6 +68,7 @@
   }
 }
 
+// Returns the error of reading `bytes` as a field of the type of `value`; empty on success.
 template <typename T>
 std::string ErrorOfReading(const std::string& bytes, T value) {
   FieldReader reader(bytes);
@@ -103,7 +104,7 @@
   EXPECT_EQ(Describe(*list_reader.error()), "list at byte 1: as many elements as its length says");
 }
 
-TEST(Fields, LeaveTheBytesAfterTheLastOneRead) {
+TEST(Fields, LeaveTheBytesAfterTheLastFieldUnread) {
   std::uint64_t value = 0;
   FieldReader reader("\x81\x01rest");
   reader("value", value);
--- a/tests/storage/storage_files_test.cpp
+++ b/tests/storage/storage_files_test.cpp
@@ -1,4 +1,4 @@
-// storage::PosixFiles: a log on a real directory, the lock, errors.
+// Tests of storage::PosixFiles: a log in a real directory, the lock of the directory, and errors.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -16,7 +16,7 @@
 using storage::PosixFiles;
 using storage::StorageErrorCode;
 
-TEST(PosixFiles, KeepALogAndAreLockedForOneProcess) {
+TEST(PosixFiles, StoreALogAndAreLockedByOneProcess) {
   const std::string directory = ::testing::TempDir() + "/mountflow-files-" + std::to_string(::getpid());
   {
     const auto files = PosixFiles::Open(directory);
--- a/tests/storage/storage_log_format_test.cpp
+++ b/tests/storage/storage_log_format_test.cpp
@@ -1,4 +1,4 @@
-// The bytes of a log on disk.
+// Tests of the file format of a log.
 #include <gtest/gtest.h>
 
 #include "storage/log_format.hpp"
@@ -37,7 +37,7 @@
   }
 }
 
-TEST(LogFormat, SplitsNoFrameThatHoldsFewerRecordsThanItSays) {
+TEST(LogFormat, SplitsNoFrameThatContainsFewerRecordsThanItsHeaderStates) {
   const std::string bytes = EncodeFrame(1, {"one"});
   std::optional<Frame> frame = DecodeFrame(bytes, 0);
   ASSERT_TRUE(frame);
--- a/tests/storage/storage_log_test.cpp
+++ b/tests/storage/storage_log_test.cpp
@@ -1,4 +1,4 @@
-// storage::Log: a crash or an error at every call of a workload, damage, snapshots.
+// Tests of storage::Log: a crash or an error at every file operation of a workload, damage, and snapshots.
 #include <gtest/gtest.h>
 
 #include "storage/log.hpp"
@@ -14,7 +14,7 @@
 using storage::StorageErrorCode;
 using Unsynced = FaultyFiles::Unsynced;
 
-// The number of calls that the workload makes without faults.
+// Returns the number of file operations that the workload makes when there is no fault.
 std::size_t CountWorkloadCalls() {
   FaultyFiles files;
   Log log(&files, SmallLogOptions());
@@ -45,10 +45,10 @@
   std::size_t snapshots = 0;
   for (const std::string& name : files.Names()) snapshots += name.find(".snap") != std::string::npos;
   EXPECT_EQ(snapshots, 2u);
-  EXPECT_LT(files.Names().size(), 12u);  // old segments are gone
+  EXPECT_LT(files.Names().size(), 12u);  // old segments have been removed
 }
 
-// Opens the log twice after a crash and commits to it each time.
+// Opens the log twice after a crash. Each time expects all durable records, and commits two more.
 void ExpectRecovers(FaultyFiles* files, std::uint64_t durable, std::size_t call) {
   for (int i = 0; i < 2; ++i) {
     Log log(files, SmallLogOptions());
@@ -62,11 +62,11 @@
   }
 }
 
-// At every write, sync, rename, create, truncate and remove.
+// Crashes at every write, sync, rename, create, truncate and remove.
 TEST(Log, LosesNothingDurableByACrashAtAnyCall) {
   const std::size_t workload_calls = CountWorkloadCalls();
   ASSERT_GT(workload_calls, 100u);
-  for (const Unsynced unsynced : {Unsynced::kLost, Unsynced::kHalfKept, Unsynced::kKept}) {
+  for (const Unsynced unsynced : {Unsynced::kLost, Unsynced::kHalfRetained, Unsynced::kRetained}) {
     for (std::size_t call = 1; call <= workload_calls; ++call) {
       FaultyFiles files;
       std::uint64_t durable = 0;
@@ -86,26 +86,26 @@
   }
 }
 
-// One error, or all calls from there on (a full disk). A failed commit is not acknowledged; when it succeeds
-// later, each record counts once.
+// Either one call fails, or that call and all later ones, as on a full disk. A failed commit is not
+// acknowledged. If its retry succeeds, each record must be replayed once.
 TEST(Log, SurvivesAnErrorAtAnyCallOrLeavesAPrefix) {
-  for (const bool lasting : {false, true}) {
+  for (const bool persistent : {false, true}) {
     for (std::size_t call = 1; call < 160; ++call) {
       FaultyFiles files;
       files.fault = FaultyFiles::Fault::kFail;
       files.fault_at_call = call;
-      files.lasting = lasting;
+      files.persistent = persistent;
       std::uint64_t durable = 0;
       {
         Log log(&files, SmallLogOptions());
         LogState state;
         ASSERT_TRUE(Succeeded(state.Open(&log)));
         RunWorkload(&log, &state, &durable);
-        if (!lasting) {
+        if (!persistent) {
           EXPECT_GE(durable, kWorkloadRecords) << call;
         }
       }
-      for (const Unsynced unsynced : {Unsynced::kLost, Unsynced::kKept}) {
+      for (const Unsynced unsynced : {Unsynced::kLost, Unsynced::kRetained}) {
         FaultyFiles copy = files.Clone();
         copy.RecoverFromCrash(unsynced);
         Log log(&copy, SmallLogOptions());
@@ -117,10 +117,12 @@
   }
 }
 
-// Danger: a full disk that is retried five times a second for a day must not fill the directory with the
-// headers of empty segments.
+// A commit to a full disk is retried five times a second, possibly for a day. The retries must not fill the
+// directory with segments that contain only a header.
 TEST(Log, LeavesNoFilesBehindOnADiskThatStaysFull) {
-  for (std::size_t step = 1; step <= 8; ++step) {  // of each attempt; beyond its last call it succeeds
+  // The first attempt fails at its first file operation, and each retry at its file operation number `step`.
+  // A retry that needs fewer file operations succeeds.
+  for (std::size_t step = 1; step <= 8; ++step) {
     FaultyFiles files;
     std::uint64_t last = 0;
     {
@@ -172,7 +174,7 @@
   }
 }
 
-// A log of twenty commits over several segments, of which something is damaged before it is opened again.
+// A log of 20 commits in several segments. Each test damages the log and opens it again.
 class LogDamage : public ::testing::Test {
  protected:
   void SetUp() override {
@@ -184,7 +186,7 @@
     segments_ = files_.Names();
     ASSERT_GE(segments_.size(), 4u);
   }
-  // The error of opening the log, which must be kDamaged.
+  // Opens the log, which must fail with kDamaged. Returns the text of the error.
   std::string DamageText() {
     Log log(&files_, SmallLogOptions());
     LogState state;
@@ -198,7 +200,7 @@
   std::vector<std::string> segments_;
 };
 
-TEST_F(LogDamage, InTheMiddleIsRefusedWithFileAndOffset) {
+TEST_F(LogDamage, InTheMiddleIsRejectedWithFileAndOffset) {
   std::string& data = files_.Data(segments_[1]);
   data[30] ^= 1;  // in the first frame, which begins after a header of 24 bytes
   const std::string text = DamageText();
--- a/tests/storage/stored_state_test.cpp
+++ b/tests/storage/stored_state_test.cpp
@@ -1,7 +1,7 @@
-// Guard of stored data: a folder of state written by version 0.2.0 (tests/data/stored_state: jobs queued,
-// held, running and complete, a snapshot and a tail of its log, a ledger, a view of the registry). The
-// program of today opens it, and the same run writes the same bytes. MOUNTFLOW_RECORD_GOLDEN=1 writes the
-// folder anew.
+// Compatibility test for stored data. tests/data/stored_state was written by version 0.2.0. It contains jobs
+// that are queued, held, running and complete, as a snapshot and the log records after it, a ledger, and a
+// snapshot of the node list from the registry. The current code must open these files, and the same sequence
+// of operations must write the same bytes. MOUNTFLOW_RECORD_GOLDEN=1 records the files again.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -82,8 +82,9 @@
   return view;
 }
 
-// Jobs 1 complete, 2 running, 3 held, 4 waiting for its time; then the snapshot; 5 running, 6 in doubt, 7
-// deleted.
+// Writes seven jobs:
+//   - before the snapshot: 1 complete, 2 running, 3 held, 4 waiting for its start time;
+//   - after the snapshot: 5 running, 6 committed to its node with unknown outcome, 7 deleted.
 void WriteJobs(storage::Files* files) {
   std::vector<storage::RecoveryNotice> notices;
   storage::Log log(files, LogNamed("jobs"));
--- a/tests/support/faulty_files.hpp
+++ b/tests/support/faulty_files.hpp
@@ -1,4 +1,5 @@
-// Files in memory that can fail or crash at the n-th call, and that lose what was not synced.
+// Fault injection for storage::Files: files in memory that fail or crash at a chosen call, and that may lose
+// the data and names that were not synced.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_FAULTY_FILES_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_FAULTY_FILES_HPP_
 
@@ -15,34 +16,39 @@
 
 namespace mountflow::testing {
 
+// FaultyFiles counts all calls except List and Read. Only counted calls can have the fault. Not thread-safe.
 class FaultyFiles : public storage::Files {
  public:
   // Thrown by the call at which the process crashes.
   struct Crash {};
+  // Effect of the fault: none, an I/O error, or a crash of the process.
   enum class Fault { kNone, kFail, kCrash };
-  // What a crash leaves of data and names that were not synced: nothing; everything; half of each file's
-  // data, and all names.
-  enum class Unsynced { kLost, kKept, kHalfKept };
+  // Effect of a crash on unsynced data and names:
+  //   - kLost: all unsynced data and names are lost.
+  //   - kRetained: nothing is lost.
+  //   - kHalfRetained: all names remain, but only the first half of the unsynced data of each file.
+  enum class Unsynced { kLost, kRetained, kHalfRetained };
 
   Fault fault = Fault::kNone;
-  std::size_t fault_at_call = 0;  // counted from 1; 0: never
-  bool lasting = false;           // kFail: all calls from there on
-  std::size_t calls = 0;          // that change something
+  std::size_t fault_at_call = 0;  // the call that has the fault, counted from 1; 0: no call
+  bool persistent = false;        // kFail: all calls after `fault_at_call` fail too
+  std::size_t calls = 0;          // number of counted calls so far
 
-  // The files as they are found after a crash. Ends the fault.
+  // Changes the files to the state in which they are found after a crash, and ends the fault.
   void RecoverFromCrash(Unsynced unsynced) {
     if (unsynced == Unsynced::kLost) files_ = durable_files_;
     for (auto& [name, file] : files_) {
-      file->data.resize(file->synced_size + KeptBytes(file->data.size() - file->synced_size, unsynced));
+      file->data.resize(file->synced_size + RetainedBytes(file->data.size() - file->synced_size, unsynced));
       file->synced_size = file->data.size();
     }
     durable_files_ = files_;
     fault = Fault::kNone;
   }
 
+  // Returns a deep copy, which shares no file with this object.
   FaultyFiles Clone() const {
     FaultyFiles clone = *this;
-    std::map<const File*, std::shared_ptr<File>> copies;  // a file may have a name in both maps
+    std::map<const File*, std::shared_ptr<File>> copies;  // by original, because both maps may share a file
     for (auto* files : {&clone.files_, &clone.durable_files_}) {
       for (auto& [name, file] : *files) {
         auto& copy = copies[file.get()];
@@ -53,6 +59,7 @@
     return clone;
   }
 
+  // Returns the data of an existing file, which the caller may change.
   std::string& Data(const std::string& name) { return files_.at(name)->data; }
   std::vector<std::string> Names() const {
     std::vector<std::string> names;
@@ -75,7 +82,7 @@
   storage::StorageStatus Append(const std::string& name, std::string_view bytes) override {
     std::string& data = files_.at(name)->data;
     const std::size_t size_before = data.size();
-    data += bytes.substr(0, bytes.size() / 2);  // a fault leaves a part
+    data += bytes.substr(0, bytes.size() / 2);  // remains if this call has the fault
     return CountCall().map([&] {
       data.resize(size_before);
       data += bytes;
@@ -110,28 +117,31 @@
  private:
   struct File {
     std::string data;
-    std::size_t synced_size = 0;
+    std::size_t synced_size = 0;  // size of the prefix of `data` that is durable
   };
 
-  static std::size_t KeptBytes(std::size_t unsynced_bytes, Unsynced unsynced) {
-    if (unsynced == Unsynced::kKept) return unsynced_bytes;
-    return unsynced == Unsynced::kHalfKept ? unsynced_bytes / 2 : 0;
+  // Returns how many of the unsynced bytes of a file remain after a crash.
+  static std::size_t RetainedBytes(std::size_t unsynced_bytes, Unsynced unsynced) {
+    if (unsynced == Unsynced::kRetained) return unsynced_bytes;
+    return unsynced == Unsynced::kHalfRetained ? unsynced_bytes / 2 : 0;
   }
   static tl::unexpected<storage::StorageError> Error(std::errc code) {
     storage::StorageError error;
     error.system = std::make_error_code(code);
     return tl::unexpected(std::move(error));
   }
+  // Counts a call. Fails or throws Crash if the call has the fault.
   storage::StorageStatus CountCall() {
     ++calls;
-    const bool reached = calls == fault_at_call || (lasting && fault_at_call != 0 && calls > fault_at_call);
+    const bool reached =
+        calls == fault_at_call || (persistent && fault_at_call != 0 && calls > fault_at_call);
     if (!reached || fault == Fault::kNone) return {};
     if (fault == Fault::kCrash) throw Crash();
     return Error(std::errc::io_error);
   }
 
-  std::map<std::string, std::shared_ptr<File>> files_;
-  std::map<std::string, std::shared_ptr<File>> durable_files_;
+  std::map<std::string, std::shared_ptr<File>> files_;          // by current name
+  std::map<std::string, std::shared_ptr<File>> durable_files_;  // by name at the last SyncDirectory
 };
 
 }  // namespace mountflow::testing
--- a/tests/support/ledger_fixture.hpp
+++ b/tests/support/ledger_fixture.hpp
@@ -1,4 +1,4 @@
-// Rules, usage and helpers for tests of the ledger.
+// Billing rules, usage reports and helper functions for tests of the ledger.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_LEDGER_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_LEDGER_FIXTURE_HPP_
 
@@ -18,12 +18,14 @@
 constexpr std::int64_t kDecember = 1'796'083'200;  // 2026-12-01T00:00:00Z
 constexpr Micros kStart = static_cast<Micros>(kDecember) * kSecond;
 
+// Returns the time zone with this TZ text, which must be valid.
 inline ledger::TimeZone ParsedZone(const std::string& text) {
   const auto zone = ledger::TimeZone::Parse(text);
   EXPECT_TRUE(zone) << text << ": " << Describe(zone.error());
   return zone.value_or(ledger::TimeZone());
 }
 
+// Returns rules with daily periods in UTC, one hour of grace and one price for all work.
 inline ledger::BillingRules DailyRules() {
   ledger::BillingRules rules;
   rules.time_zone = ParsedZone("UTC0");
@@ -33,12 +35,13 @@
   return rules;
 }
 
+// Returns the usage of an attempt that requested 1.5 cores and 2 GiB.
 inline ledger::AttemptUsage MakeUsage(const std::string& attempt, Micros from, Micros to,
                                       const std::string& tenant = "t") {
   return {attempt, tenant, "service", "small", from, to, 1500, 2048};
 }
 
-// Applies records as they come back from the disk.
+// Encodes, decodes and applies records, as if they were replayed from the ledger's log.
 inline void ApplyStored(ledger::Book* book, const ledger::Book::Records& records) {
   for (const ledger::Record& record : records) {
     const auto read = ledger::DecodeRecord(EncodeRecord(record));
@@ -47,20 +50,20 @@
     ASSERT_TRUE(applied) << Describe(applied.error());
   }
 }
-// The same for a decision, which must succeed.
+// Does the same with the records of a decision, which must have succeeded.
 inline void ApplyStored(ledger::Book* book, const ledger::LedgerResult<ledger::Book::Records>& decided) {
   ASSERT_TRUE(decided) << Describe(decided.error());
   ApplyStored(book, *decided);
 }
 
-// The code of an error; nullopt on success.
+// Returns the code of the error; nullopt on success.
 template <typename T>
 std::optional<ledger::LedgerErrorCode> CodeOf(const ledger::LedgerResult<T>& result) {
   if (result) return std::nullopt;
   return result.error().code;
 }
 
-// Posts and, if that succeeds, applies.
+// Posts the usage and, if that succeeds, applies the records. Returns the code of the error of Post.
 inline std::optional<ledger::LedgerErrorCode> PostAndApply(ledger::Book* book, Micros now,
                                                            const ledger::AttemptUsage& usage) {
   const auto decided = book->Post(now, usage);
@@ -68,6 +71,7 @@
   return CodeOf(decided);
 }
 
+// Returns the sum of all lines of a statement.
 inline ledger::UsageTotals TotalsOf(const ledger::Book& book, const std::string& period,
                                     ledger::StatementKind kind = ledger::StatementKind::kAsPosted) {
   ledger::UsageTotals totals;
--- a/tests/support/little_endian_bytes.hpp
+++ b/tests/support/little_endian_bytes.hpp
@@ -1,4 +1,4 @@
-// Builds little-endian bytes field by field, as the simulator's protocol lays its records out.
+// A builder for the little-endian records of the simulator's protocol.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_LITTLE_ENDIAN_BYTES_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_LITTLE_ENDIAN_BYTES_HPP_
 
@@ -10,6 +10,7 @@
 
 namespace mountflow::testing {
 
+// LittleEndianBytes appends fields in little-endian byte order. The calls can be chained.
 class LittleEndianBytes {
  public:
   LittleEndianBytes& U8(unsigned value) { return Put(static_cast<std::uint8_t>(value)); }
@@ -26,7 +27,7 @@
   std::span<const std::uint8_t> Body() const {
     return {reinterpret_cast<const std::uint8_t*>(bytes_.data()), bytes_.size()};
   }
-  // The bytes behind their length.
+  // Returns the bytes, preceded by their length as a 32-bit number.
   std::string Frame() const {
     return LittleEndianBytes().U32(static_cast<std::uint32_t>(bytes_.size())).Raw(bytes_).Text();
   }
--- a/tests/support/log_workload.hpp
+++ b/tests/support/log_workload.hpp
@@ -1,5 +1,5 @@
-// A workload for storage::Log whose state can be checked after any crash: record N has a known text, the
-// state is the list of all records, and a snapshot is that list.
+// A workload for storage::Log whose state can be checked after any crash. Record N has a known text, the
+// state is the list of all records, and a snapshot contains that list.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_LOG_WORKLOAD_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_LOG_WORKLOAD_HPP_
 
@@ -15,7 +15,7 @@
 
 namespace mountflow::testing {
 
-// Segments of a few commits each.
+// Returns options with which a segment contains only a few commits.
 inline storage::LogOptions SmallLogOptions() {
   storage::LogOptions options;
   options.segment_bytes = 300;
@@ -23,15 +23,18 @@
   return options;
 }
 
+// Returns the text of the record with this sequence.
 inline std::string RecordText(std::uint64_t sequence) {
   return "record " + std::to_string(sequence) + std::string(sequence % 40, '.');
 }
 
+// The state that was replayed from a log.
 struct LogState {
   std::vector<std::string> records;
   std::vector<storage::RecoveryNotice> notices;
-  std::uint64_t snapshot_sequence = 0;
+  std::uint64_t snapshot_sequence = 0;  // sequence of the replayed snapshot; 0: none
 
+  // Opens the log and replays it into this state, which must be empty.
   storage::StorageStatus Open(storage::Log* log) {
     storage::Replay replay;
     replay.snapshot = [this](std::uint64_t sequence, std::string_view state) {
@@ -46,13 +49,13 @@
     };
     return log->Open(replay, &notices);
   }
-  // The state as a snapshot.
+  // Returns the text of a snapshot of this state: one line for each record.
   std::string Text() const {
     std::string text;
     for (const std::string& record : records) text += record + "\n";
     return text;
   }
-  // All records from the first on are here, and at least this many.
+  // Expects at least `count` records, which must be the first ones of the workload, in order.
   void ExpectPrefixOfAtLeast(std::uint64_t count) const {
     EXPECT_GE(records.size(), count);
     for (std::size_t i = 0; i < records.size(); ++i) EXPECT_EQ(records[i], RecordText(i + 1));
@@ -62,8 +65,9 @@
 // The number of records that RunWorkload commits if nothing fails.
 constexpr std::uint64_t kWorkloadRecords = 73;
 
-// Thirty commits of one to four records, and three snapshots. Sets `durable` to the sequence that a caller
-// may rely on. A commit that fails is retried with one more record; ends when it has failed three times.
+// Makes 30 commits of one to four records each, and three snapshots. Sets `durable` to the newest sequence
+// that the log has reported as durable. A commit that fails is retried with one more record. Returns early
+// when a commit has failed three times.
 inline void RunWorkload(storage::Log* log, LogState* state, std::uint64_t* durable) {
   constexpr int kCommits = 30;
   constexpr int kMaxAttempts = 3;
--- a/tests/support/storage_checks.hpp
+++ b/tests/support/storage_checks.hpp
@@ -1,4 +1,4 @@
-// Checks of storage results that print the error.
+// Assertions on storage results that print the error.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_STORAGE_CHECKS_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_STORAGE_CHECKS_HPP_
 
@@ -10,14 +10,15 @@
 
 namespace mountflow::testing {
 
-// Use as ASSERT_TRUE(Succeeded(log.Commit(...))).
+// Reports whether the result is a success; prints the error otherwise. Use it as
+// ASSERT_TRUE(Succeeded(log.Commit(...))).
 template <typename T>
 ::testing::AssertionResult Succeeded(const storage::StorageResult<T>& result) {
   if (result) return ::testing::AssertionSuccess();
   return ::testing::AssertionFailure() << Describe(result.error());
 }
 
-// The text of the error; empty on success.
+// Returns the text of the error; empty on success.
 template <typename T>
 std::string ErrorText(const storage::StorageResult<T>& result) {
   return result ? "" : Describe(result.error());
--- a/tests/support/temporary_folder.hpp
+++ b/tests/support/temporary_folder.hpp
@@ -1,4 +1,4 @@
-// A new empty folder for a test, removed with all that is in it.
+// A temporary directory for a test.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_TEMPORARY_FOLDER_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_TEMPORARY_FOLDER_HPP_
 
@@ -8,6 +8,7 @@
 
 namespace mountflow::testing {
 
+// TemporaryFolder creates a new, empty directory. Its destructor removes the directory and its contents.
 class TemporaryFolder {
  public:
   TemporaryFolder() {
@@ -20,6 +21,7 @@
   TemporaryFolder& operator=(const TemporaryFolder&) = delete;
 
   const std::string& path() const { return path_; }
+  // Returns the path of a file in the directory.
   std::string File(const std::string& name) const { return path_ + "/" + name; }
 
  private:
