--- a/src/ledger/attempt_usage.hpp
+++ b/src/ledger/attempt_usage.hpp
@@ -12,6 +12,7 @@
 
 constexpr std::size_t kMaxTextBytes = 1024;  // maximum size of each text in a record
 
+// The time and the requested resources of one attempt.
 struct AttemptUsage {
   std::string attempt;  // name of the attempt, JOB.SERVER/NUMBER; unique across restarts
   std::string tenant;
--- a/src/ledger/billing_period.hpp
+++ b/src/ledger/billing_period.hpp
@@ -13,6 +13,7 @@
 
 enum class PeriodKind { kDay, kMonth, kYear };
 
+// A billing period, from `from` until before `to`.
 struct Period {
   std::int64_t from = 0;  // UTC seconds
   std::int64_t to = 0;    // UTC seconds, exclusive
--- a/src/ledger/book.hpp
+++ b/src/ledger/book.hpp
@@ -56,7 +56,8 @@
   std::string reason;
 };
 
-// Book is the ledger that the comment at the head of this file describes. Not thread-safe.
+// Book is the usage ledger: it decides which records to post and holds the state that they produce. Not
+// thread-safe.
 class Book {
  public:
   using Records = std::vector<Record>;
--- a/src/ledger/statement.hpp
+++ b/src/ledger/statement.hpp
@@ -13,11 +13,12 @@
 namespace mountflow::ledger {
 
 struct UsageTotals {
-  Amount millicore_us = 0;
-  Amount mebibyte_us = 0;
-  std::uint64_t postings = 0;
+  Amount millicore_us = 0;     // millicore-microseconds
+  Amount mebibyte_us = 0;      // mebibyte-microseconds
+  std::uint64_t postings = 0;  // number of postings
 };
 
+// The usage of one tenant at one price, for one task class on one kind of node.
 struct StatementLine {
   std::string tenant;
   std::string task_class;
--- a/src/storage/commit_gate.hpp
+++ b/src/storage/commit_gate.hpp
@@ -24,12 +24,11 @@
 
 namespace mountflow::storage {
 
-// Limits of a CommitGate. The comment at the head of this file describes each of them.
 struct CommitGateOptions {
-  std::size_t max_waiting_bytes = 64u << 20;
-  std::size_t max_held_bytes = 64u << 20;
-  std::uint64_t snapshot_after_bytes = 64u << 20;
-  Micros snapshot_retry_interval = 10'000'000;
+  std::size_t max_waiting_bytes = 64u << 20;       // records of one log that are not durable yet
+  std::size_t max_held_bytes = 64u << 20;          // replies that are held
+  std::uint64_t snapshot_after_bytes = 64u << 20;  // growth of the log after which a snapshot is due
+  Micros snapshot_retry_interval = 10'000'000;     // shortest time between two due snapshots
 };
 
 // CommitGate holds outputs until the records that they depend on are durable. Not thread-safe.
@@ -53,8 +52,8 @@
   void UpdateStatus(const CommitStatus& first, const CommitStatus* second, std::uint64_t second_batch);
   // Returns the reason for which new jobs are rejected, as text for clients; empty while they are accepted.
   std::string RejectionReason() const;
-  // Reports whether a snapshot is due at `now`. Returns true only once for each due snapshot, so the caller
-  // must request one.
+  // Reports whether a snapshot is due at `now`. Returns true once for each due snapshot; the caller must then
+  // request it from the committer.
   bool SnapshotDue(Micros now);
   // Returns and clears the changes of status since the last call, as texts for operators. Their number is
   // bounded; further ones are dropped.
--- a/src/storage/committer.hpp
+++ b/src/storage/committer.hpp
@@ -45,13 +45,14 @@
   // whenever the status has changed.
   Committer(std::unique_ptr<Log> log, std::function<void()> notify,
             std::chrono::milliseconds retry_interval = kDefaultRetryInterval);
-  // Commits the pending records, without a retry if that fails, and joins the thread.
+  // Commits the pending records, without a retry if that fails, and joins the thread. Also writes a pending
+  // snapshot unless the commit fails.
   ~Committer();
   Committer(const Committer&) = delete;
   Committer& operator=(const Committer&) = delete;
 
-  // Adds records to the next commit. Returns the number of the batch: once it is durable, so are these
-  // records and all records before them. With no records, returns the number of the previous batch.
+  // Queues these records for a commit and returns the number of their batch. Once the batch is durable, so
+  // are these records and all records before them. With no records, returns the number of the previous batch.
   std::uint64_t Add(std::vector<std::string> records);
   // Requests a snapshot. `state` must be the state after all records that were added so far. Replaces a
   // snapshot that was requested before and is not being written yet.
--- a/src/storage/log.hpp
+++ b/src/storage/log.hpp
@@ -60,8 +60,8 @@
 // Returns one line of text for operators.
 [[nodiscard]] std::string Describe(const RecoveryNotice& notice);
 
-// Log is the append-only log that the comment at the head of this file describes. Not thread-safe. Errors of
-// file operations are returned as Files reports them.
+// Log is an append-only log of records with snapshots. Not thread-safe. Errors of file operations are
+// returned as Files reports them.
 class Log {
  public:
   // `files` is not owned and must outlive the log. Logs with different names may share it if they are used on
