--- a/src/job_manager/attempts.cpp
+++ b/src/job_manager/attempts.cpp
@@ -1,4 +1,4 @@
-// Actions of the scheduler, and messages from nodes about attempts.
+// Carries out the actions of the scheduler, and handles messages from nodes about attempts.
 #include <algorithm>
 #include <limits>
 
@@ -9,9 +9,9 @@
 namespace mountflow::job_manager {
 namespace {
 
-// A stopped attempt whose end was not reported is queried again after this, in case that the report was
-// lost with the node's memory.
-constexpr Micros kStopReminder = 5'000'000;
+// If the end of a stopped attempt is not reported within this time, the stop request is sent again, because
+// the node may have restarted and lost the report.
+constexpr Micros kStopRecheckDelay = 5'000'000;
 
 struct EndOutcome {
   AttemptResult result = AttemptResult::kCompleted;
@@ -78,7 +78,7 @@
     if (attempt.request != action.request || attempt.request_attempt != action.attempt) continue;
     if (attempt.outcome_reported) continue;
     if (attempt.phase == AttemptPhase::kPreparing) return AbandonPrepared(job, &attempt);
-    if (attempt.phase == AttemptPhase::kRunning) return;  // it was accepted before
+    if (attempt.phase == AttemptPhase::kRunning) return;  // the node had accepted it before the cancellation
     ReportOutcome(job, &attempt, {AttemptResult::kCancelled});
     return StopUntilAnswered(job, &attempt);
   }
@@ -144,9 +144,9 @@
 void JobManager::ReportOutcome(Job* job, Attempt* attempt, const AttemptOutcome& outcome) {
   if (attempt->outcome_reported) return;
   attempt->outcome_reported = true;
-  if (attempt->restored && !attempt->counted) return;  // the scheduler never knew of it
-  if (attempt->counted) {
-    attempt->counted = false;
+  if (attempt->restored && !attempt->reported_as_recovered) return;  // the scheduler does not know it
+  if (attempt->reported_as_recovered) {
+    attempt->reported_as_recovered = false;
     if (job->request != attempt->request) scheduler_.CloseRequest(attempt->request);
   }
   AttemptEnded ended;
@@ -166,7 +166,7 @@
   const auto it = std::find_if(job->attempts.begin(), job->attempts.end(),
                                [number](const Attempt& attempt) { return attempt.number == number; });
   if (it == job->attempts.end()) return;
-  if (it->counted) ReportOutcome(job, &*it, {AttemptResult::kCancelled});
+  if (it->reported_as_recovered) ReportOutcome(job, &*it, {AttemptResult::kCancelled});
   if (NodeRecord* node = nodes_.Find(it->node); node != nullptr) node->attempts.erase(id);
   stopping_.Remove(id);
   job->attempts.erase(it);
@@ -198,17 +198,18 @@
   CompleteIfClosed(found.job);
 }
 
-void JobManager::AskAgainLater(const AttemptId& id, Attempt* attempt) {
-  const Micros delay = BackoffDelay(options_.stop_retry_delay, attempt->failed_questions);
-  timers_.Add(now_ + delay, AttemptQuestion{id});
-  if (attempt->failed_questions < std::numeric_limits<std::uint8_t>::max()) ++attempt->failed_questions;
+void JobManager::ScheduleStopOrQueryRetry(const AttemptId& id, Attempt* attempt) {
+  const Micros delay = BackoffDelay(options_.stop_retry_delay, attempt->failed_stops_or_queries);
+  timers_.Add(now_ + delay, StopOrQueryRetry{id});
+  if (attempt->failed_stops_or_queries < std::numeric_limits<std::uint8_t>::max())
+    ++attempt->failed_stops_or_queries;
 }
 
 void JobManager::HandleLostTask(Job* job, Attempt* attempt, const AttemptOutcome& outcome,
                                 const std::string& reason) {
   const std::uint32_t number = attempt->number;
-  // Danger: the end of an abandoned attempt says nothing of the request, which may be in flight
-  // elsewhere.
+  // The end of an abandoned attempt must not close the request: another attempt of it may be in flight at
+  // another node.
   const bool is_current = !attempt->outcome_reported;
   ReportOutcome(job, attempt, outcome);
   if (is_current && job->request == attempt->request) CloseRequest(job);
@@ -227,8 +228,8 @@
 void JobManager::Handle(const AttemptPrepared& message) {
   const auto [job, attempt] = FindAttempt(message.attempt);
   if (attempt == nullptr || attempt->phase != AttemptPhase::kPreparing || attempt->outcome_reported) return;
-  // Danger: a daemon that was suspended must not go on with an attempt whose time is over; its client may
-  // have submitted the job elsewhere.
+  // A daemon that was suspended must not commit an attempt after its deadline, because the client may have
+  // submitted the job to another daemon meanwhile.
   if (now_ >= attempt->deadline) return Fire(AttemptDeadline{message.attempt});
   attempt->phase = AttemptPhase::kCommitting;
   outputs_.emplace_back(CommitAttempt{message.attempt, attempt->node});
@@ -245,7 +246,7 @@
        .attempt = message.attempt.number,
        .node = nodes_.NameOf(attempt->node),
        .text = message.reason});
-  // Nothing before the commit can have run, whatever the node says of itself.
+  // An attempt cannot have run before its commit, even if the node reports an error.
   const bool may_have_run = message.error && attempt->phase != AttemptPhase::kPreparing;
   ReportOutcome(
       job, attempt,
@@ -259,10 +260,10 @@
   if (attempt == nullptr || attempt->phase == AttemptPhase::kRunning) return;
   attempt->phase = AttemptPhase::kRunning;
   MarkStateChanged(*job);
-  if (attempt->outcome_reported) return;  // abandoned: it is being stopped, and its end will be reported
+  if (attempt->outcome_reported) return;  // abandoned: it is being stopped, and the node will report its end
   job->node = nodes_.NameOf(attempt->node);
   job->placed = now_;
-  job->repeats.TaskStarted();
+  job->retry_state.TaskStarted();
   job->awaiting_attempts = false;
   SetState(job, JobState::kRunning);
   if (attempt->restored) {
@@ -298,13 +299,13 @@
 void JobManager::Handle(const QueryFailed& message) {
   Attempt* attempt = FindAttempt(message.attempt).attempt;
   if (attempt == nullptr || attempt->phase != AttemptPhase::kInDoubt || attempt->stopping) return;
-  AskAgainLater(message.attempt, attempt);
+  ScheduleStopOrQueryRetry(message.attempt, attempt);
 }
 
 void JobManager::Handle(const StopAnswered& message) {
   const auto [job, attempt] = FindAttempt(message.attempt);
   if (attempt == nullptr || !attempt->stopping) return;
-  if (message.known) return timers_.Add(now_ + kStopReminder, AttemptQuestion{message.attempt});
+  if (message.known) return timers_.Add(now_ + kStopRecheckDelay, StopOrQueryRetry{message.attempt});
   if (attempt->phase == AttemptPhase::kRunning && !attempt->outcome_reported) {
     return HandleLostTask(job, attempt, {AttemptResult::kLost}, kUnknownToNode);
   }
@@ -315,7 +316,7 @@
 void JobManager::Handle(const StopFailed& message) {
   Attempt* attempt = FindAttempt(message.attempt).attempt;
   if (attempt == nullptr || !attempt->stopping) return;
-  AskAgainLater(message.attempt, attempt);
+  ScheduleStopOrQueryRetry(message.attempt, attempt);
 }
 
 void JobManager::Handle(const AttemptFinished& message) {
@@ -326,7 +327,7 @@
     outputs_.emplace_back(ResourceUsage{message.attempt, found.attempt->node, spec.task_class, spec.tenant,
                                         spec.cores, spec.memory, message.started, message.ended});
   }
-  // The end may overtake the answer to the commit.
+  // The report of the end may arrive before the answer to the commit.
   if (found.attempt->phase != AttemptPhase::kRunning) Handle(AttemptCommitted{message.attempt});
   found = FindAttempt(message.attempt);
   const auto [job, attempt] = found;
@@ -351,7 +352,7 @@
   ReportOutcome(job, attempt, outcome);
   if (is_current && job->request == attempt->request) CloseRequest(job);
   EndAttempt(job, message.attempt.number);
-  // The end of an abandoned attempt: what waited for that may go on.
+  // An abandoned attempt has ended, which may complete a job that is closing.
   if (!is_current) return CompleteIfClosed(job);
   job->comment = message.text.empty() ? "ended with status " + std::to_string(message.exit_status)
                                       : BoundedReason(message.text);
--- a/src/job_manager/backoff.hpp
+++ b/src/job_manager/backoff.hpp
@@ -1,4 +1,4 @@
-// Delays that double with each failure in a row.
+// Exponential backoff: a delay that doubles with each consecutive failure, up to a limit.
 #ifndef MOUNTFLOW_JOB_MANAGER_BACKOFF_HPP_
 #define MOUNTFLOW_JOB_MANAGER_BACKOFF_HPP_
 
@@ -10,7 +10,7 @@
 
 inline constexpr unsigned kMaxBackoffDoublings = 4;
 
-// The delay after as many failures before this one.
+// Returns the delay before the next retry, given the number of consecutive failures before the latest one.
 inline Micros BackoffDelay(Micros first_delay, unsigned earlier_failures) {
   return first_delay << std::min(earlier_failures, kMaxBackoffDoublings);
 }
--- a/src/job_manager/commands.cpp
+++ b/src/job_manager/commands.cpp
@@ -1,4 +1,4 @@
-// What users and operators ask of a job.
+// Commands of users and operators.
 #include <algorithm>
 #include <utility>
 
@@ -14,8 +14,8 @@
   return job;
 }
 
-// The task is no longer wanted. The scheduler expects one outcome for each attempt in flight, and gets it
-// now; whether the node accepted meanwhile is found out without it.
+// The scheduler expects one outcome for each attempt in flight, and receives all of them here. Whether a node
+// has accepted an attempt meanwhile is determined without the scheduler.
 void JobManager::CancelRequest(std::uint64_t number) {
   Job* job = jobs_.Find(number);
   scheduler_.QueueEvent(TaskCancelled{job->request});
@@ -77,7 +77,7 @@
   for (const char type : types) {
     if (holds.find(type) == std::string::npos) holds.push_back(type);
   }
-  // A job that the scheduler is starting right now goes on; the hold acts on its next request.
+  // An open request continues; the hold takes effect before the next request.
   if (job->request == 0 && !holds.empty()) {
     ++job->timer_generation;
     key_searches_.Stop(number);
@@ -105,7 +105,7 @@
   if (!managed) return managed.error();
   Job* job = *managed;
   if (job->state != JobState::kRunning) return CommandResult::kNotRunning;
-  // A task that is not idempotent must not start again once it ran.
+  // A task that is not idempotent must not start again after it has run.
   if (!job->spec->rerunnable || IdempotencyOf(*job) == Idempotency::kNotIdempotent) {
     return CommandResult::kBadState;
   }
--- a/src/job_manager/job_ids.hpp
+++ b/src/job_manager/job_ids.hpp
@@ -1,6 +1,6 @@
-// Names of jobs and attempts on the wire: NUMBER.SERVER and NUMBER.SERVER/ATTEMPT.
+// Formats and parses the names of jobs and attempts on the wire: NUMBER.SERVER and NUMBER.SERVER/ATTEMPT.
 //
-// Reading is safe on any thread.
+// A JobIds object does not change after construction, so all its functions may be called on any thread.
 #ifndef MOUNTFLOW_JOB_MANAGER_JOB_IDS_HPP_
 #define MOUNTFLOW_JOB_MANAGER_JOB_IDS_HPP_
 
@@ -14,15 +14,16 @@
 
 class JobIds {
  public:
-  // `server` is the name of this daemon.
+  // `server` is the name of this daemon, which is part of each id.
   explicit JobIds(std::string server);
 
   std::string JobId(std::uint64_t job) const;
-  // Accepts an id of this server, with its name or without; 0 for any other text.
+  // Parses a job id of this server, with or without the server's name. Returns 0 for any other text.
   std::uint64_t ParseJobId(std::string_view id) const;
 
   std::string AttemptName(const AttemptId& attempt) const;
-  // Accepts names of any server and sets both results; false leaves them unspecified.
+  // Parses an attempt name of any server into `*id` and `*server`. Returns false if the text is not an
+  // attempt name; the values of `*id` and `*server` are then unspecified.
   [[nodiscard]] static bool ParseAttemptName(std::string_view name, AttemptId* id, std::string* server);
 
  private:
--- a/src/job_manager/job_journal.hpp
+++ b/src/job_manager/job_journal.hpp
@@ -1,9 +1,10 @@
-// Which jobs changed since their records were last taken, and the records of them. Later changes of a job
-// before the records are taken cost nothing more.
+// Tracks which jobs changed since TakeRecords was last called, and writes their records. Several changes of a
+// job between two calls result in one record of each kind.
 //
-// Bound: one entry a job, and one a forgotten job, until TakeRecords. Without durability nothing is tracked.
+// Bound: at most two entries for each changed job and one for each forgotten job, until TakeRecords clears
+// them. Without durability nothing is tracked.
 //
-// Called by JobManager alone; not safe to share between threads.
+// Used by JobManager only; not thread-safe.
 #ifndef MOUNTFLOW_JOB_MANAGER_JOB_JOURNAL_HPP_
 #define MOUNTFLOW_JOB_MANAGER_JOB_JOURNAL_HPP_
 
@@ -19,15 +20,17 @@
 
 class JobJournal {
  public:
+  // If `durable` is false, changes are not tracked and TakeRecords returns nothing.
   explicit JobJournal(bool durable) : durable_(durable) {}
 
   void MarkSpecChanged(std::uint64_t job);
   void MarkStateChanged(std::uint64_t job);
   void MarkForgotten(std::uint64_t job);
 
-  // In the order in which they must be written: specifications, states, forgotten jobs.
+  // Returns the records of all changes and clears them. The records are in the order in which they must be
+  // written: specifications, states, forgotten jobs.
   std::vector<std::string> TakeRecords(const JobTable& jobs, const NodeTable& nodes);
-  // All jobs, as records joined to one text (ForEachRecord).
+  // Returns the records of all jobs, joined into one text that ForEachRecord reads.
   static std::string Snapshot(const JobTable& jobs, const NodeTable& nodes);
 
  private:
--- a/src/job_manager/job_lifecycle.cpp
+++ b/src/job_manager/job_lifecycle.cpp
@@ -1,4 +1,4 @@
-// Requests of a job, its final answer, its completion, and the search for the key of a repeat.
+// Requests of a job, its final answer, its completion, and the key search.
 #include <xxhash.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Micros kMaxClockDifference = 1'000'000;  // between the clocks of daemons and nodes
-constexpr Micros kMinRoundShare = 8;  // a round of a key search takes at least this part of the interval
+constexpr Micros kMinRoundDivisor = 8;  // a round of a key search takes at least the interval divided by this
 
 std::uint64_t Hash(const std::string& text) { return XXH3_64bits(text.data(), text.size()); }
 
@@ -84,12 +84,12 @@
   ended.unresolved_attempt = job->HasOpenAttempt();
   ended.retry_after = advised_wait;
   ended.now = now_;
-  // A lost task is placed anew: the client's wait begins again.
+  // A lost task is started again, so the client's wait begins again.
   if (end == retry::RequestResult::kLost)
     job->deadline = now_ + ClientWait(*job) + options_.repeats.reconciliation_wait;
   ended.deadline = job->deadline;
   ended.random_draw = random_.Draw();
-  const retry::RetryDecision decision = job->repeats.Decide(options_.repeats, ended);
+  const retry::RetryDecision decision = job->retry_state.Decide(options_.repeats, ended);
   if (decision.action == retry::RetryAction::kGiveUp) {
     const bool rejected = end == retry::RequestResult::kRejected;
     std::string explained = reason;
@@ -107,7 +107,7 @@
   job->comment = BoundedReason(reason);
   job->changed = now_;
   MarkStateChanged(*job);
-  if (job->answer != FinalAnswer::kNone) return;  // it does not change; a later loss shows in the comment
+  if (job->answer != FinalAnswer::kNone) return;  // it does not change; the comment shows a later loss
   job->answer = answer;
   Log({.event = logging::LogEvent::kAnswered,
        .job = job->number,
@@ -142,7 +142,7 @@
   if (jobs_.history_size() == 1) timers_.Add(now_ + options_.history_retention, HistoryExpiry{});
   while (jobs_.history_size() > options_.limits.history) {
     const std::uint64_t oldest = jobs_.PopOldestComplete();
-    if (oldest == job->number) break;  // also without a history the newest is shown until the next
+    if (oldest == job->number) break;  // with a limit of 0, the latest complete job is still retained
     ForgetJob(oldest);
   }
 }
@@ -155,7 +155,7 @@
   journal_.MarkForgotten(number);
 }
 
-// ---- The search for a key, see key_search.hpp ----
+// ---- Key search (see key_search.hpp) ----
 
 void JobManager::StartKeySearch(Job* job) {
   const Micros limit = options_.hard_limits[job->spec->task_class];
@@ -169,11 +169,11 @@
 }
 
 void JobManager::RunKeySearchRound(Job* job, KeySearch* search) {
-  const std::vector<NodeId> nodes = nodes_.Present();
+  const std::vector<NodeId> nodes = nodes_.PresentNodes();
   search->BeginRound(now_, nodes);
   for (const NodeId node : nodes) outputs_.emplace_back(FindKey{node, job->number, job->spec->key});
   const Micros interval = options_.key_search_interval;
-  const Micros earliest = std::max(search->horizon(), now_ + interval / kMinRoundShare);
+  const Micros earliest = std::max(search->horizon(), now_ + interval / kMinRoundDivisor);
   timers_.Add(std::min(now_ + interval, earliest), KeySearchRound{job->number, job->timer_generation});
 }
 
--- a/src/job_manager/job_manager.cpp
+++ b/src/job_manager/job_manager.cpp
@@ -8,11 +8,12 @@
 namespace mountflow::job_manager {
 namespace {
 
-constexpr std::uint64_t kRandomStream = 0x5851f42d4c957f2dU;  // sets the draws apart from the scheduler's
-// Ids must not repeat over restarts, also where nothing is stored: numbers start at the wall clock in this
-// unit and go up by one, so that an incarnation would have to accept 100,000 jobs a second on the whole to
-// run into the next one.
-constexpr Micros kNumberUnit = 10;
+// Makes the draws of the job manager independent of those of the scheduler.
+constexpr std::uint64_t kRandomStreamSeed = 0x5851f42d4c957f2dU;
+// Job numbers must not repeat after a restart, even if nothing is stored. The first number of an incarnation
+// is the wall time in this unit, and each new job increments it by one. Numbers would repeat only if an
+// incarnation accepted more than 100,000 jobs per second on average over its life.
+constexpr Micros kMicrosPerJobNumber = 10;
 
 SubmitResult Rejected(CommandResult verdict, std::uint64_t job, std::string reason) {
   return {verdict, job, std::move(reason)};
@@ -39,14 +40,14 @@
 JobManager::JobManager(JobManagerOptions options, std::uint64_t seed, Micros now)
     : options_(std::move(options)),
       ids_(options_.server),
-      random_(seed ^ kRandomStream),
+      random_(seed ^ kRandomStreamSeed),
       now_(now),
       scheduler_(options_.settings, seed),
-      jobs_({options_.limits.jobs, options_.limits.script_bytes}, now / kNumberUnit),
+      jobs_({options_.limits.jobs, options_.limits.script_bytes}, now / kMicrosPerJobNumber),
       nodes_(options_.limits.reconciliations),
       journal_(options_.durable) {}
 
-// ---- Reading ----
+// ---- Read access ----
 
 void JobManager::ForEach(std::uint64_t from, const std::function<bool(const Job&)>& visit) const {
   for (auto it = jobs_.jobs().lower_bound(from); it != jobs_.jobs().end(); ++it) {
@@ -94,21 +95,21 @@
 
 SubmitResult JobManager::CheckSubmission(std::uint64_t number, const JobSpec& spec) const {
   if (!submissions_.accepting) {
-    return Rejected(CommandResult::kStopping, number, "the daemon is going down");
+    return Rejected(CommandResult::kStopping, number, "the daemon is shutting down");
   }
   if (Find(number) != nullptr) {
-    return Rejected(CommandResult::kExists, number, "a job with this id is here");
+    return Rejected(CommandResult::kExists, number, "a job with this id already exists");
   }
   if (spec.task_class >= options_.settings.classes.size() || number == 0) {
-    return Rejected(CommandResult::kBadValue, number, "no such queue or job number");
+    return Rejected(CommandResult::kBadValue, number, "unknown queue or invalid job number");
   }
-  // Danger: a commit that waited in a stalled daemon's buffer would start a job whose client has long
-  // submitted it elsewhere.
+  // A commit may have waited in the buffer of a stalled daemon. Its client may have submitted the job to
+  // another daemon since then, and the job would run twice.
   if (spec.client_deadline != 0 && now_ >= spec.client_deadline) {
     return Rejected(CommandResult::kBadState, number, "the owner's time was over before the commit was read");
   }
   if (const std::uint64_t existing = FindJobByKey(spec.user, spec.key); existing != 0) {
-    return Rejected(CommandResult::kExists, existing, "a job with this key is here");
+    return Rejected(CommandResult::kExists, existing, "a job with this key already exists");
   }
   if (submissions_.admission_check) {
     const std::string reason = submissions_.admission_check(spec);
@@ -117,9 +118,11 @@
   if (!submissions_.rejection.empty()) {
     return Rejected(CommandResult::kFull, number, submissions_.rejection);
   }
-  if (jobs_.IsFull()) return Rejected(CommandResult::kFull, number, "as many jobs as this daemon holds");
-  if (!jobs_.HasRoomForScript(spec.script.size())) {
-    return Rejected(CommandResult::kFull, number, "as many bytes of scripts as this daemon holds");
+  if (jobs_.IsFull())
+    return Rejected(CommandResult::kFull, number, "the maximum number of jobs of this daemon is reached");
+  if (!jobs_.HasSpaceForScript(spec.script.size())) {
+    return Rejected(CommandResult::kFull, number,
+                    "the maximum size of all job scripts of this daemon is reached");
   }
   return {CommandResult::kOk, number, ""};
 }
@@ -154,7 +157,7 @@
   if (membership.size != membership_.size || membership.index != membership_.index) {
     Log({.event =
              membership.index < 0 ? logging::LogEvent::kGroupIndexUnknown : logging::LogEvent::kGroupChanged,
-         .text = membership.undisturbed ? "no daemon came or left" : "",
+         .text = membership.undisturbed ? "no daemon joined or left" : "",
          .fields = {{logging::kGroupSizeField, membership.size},
                     {logging::kGroupIndexField, membership.index}}});
   }
@@ -186,9 +189,9 @@
 void JobManager::Fire(const JobWakeup& timer) {
   Job* job = jobs_.Find(timer.job);
   if (job == nullptr || job->timer_generation != timer.generation || job->state != JobState::kWaiting) return;
-  // Without a node list the scheduler would reject what an earlier incarnation accepted.
-  const bool lacks_nodes = job->restored && !has_node_list_;
-  if (!job->awaiting_attempts || (!job->HasOpenAttempt() && !lacks_nodes)) return Advance(job);
+  // Without a node list the scheduler would reject a job that an earlier incarnation had accepted.
+  const bool lacks_node_list = job->restored && !has_node_list_;
+  if (!job->awaiting_attempts || (!job->HasOpenAttempt() && !lacks_node_list)) return Advance(job);
   if (now_ < job->deadline) {
     return timers_.Add(std::min(now_ + options_.key_search_interval, job->deadline), timer);
   }
@@ -199,7 +202,7 @@
   Close(job);
 }
 
-void JobManager::Fire(const AttemptQuestion& timer) {
+void JobManager::Fire(const StopOrQueryRetry& timer) {
   const auto [job, attempt] = FindAttempt(timer.attempt);
   if (attempt == nullptr) return;
   if (attempt->stopping) {
@@ -228,7 +231,7 @@
   node->present = false;
   node->reconciling = false;
   nodes_.EndReconciliation(node);
-  AskNextNodes();
+  StartNextReconciliations();
   nodes_.Erase(timer.node);
 }
 
--- a/src/job_manager/journal.cpp
+++ b/src/job_manager/journal.cpp
@@ -8,16 +8,16 @@
 namespace {
 
 constexpr std::uint8_t kVersion = 1;
-constexpr std::size_t kNumberOffset = 2;  // after the kind and the version
+constexpr std::size_t kNumberOffset = 2;  // the job number follows the kind and the version
 constexpr std::size_t kMinRecordSize = 3;
-constexpr unsigned char kContinues = 0x80;  // set in each byte of a number but the last
-constexpr std::string_view kStates = "QHWREC";
+constexpr unsigned char kContinuationBit = 0x80;  // set in each byte of a number except the last
+constexpr std::string_view kStateLetters = "QHWREC";
 
 using Reader = storage::FieldReader;
 using Writer = storage::FieldWriter;
 
-// One list of fields for both directions. Their order is that of the stored bytes; their names are used in
-// errors only.
+// Visits the fields in the order in which they are stored; both the writer and the reader use this function.
+// The field names are used only in errors.
 template <typename Archive, typename Spec>
 void VisitSpec(Archive& archive, Spec& spec) {
   archive("name", spec.name);
@@ -83,14 +83,16 @@
   return record;
 }
 
-// Size in bytes of the number of variable length at the beginning of `text`, which may be cut.
+// Returns the size in bytes of the variable-length number at the start of `text`. If the text ends within the
+// number, the result is larger than the text.
 std::size_t NumberSize(std::string_view text) {
   std::size_t last = 0;
-  while (last < text.size() && (static_cast<unsigned char>(text[last]) & kContinues) != 0) ++last;
+  while (last < text.size() && (static_cast<unsigned char>(text[last]) & kContinuationBit) != 0) ++last;
   return last + 1;
 }
 
-tl::unexpected<JournalError> Unknown(JournalErrorCode code, std::string_view record, std::size_t offset) {
+tl::unexpected<JournalError> UnknownValue(JournalErrorCode code, std::string_view record,
+                                          std::size_t offset) {
   JournalError error;
   error.code = code;
   error.size = record.size();
@@ -107,7 +109,7 @@
   return tl::unexpected(std::move(error));
 }
 
-std::string Found(const JournalError& error) {
+std::string DescribeFound(const JournalError& error) {
   return error.found < 0 ? "a record of " + std::to_string(error.size) + " bytes"
                          : std::to_string(error.found);
 }
@@ -115,14 +117,14 @@
 }  // namespace
 
 std::string Describe(const JournalError& error) {
-  const std::string configured = "' to be configured until it is over";
+  const std::string configured = "' to be configured until the job is complete";
   switch (error.code) {
     case JournalErrorCode::kUnknownKind:
-      return "kind at byte 0: 1 to 3, not " + Found(error);
+      return "kind at byte 0: 1 to 3, not " + DescribeFound(error);
     case JournalErrorCode::kUnknownVersion:
-      return "version at byte 1: " + std::to_string(kVersion) + ", not " + Found(error);
+      return "version at byte 1: " + std::to_string(kVersion) + ", not " + DescribeFound(error);
     case JournalErrorCode::kUnknownState:
-      return "state: one of " + std::string(kStates) + ", not the byte " + Found(error);
+      return "state: one of " + std::string(kStateLetters) + ", not the byte " + DescribeFound(error);
     case JournalErrorCode::kBadField:
       return error.detail + " (in a record of " + std::to_string(error.size) + " bytes)";
     case JournalErrorCode::kUnknownQueue:
@@ -152,10 +154,10 @@
 
 tl::expected<JournalRecord, JournalError> ReadRecord(std::string_view record) {
   if (record.size() < kMinRecordSize || record[0] < 1 || record[0] > 3) {
-    return Unknown(JournalErrorCode::kUnknownKind, record, 0);
+    return UnknownValue(JournalErrorCode::kUnknownKind, record, 0);
   }
   if (static_cast<std::uint8_t>(record[1]) != kVersion) {
-    return Unknown(JournalErrorCode::kUnknownVersion, record, 1);
+    return UnknownValue(JournalErrorCode::kUnknownVersion, record, 1);
   }
   JournalRecord read;
   read.kind = static_cast<RecordKind>(record[0]);
@@ -166,8 +168,8 @@
   std::string_view rest = record.substr(kNumberOffset + number_size);
   if (read.kind == RecordKind::kState) {
     const std::size_t state_at = record.size() - rest.size();
-    if (rest.empty() || kStates.find(rest[0]) == std::string_view::npos) {
-      return Unknown(JournalErrorCode::kUnknownState, record, state_at);
+    if (rest.empty() || kStateLetters.find(rest[0]) == std::string_view::npos) {
+      return UnknownValue(JournalErrorCode::kUnknownState, record, state_at);
     }
     read.state.state = static_cast<JobState>(rest[0]);
     rest.remove_prefix(1);
--- a/src/job_manager/key_index.hpp
+++ b/src/job_manager/key_index.hpp
@@ -1,9 +1,9 @@
-// Which job has an idempotency key. A key belongs to its user: two users may use the same.
+// Maps idempotency keys to jobs. Keys are separate for each user: two users may use the same key.
 //
-// Bound: one entry a job with a key, so at most as many as there are jobs; the caller removes the entry of a
-// job that it forgets.
+// Bound: at most one entry for each job that has a key. The caller removes the entry of a job that it
+// forgets.
 //
-// Called by JobManager alone; not safe to share between threads.
+// Used by JobManager only; not thread-safe.
 #ifndef MOUNTFLOW_JOB_MANAGER_KEY_INDEX_HPP_
 #define MOUNTFLOW_JOB_MANAGER_KEY_INDEX_HPP_
 
@@ -15,16 +15,18 @@
 
 namespace mountflow::job_manager {
 
-// A user and a key as one text, unambiguous because a user's name has no zero byte.
+// Joins a user and a key into one text, separated by a zero byte. The result is unambiguous because the name
+// of a user contains no zero byte.
 std::string QualifiedKey(const std::string& user, const std::string& key);
 
 class KeyIndex {
  public:
-  // The job takes the key from whatever job had it. A specification without a key is left out.
+  // Maps the key of `spec` to the job, and replaces an earlier job with the same key. Does nothing if `spec`
+  // has no key.
   void Add(std::uint64_t job, const JobSpec& spec);
-  // Does nothing if another job has taken the key.
+  // Removes the key of `spec`, unless it is mapped to another job.
   void Remove(std::uint64_t job, const JobSpec& spec);
-  // 0: no job has it.
+  // Returns the job with this key, or 0 if there is none.
   std::uint64_t Find(const std::string& user, const std::string& key) const;
   std::size_t size() const { return jobs_.size(); }
 
--- a/src/job_manager/key_search.cpp
+++ b/src/job_manager/key_search.cpp
@@ -5,16 +5,19 @@
 namespace mountflow::job_manager {
 
 void KeySearch::BeginRound(Micros now, const std::vector<NodeId>& nodes) {
-  asked_ = std::set<NodeId>(nodes.begin(), nodes.end());
-  answered_.clear();
-  round_began_ = now;
+  queried_ = std::set<NodeId>(nodes.begin(), nodes.end());
+  nodes_without_key_.clear();
+  round_start_ = now;
 }
 
-void KeySearch::RemoveNodesIf(const std::function<bool(NodeId)>& gone) { std::erase_if(asked_, gone); }
+void KeySearch::RemoveNodesIf(const std::function<bool(NodeId)>& has_left) {
+  std::erase_if(queried_, has_left);
+}
 
 bool KeySearch::IsConclusive() const {
-  if (asked_.empty() || round_began_ < horizon_) return false;
-  return std::includes(answered_.begin(), answered_.end(), asked_.begin(), asked_.end());
+  if (queried_.empty() || round_start_ < horizon_) return false;
+  return std::includes(nodes_without_key_.begin(), nodes_without_key_.end(), queried_.begin(),
+                       queried_.end());
 }
 
 KeySearch& KeySearches::Start(std::uint64_t job, Micros horizon) {
--- a/src/job_manager/messages.hpp
+++ b/src/job_manager/messages.hpp
@@ -1,7 +1,7 @@
-// The messages that the job manager exchanges with its caller: values only.
+// The messages between the job manager and its caller. Plain data types.
 //
-// The caller carries out outputs in their order. A request to a node is answered by the message that
-// its comment names; node messages may come late, twice or never.
+// The caller carries out the outputs in order. The comment on each request to a node names the messages that
+// answer it. Messages from nodes may arrive late, twice or never.
 #ifndef MOUNTFLOW_JOB_MANAGER_MESSAGES_HPP_
 #define MOUNTFLOW_JOB_MANAGER_MESSAGES_HPP_
 
@@ -19,54 +19,55 @@
 
 // ---- Outputs to nodes ----
 
-// Submit the job up to and including "ready to commit". Answered by AttemptPrepared, AttemptRejected or
-// AttemptDisconnected.
+// Submits the job to the node, up to and including "ready to commit". Answered by AttemptPrepared,
+// AttemptRejected or AttemptDisconnected.
 struct PrepareAttempt {
   AttemptId attempt;
   NodeId node = 0;
 };
-// Start what was prepared. Answered by AttemptCommitted, AttemptRejected or AttemptDisconnected.
+// Commits a prepared attempt, so that the node starts it. Answered by AttemptCommitted, AttemptRejected or
+// AttemptDisconnected.
 struct CommitAttempt {
   AttemptId attempt;
   NodeId node = 0;
 };
-// Before any commit: the node forgets the attempt. Not answered.
+// Makes the node discard an attempt for which no commit was sent. Not answered.
 struct AbandonAttempt {
   AttemptId attempt;
   NodeId node = 0;
 };
-// Answered by StopAnswered or StopFailed.
+// Stops an attempt. Answered by StopAnswered or StopFailed.
 struct StopAttempt {
   AttemptId attempt;
   NodeId node = 0;
 };
-// Not answered.
+// Sends a signal to a running attempt. Not answered.
 struct SignalAttempt {
   AttemptId attempt;
   NodeId node = 0;
   std::string signal;
 };
-// Answered by QueryAnswered or QueryFailed. An attempt that the node does not have can never be accepted
-// later.
+// Queries whether the node has the attempt. If it does not, it never accepts the attempt later. Answered by
+// QueryAnswered or QueryFailed.
 struct QueryAttempt {
   AttemptId attempt;
   NodeId node = 0;
 };
-// Which attempts does the node hold? Answered by NodeReconciled or ReconcileFailed.
+// Requests the list of the attempts that the node holds. Answered by NodeReconciled or ReconcileFailed.
 struct ReconcileNode {
   NodeId node = 0;
 };
-// Does the node hold an attempt with this key? Answered by FindKeyAnswered.
+// Queries whether the node holds an attempt with this key. Answered by FindKeyAnswered.
 struct FindKey {
   NodeId node = 0;
-  std::uint64_t job = 0;  // for which it is searched
+  std::uint64_t job = 0;  // job of this daemon that the search is for
   std::string key;
 };
-// Answered by NodeHealthChecked.
+// Checks the health of a node. Answered by NodeHealthChecked.
 struct CheckNodeHealth {
   NodeId node = 0;
 };
-// The node is gone for good: connections and all else about it may go. Not answered.
+// The node was removed. The caller may close its connections and discard all state of the node. Not answered.
 struct ForgetNode {
   NodeId node = 0;
 };
@@ -77,23 +78,25 @@
 struct JobAnswered {
   std::uint64_t job = 0;
 };
+// The job is complete.
 struct JobCompleted {
   std::uint64_t job = 0;
 };
-// (Re)read the node list. Answered by a NodeListEvent.
+// Reads the node list, possibly again. Answered by a NodeListEvent.
 struct ReadNodeList {
-  bool follow = true;  // and watch it from there
+  bool follow = true;  // also watch the list from then on
 };
-// A record for the log. `event` decides its level.
+// A log entry. `event` determines its level.
 struct LogEntry {
   logging::LogEvent event = logging::LogEvent::kStarted;
   std::uint64_t job = 0;      // 0: none
   std::uint32_t attempt = 0;  // 0: none
   std::string node{};         // empty: none
   std::string text{};
-  std::vector<logging::LogField> fields{};  // others than the above
+  std::vector<logging::LogField> fields{};  // further fields of the event
 };
-// An attempt of ours reserved capacity at a node, whatever became of it.
+// The capacity that an attempt of this daemon used at a node, whether or not the attempt was successful.
+// `started` and `ended` are wall times by the node's clock.
 struct ResourceUsage {
   AttemptId attempt;
   NodeId node = 0;
@@ -111,63 +114,74 @@
 
 // ---- Inputs from nodes ----
 
-// The node has reserved capacity and waits for the commit.
+// The node has reserved capacity for the attempt and waits for the commit.
 struct AttemptPrepared {
   AttemptId attempt;
 };
+// The node rejected the attempt, before or after the commit.
 struct AttemptRejected {
   AttemptId attempt;
   RejectionReason cause = RejectionReason::kUnspecified;
-  std::string reason;  // the node's text
+  std::string reason;  // text from the node
   LoadReport report;
-  bool error = false;  // it answered the commit with an error: it may have run
+  bool error = false;  // the node answered with an error; the attempt may have run if it was committed
 };
+// The node has accepted the attempt.
 struct AttemptCommitted {
   AttemptId attempt;
 };
 // The connection failed while the attempt was in flight.
 struct AttemptDisconnected {
   AttemptId attempt;
-  bool sent = false;  // the commit went out before
+  bool sent = false;  // the commit was sent before the failure
 };
+// The node's answer to StopAttempt.
 struct StopAnswered {
   AttemptId attempt;
-  bool known = false;  // the node had it; its end is reported by AttemptFinished
+  bool known = false;  // the node has the attempt; AttemptFinished reports its end
 };
+// The node could not be reached, or did not answer StopAttempt.
 struct StopFailed {
   AttemptId attempt;
 };
+// The node's answer to QueryAttempt.
 struct QueryAnswered {
   AttemptId attempt;
-  bool found = false;
+  bool found = false;  // the node has the attempt
 };
+// The node could not be reached, or did not answer QueryAttempt.
 struct QueryFailed {
   AttemptId attempt;
 };
-// One entry of a node's own list.
+// One entry of the list of attempts that a node reports.
 struct ReportedAttempt {
   AttemptId attempt;
   JobSpec spec;
-  bool ended = false;  // its AttemptFinished is on the way
+  bool ended = false;  // the attempt has ended; its AttemptFinished message follows
 };
+// The node's answer to ReconcileNode.
 struct NodeReconciled {
   NodeId node = 0;
-  Micros started = 0;  // the node's start
+  Micros started = 0;  // when the node's current incarnation started
   std::vector<ReportedAttempt> held;
 };
+// The node could not be reached, or did not answer ReconcileNode.
 struct ReconcileFailed {
   NodeId node = 0;
 };
+// The node's answer to FindKey, or the failure to get one.
 struct FindKeyAnswered {
   NodeId node = 0;
-  std::uint64_t job = 0;  // for which it was searched
-  bool reached = false;   // the node answered
+  std::uint64_t job = 0;  // job of this daemon that the search is for
+  bool reached = false;   // the node answered; false: no answer
   bool found = false;
-  AttemptId attempt;   // where it runs: possibly another daemon's
-  std::string server;  // that daemon's name
+  AttemptId attempt;   // attempt with the key, possibly of another daemon
+  std::string server;  // name of the daemon that the attempt belongs to
   std::string key;
 };
+// Why an attempt ended.
 enum class EndReason { kExited, kKilled, kEvicted, kPreempted, kDrained, kError, kLost };
+// The node reports the end of an attempt that it had accepted.
 struct AttemptFinished {
   AttemptId attempt;
   EndReason reason = EndReason::kExited;
@@ -177,10 +191,11 @@
   Micros started = 0;  // wall time by the node's clock; 0: not known
   Micros ended = 0;
 };
+// The result of CheckNodeHealth.
 struct NodeHealthChecked {
   NodeId node = 0;
   bool answered = false;
-  Micros elapsed = 0;
+  Micros elapsed = 0;  // time until the answer, in microseconds
   LoadReport report;
 };
 
@@ -190,20 +205,21 @@
 
 // ---- The node list ----
 
+// One node as the node list describes it.
 struct ListedNode {
   std::string name;
   std::string address;  // host:port of its batch port
   std::string rack;
-  std::string room;  // its zone, by the name of the node list's field
+  std::string room;  // name of the node's zone; the node list calls this field "room"
   std::string kind;
-  Micros started = 0;  // wall time; 0: long ago
+  Micros started = 0;  // wall time of the node's start; 0: long ago
   NodeState state = NodeState::kReady;
   double free_cores = 0.0;
   double free_memory = 0.0;
 };
-// One event of the node list as the registry client hands it on: nodes by name and address. The platform's
-// counterpart is platform::NodeListEvent (its own protocol's fields); both become the scheduler's
-// NodeListUpdate, which knows nodes by number only.
+// An event of the node list, as the registry client reports it, with the names and addresses of the nodes.
+// The counterpart for the platform's protocol is platform::NodeListEvent. Both are converted to the
+// scheduler's NodeListUpdate, which identifies nodes by number only.
 struct NodeListEvent {
   NodeListKind kind = NodeListKind::kSnapshot;
   std::vector<ListedNode> nodes;
--- a/src/job_manager/node_table.cpp
+++ b/src/job_manager/node_table.cpp
@@ -16,7 +16,7 @@
   return it == nodes_.end() ? nullptr : &it->second;
 }
 
-std::vector<NodeId> NodeTable::Present() const {
+std::vector<NodeId> NodeTable::PresentNodes() const {
   std::vector<NodeId> present;
   for (const auto& [id, node] : nodes_) {
     if (node.present) present.push_back(id);
--- a/src/job_manager/random_source.hpp
+++ b/src/job_manager/random_source.hpp
@@ -1,6 +1,7 @@
-// Uniform draws that depend on the seed alone (SplitMix64), so that equal inputs give equal outputs.
+// A pseudorandom number generator (SplitMix64). The numbers depend only on the seed, so that equal inputs of
+// the job manager give equal outputs.
 //
-// Called by JobManager alone; not safe to share between threads.
+// Used by JobManager only; not thread-safe.
 #ifndef MOUNTFLOW_JOB_MANAGER_RANDOM_SOURCE_HPP_
 #define MOUNTFLOW_JOB_MANAGER_RANDOM_SOURCE_HPP_
 
@@ -12,7 +13,7 @@
  public:
   explicit RandomSource(std::uint64_t seed) : state_(seed) {}
 
-  // In [0, 1).
+  // Returns the next number, uniformly distributed in [0, 1).
   double Draw() {
     state_ += 0x9e3779b97f4a7c15U;
     std::uint64_t mixed = state_;
--- a/src/job_manager/reconciliation.cpp
+++ b/src/job_manager/reconciliation.cpp
@@ -1,4 +1,4 @@
-// The node list, nodes that are lost or start anew, and what nodes report to hold.
+// The node list, nodes that are lost or restart, and the attempts that nodes report.
 #include <xxhash.h>
 
 #include <algorithm>
@@ -10,12 +10,12 @@
 namespace mountflow::job_manager {
 namespace {
 
-constexpr double kRetrySpread = 0.25;  // a retry is delayed by up to this share more, drawn
+constexpr double kRetryJitter = 0.25;  // a retry is delayed by up to this additional share, at random
 constexpr std::uint64_t kRackHashSeed = 1;
 constexpr const char* kNodeGone = "lost with its node, which is gone";
 constexpr const char* kNodeRestarted = "lost with its node, which started anew";
 
-// The position of a name; the size of the list if it is not there.
+// Returns the index of the name, or the size of the list if the name is not in it.
 unsigned IndexOf(const std::vector<std::string>& names, const std::string& name) {
   return static_cast<unsigned>(std::find(names.begin(), names.end(), name) - names.begin());
 }
@@ -37,21 +37,22 @@
   return entry;
 }
 
-void JobManager::HandleNodeList(Micros now, const NodeListEvent& view) {
+void JobManager::HandleNodeList(Micros now, const NodeListEvent& event) {
   AdvanceTime(now);
-  NodeListOutcome change;
-  change.update.kind = view.kind;
-  if (view.kind == NodeListKind::kUnavailable) {
-    scheduler_.QueueEvent(change.update);
+  NodeListOutcome outcome;
+  outcome.update.kind = event.kind;
+  if (event.kind == NodeListKind::kUnavailable) {
+    scheduler_.QueueEvent(outcome.update);
     return RunScheduler();
   }
   has_node_list_ = true;
-  for (const ListedNode& listed : view.nodes) ApplyListedNode(listed, &change);
-  if (view.kind != NodeListKind::kDelta) AddMissingNodes(view.kind, &change);
-  scheduler_.QueueEvent(change.update);
-  // The scheduler receives the list first: what is lost now may be requested again in the same turn.
+  for (const ListedNode& listed : event.nodes) ApplyListedNode(listed, &outcome);
+  if (event.kind != NodeListKind::kDelta) AddMissingNodes(event.kind, &outcome);
+  scheduler_.QueueEvent(outcome.update);
+  // The scheduler receives the list before the lost nodes are handled, because tasks that were lost with them
+  // may be requested again in the same turn.
   RunScheduler();
-  for (const auto& [id, reason] : change.lost) HandleNodeGone(id, reason);
+  for (const auto& [id, reason] : outcome.lost) HandleNodeRemoved(id, reason);
   RunScheduler();
 }
 
@@ -66,49 +67,51 @@
   if (known->listed.name == listed.name) return true;
   Log({.event = logging::LogEvent::kNodeSkipped,
        .node = listed.name,
-       .text = "it has the same node id as " + known->listed.name + "; rename one"});
+       .text = "its node id equals that of " + known->listed.name + "; rename one of the two"});
   return false;
 }
 
-void JobManager::ApplyListedNode(const ListedNode& listed, NodeListOutcome* change) {
+void JobManager::ApplyListedNode(const ListedNode& listed, NodeListOutcome* outcome) {
   const NodeId id = NodeIdOf(listed.name);
   if (!IsAccepted(id, listed)) return;
   NodeRecord& node = nodes_.FindOrCreate(id);
-  change->listed.insert(id);
+  outcome->listed.insert(id);
   const bool is_gone = listed.state == NodeState::kGone;
-  // Danger: the list is late. An entry from before a start that the node itself reported must not undo it.
+  // The list lags behind the nodes. An entry with an older start time must not replace a start time that the
+  // node itself has reported.
   if (node.present && listed.started < node.listed.started && !is_gone) return;
   const bool restarted = node.present && listed.started != node.listed.started;
   const bool appeared = !node.present && !is_gone;
-  // Attempts of an earlier incarnation of this daemon, at an incarnation of the node that is over.
-  const bool restarted_since =
+  // The node has restarted since it received the restored attempts.
+  const bool restarted_while_awaited =
       node.awaited && !is_gone && node.listed.started != 0 && listed.started > node.listed.started;
-  if (is_gone && node.awaited) change->lost.emplace_back(id, kNodeGone);
-  const bool went = node.present && is_gone;
+  if (is_gone && node.awaited) outcome->lost.emplace_back(id, kNodeGone);
+  const bool left_list = node.present && is_gone;
   node.awaited = false;
   node.listed = listed;
   if (!is_gone) node.present = true;
-  if (restarted_since) HandleNodeRestart(id, listed.started);
+  if (restarted_while_awaited) HandleNodeRestart(id, listed.started);
   if (restarted) HandleNodeRestart(id, listed.started);
-  if (went) change->lost.emplace_back(id, kNodeGone);
+  if (left_list) outcome->lost.emplace_back(id, kNodeGone);
   if (appeared || restarted) {
     node.reconciled = false;
     Reconcile(id);
   }
-  change->update.nodes.push_back(EntryOf(id, node.listed));
+  outcome->update.nodes.push_back(EntryOf(id, node.listed));
 }
 
-void JobManager::AddMissingNodes(NodeListKind kind, NodeListOutcome* change) {
+void JobManager::AddMissingNodes(NodeListKind kind, NodeListOutcome* outcome) {
   for (auto& [id, node] : nodes_.nodes()) {
     const bool awaited = node.awaited && kind == NodeListKind::kSnapshot;
     if (awaited) node.awaited = false;
-    if ((node.present || awaited) && change->listed.count(id) == 0) change->lost.emplace_back(id, kNodeGone);
+    if ((node.present || awaited) && outcome->listed.count(id) == 0)
+      outcome->lost.emplace_back(id, kNodeGone);
   }
 }
 
 // ---- Lost nodes ----
 
-void JobManager::HandleNodeGone(NodeId id, const char* reason) {
+void JobManager::HandleNodeRemoved(NodeId id, const char* reason) {
   NodeRecord& node = nodes_.FindOrCreate(id);
   node.present = false;
   ++node.removal_generation;
@@ -127,8 +130,9 @@
   }
 }
 
-// Only the list says that the node is gone: the attempt may run on behind a broken network. It is reported as
-// lost, and stopped if the node can be reached; it counts as ended at the NodeRemoval.
+// The node list is the only evidence that the node is gone; after a network failure the attempt may still be
+// running. It is reported as lost, and stopped if the node can be reached. It is considered ended when the
+// NodeRemoval timer fires.
 void JobManager::HandleUnreachableAttempt(Job* job, Attempt* attempt, const char* reason) {
   const bool was_running = attempt->phase == AttemptPhase::kRunning && !attempt->outcome_reported;
   ReportOutcome(job, attempt, {AttemptResult::kLost});
@@ -167,25 +171,25 @@
 
 void JobManager::Reconcile(NodeId id) {
   nodes_.QueueReconciliation(id);
-  AskNextNodes();
+  StartNextReconciliations();
 }
 
-void JobManager::AskNextNodes() {
+void JobManager::StartNextReconciliations() {
   for (const NodeId id : nodes_.StartReconciliations(now_)) outputs_.emplace_back(ReconcileNode{id});
 }
 
 void JobManager::Handle(const ReconcileFailed& message) {
   NodeRecord* node = nodes_.Find(message.node);
   if (node == nullptr) return;
-  // A broken session without a question in flight says nothing of the one that waits its turn.
+  // No reconciliation is in flight, so this failure does not concern the one that is queued.
   if (node->reconciling && !node->reconcile_in_flight) return;
   node->reconciling = false;
   node->reconciled = false;
   nodes_.EndReconciliation(node);
-  AskNextNodes();
+  StartNextReconciliations();
   if (!node->present) return;
   const Micros delay = BackoffDelay(options_.reconcile_retry_delay, node->reconcile_failures++);
-  const auto spread = static_cast<Micros>(static_cast<double>(delay) * kRetrySpread * random_.Draw());
+  const auto spread = static_cast<Micros>(static_cast<double>(delay) * kRetryJitter * random_.Draw());
   timers_.Add(now_ + delay + spread, ReconcileRetry{message.node});
 }
 
@@ -196,10 +200,10 @@
   node->reconciled = true;
   node->reconcile_failures = 0;
   nodes_.EndReconciliation(node);
-  AskNextNodes();
+  StartNextReconciliations();
   if (message.started > node->listed.started && node->present) {
-    // The node reports that it started anew, and the list will say so later. The scheduler must know now: the
-    // node is warming up.
+    // The node reports a restart that the list will contain only later. The scheduler must know it now,
+    // because the node is warming up.
     node->listed.started = message.started;
     NodeListUpdate update;
     update.kind = NodeListKind::kDelta;
@@ -221,7 +225,7 @@
   if (attempt == nullptr) {
     if (reported.ended) return;
     if (job == nullptr) return AdoptReported(node, reported);
-    // The job is known and this attempt of it has ended: nobody waits for it.
+    // The job is known, but this attempt of it has ended for the daemon: its result is not needed.
     outputs_.emplace_back(StopAttempt{reported.attempt, node});
     return;
   }
@@ -237,7 +241,7 @@
     if (attempt == nullptr) continue;
     const bool is_reported = reported.count(attempt_id) > 0;
     if (attempt->restored && attempt->phase == AttemptPhase::kInDoubt && !attempt->stopping && !is_reported) {
-      // Its commit may still be on the way to the node: only the answer to a query is final.
+      // The commit may still be in flight to the node; only the answer to a query is final.
       outputs_.emplace_back(QueryAttempt{attempt_id, id});
       continue;
     }
@@ -246,7 +250,7 @@
       continue;
     }
     if (attempt->phase != AttemptPhase::kRunning || is_reported) continue;
-    // What was placed after the question went out may be missing in the answer.
+    // The answer may lack a task that was accepted after the reconciliation was started.
     if (job->placed >= node.reconcile_sent) continue;
     HandleLostTask(job, attempt, {AttemptResult::kLost}, kUnknownToNode);
   }
@@ -295,10 +299,10 @@
        .job = job->number,
        .attempt = attempt->number,
        .node = job->node,
-       .text = "known from before the restart"});
-  job->request = attempt->counted ? attempt->request : ReportRecovered(*job, attempt->node);
+       .text = "restored from the journal"});
+  job->request = attempt->reported_as_recovered ? attempt->request : ReportRecovered(*job, attempt->node);
   attempt->request = job->request;
-  attempt->counted = false;
+  attempt->reported_as_recovered = false;
 }
 
 RequestId JobManager::ReportRecovered(const Job& job, NodeId node) {
--- a/src/job_manager/recovery.cpp
+++ b/src/job_manager/recovery.cpp
@@ -8,9 +8,10 @@
 namespace {
 
 constexpr Micros kMaxRequestSpread = 1'000'000;
-constexpr Micros kRequestSpreadShare = 4;  // at most this part of the time that is left
+constexpr Micros kRequestSpreadDivisor = 4;  // the spread is at most the remaining time divided by this
 
-// Finds the index of a configured name. An empty name leaves the index.
+// Sets `*index` to the position of a configured name. Returns false, and sets `*index` to 0, if the name is
+// not configured. An empty name is accepted and leaves the index unchanged.
 bool ResolveName(const std::vector<std::string>& names, const std::string& name, unsigned* index) {
   if (name.empty()) return true;
   const auto it = std::find(names.begin(), names.end(), name);
@@ -62,7 +63,8 @@
   return {};
 }
 
-// Danger: an order of queues that changed since must not turn a task that is not idempotent into one that is.
+// The class and tenant indexes of the record are not used: if the order of the configured queues has changed,
+// they could turn a task that is not idempotent into an idempotent one.
 tl::expected<void, JournalError> JobManager::ResolveNames(Job* job) {
   JobSpec& spec = *job->spec;
   const auto missing = [this, job](JournalErrorCode code, const std::string& name) {
@@ -101,17 +103,18 @@
   attempt.restored = true;
   attempt.outcome_reported = record.outcome_reported;
   attempt.stopping = record.stopping;
-  // Whatever it was, its messages are lost: only what the node confirmed is certain.
+  // Messages in flight were lost with the earlier incarnation, so an attempt is in doubt unless the node had
+  // accepted it.
   const bool is_running = record.phase == AttemptPhase::kRunning;
   attempt.phase = is_running ? AttemptPhase::kRunning : AttemptPhase::kInDoubt;
   attempt.node = NodeIdOf(record.node);
   attempt.node_started = record.node_started;
   attempt.sent = record.sent;
   attempt.deadline = record.deadline;
-  // Danger: until its node confirms it a task that runs, or may run, would not count for the topology spread
-  // of its service.
+  // Reports a task that runs or may run before its node confirms it. Otherwise it would not count towards the
+  // topology spread of its service until then.
   if (!attempt.outcome_reported && !attempt.stopping) {
-    attempt.counted = true;
+    attempt.reported_as_recovered = true;
     attempt.request = ReportRecovered(*job, attempt.node);
   }
   job->attempts.push_back(attempt);
@@ -123,8 +126,8 @@
   node.listed.started = std::max(node.listed.started, record.node_started);
 }
 
-// The job waits until nothing of it can run and the nodes are known; then it is requested anew, within the
-// wait of its client. The requests are spread over time.
+// Makes the job wait until no attempt of it can run and a node list has been received. It is then requested
+// again, if the wait of its client has not ended. The requests of restored jobs are spread over time.
 void JobManager::WaitForRestoredAttempts(Job* job) {
   const Micros start = std::max(now_, job->spec->due);
   StartClientWait(job, start);
@@ -133,7 +136,7 @@
   SetState(job, JobState::kWaiting);
   ++job->timer_generation;
   const Micros left = job->deadline > start ? job->deadline - start : 0;
-  const Micros spread = std::min(kMaxRequestSpread, left / kRequestSpreadShare);
+  const Micros spread = std::min(kMaxRequestSpread, left / kRequestSpreadDivisor);
   timers_.Add(start + static_cast<Micros>(static_cast<double>(spread) * random_.Draw()),
               JobWakeup{job->number, job->timer_generation});
 }
--- a/src/job_manager/stopping_attempts.hpp
+++ b/src/job_manager/stopping_attempts.hpp
@@ -1,8 +1,8 @@
-// Abandoned attempts, whose nodes get requests to stop them until they answer.
+// The attempts that are being stopped. Stop requests are sent to the node of each until it answers.
 //
-// Bound: the caller gives up on the oldest one beyond its limit.
+// Bound: the caller removes the oldest attempt when its limit is exceeded.
 //
-// Called by JobManager alone; not safe to share between threads.
+// Used by JobManager only; not thread-safe.
 #ifndef MOUNTFLOW_JOB_MANAGER_STOPPING_ATTEMPTS_HPP_
 #define MOUNTFLOW_JOB_MANAGER_STOPPING_ATTEMPTS_HPP_
 
@@ -15,11 +15,12 @@
 
 class StoppingAttempts {
  public:
-  // An attempt that is added again counts from then on.
+  // Adds an attempt. If it was added before, `now` replaces the earlier time.
   void Add(const AttemptId& attempt, Micros now) { since_[attempt] = now; }
   void Remove(const AttemptId& attempt) { since_.erase(attempt); }
   std::size_t size() const { return since_.size(); }
-  // The one that was added first; of several of one time the one with the lowest id. There must be one.
+  // Returns the attempt with the earliest time, and the one with the lowest id among equal times. There must
+  // be at least one attempt.
   AttemptId Oldest() const {
     const auto earlier = [](const auto& a, const auto& b) { return a.second < b.second; };
     return std::min_element(since_.begin(), since_.end(), earlier)->first;
--- a/src/job_manager/timer_queue.hpp
+++ b/src/job_manager/timer_queue.hpp
@@ -1,14 +1,14 @@
-// What the job manager has to do at a later time, in the order of the times; entries of one time in the order
-// in which they were added.
+// The timers of the job manager, ordered by time. Timers with equal times are ordered as they were added.
 //
-// Entries are never removed before they are due: whoever handles one checks that it still applies (by a
-// generation, or by the state of what it refers to). The queue is bounded by that: some entries a job, an
-// attempt, a node and a timer of the scheduler.
+// A timer cannot be cancelled. Instead, its handler checks that the timer still applies, by a generation
+// number or by the state of the object that it refers to. The size of the queue is bounded by a few entries
+// for each job, attempt, node and scheduler timer.
 //
-// Not shared with platform/: there a timer is removed when it no longer applies, and equal times have the
-// order of the ids. Here an entry may be there twice, and a heap is enough because none is removed.
+// The timer queue of platform/ is a different one: it removes a timer that no longer applies, and orders
+// equal times by id. Here the same timer may be added twice, and a heap is sufficient because no timer is
+// cancelled.
 //
-// Called by JobManager alone; not safe to share between threads.
+// Used by JobManager only; not thread-safe.
 #ifndef MOUNTFLOW_JOB_MANAGER_TIMER_QUEUE_HPP_
 #define MOUNTFLOW_JOB_MANAGER_TIMER_QUEUE_HPP_
 
@@ -24,60 +24,61 @@
 
 namespace mountflow::job_manager {
 
-// Set by the scheduler (SetTimer).
+// A timer that the scheduler set by SetTimer.
 struct SchedulerTimer {
   std::uint64_t token = 0;
 };
-// The time of an attempt is over.
+// The deadline of an attempt has passed.
 struct AttemptDeadline {
   AttemptId attempt;
 };
-// A waiting job may be requested, or its client's wait is over.
+// A waiting job may be requested, or the wait of its client has ended.
 struct JobWakeup {
   std::uint64_t job = 0;
   std::uint32_t generation = 0;  // Job::timer_generation
 };
-// The next request to a node to stop an attempt, or to tell whether it has it.
-struct AttemptQuestion {
+// The next stop request, or the next query, for an attempt is due.
+struct StopOrQueryRetry {
   AttemptId attempt;
 };
+// A failed reconciliation is retried.
 struct ReconcileRetry {
   NodeId node = 0;
 };
-// A node that left the list is forgotten, and its attempts count as ended.
+// A node that left the list is forgotten, and its attempts are considered ended.
 struct NodeRemoval {
   NodeId node = 0;
   std::uint32_t generation = 0;  // NodeRecord::removal_generation
 };
-// The oldest complete jobs are forgotten.
+// Complete jobs older than the retention time are forgotten.
 struct HistoryExpiry {};
-// The next query of the nodes for the key of a retry.
+// The next round of a key search is due.
 struct KeySearchRound {
   std::uint64_t job = 0;
   std::uint32_t generation = 0;  // Job::timer_generation
 };
 
-using Timer = std::variant<SchedulerTimer, AttemptDeadline, JobWakeup, AttemptQuestion, ReconcileRetry,
+using Timer = std::variant<SchedulerTimer, AttemptDeadline, JobWakeup, StopOrQueryRetry, ReconcileRetry,
                            NodeRemoval, HistoryExpiry, KeySearchRound>;
 
 class TimerQueue {
  public:
   void Add(Micros at, const Timer& timer);
-  // The time of the earliest entry; the largest value of Micros if there is none.
+  // Returns the time of the earliest timer, or the largest value of Micros if there is none.
   Micros NextDue() const;
-  // Removes the earliest entry, if it is due by `now`.
+  // Removes and returns the earliest timer if its time is at most `now`, and returns nullopt otherwise.
   std::optional<Timer> PopDue(Micros now);
 
  private:
   struct Entry {
     Micros at = 0;
-    std::uint64_t order = 0;  // of adding
+    std::uint64_t order = 0;  // sequence number, in the order of Add calls
     Timer timer;
     bool operator>(const Entry& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
 
   std::priority_queue<Entry, std::vector<Entry>, std::greater<>> entries_;
-  std::uint64_t added_ = 0;
+  std::uint64_t added_ = 0;  // number of timers added so far
 };
 
 }  // namespace mountflow::job_manager
--- a/tests/job_manager/job_manager_node_table_test.cpp
+++ b/tests/job_manager/job_manager_node_table_test.cpp
@@ -28,7 +28,7 @@
   NodeTable nodes(1);
   for (const NodeId id : {9u, 3u, 5u}) AddPresent(&nodes, id);
   nodes.FindOrCreate(5).present = false;
-  EXPECT_EQ(nodes.Present(), (std::vector<NodeId>{3, 9}));
+  EXPECT_EQ(nodes.PresentNodes(), (std::vector<NodeId>{3, 9}));
 }
 
 TEST(NodeTable, GivesEqualIdsToEqualNames) {
--- a/tests/job_manager/job_table_test.cpp
+++ b/tests/job_manager/job_table_test.cpp
@@ -37,11 +37,11 @@
 TEST(JobTable, CountsTheScriptsOfLiveJobsAgainstTheirBound) {
   JobTable jobs({10, 100}, 0);
   Job& job = AddJob(&jobs, 60);
-  EXPECT_TRUE(jobs.HasRoomForScript(40));
-  EXPECT_FALSE(jobs.HasRoomForScript(41));
+  EXPECT_TRUE(jobs.HasSpaceForScript(40));
+  EXPECT_FALSE(jobs.HasSpaceForScript(41));
   jobs.SetState(&job, JobState::kComplete);
   jobs.Retire(&job);
-  EXPECT_TRUE(jobs.HasRoomForScript(100));
+  EXPECT_TRUE(jobs.HasSpaceForScript(100));
   EXPECT_TRUE(job.spec->script.empty());
 }
 
