--- a/src/job_manager/job.hpp
+++ b/src/job_manager/job.hpp
@@ -24,7 +24,7 @@
 // microseconds.
 struct JobSpec {
   std::string name = "STDIN";
-  std::string user;     // owner; only the owner and the operator may manage the job
+  std::string user;     // only this user and the operator may manage the job
   std::string queue;    // name of the job's class
   std::string account;  // name of the job's tenant; empty: the first configured tenant
   std::string service;  // tasks of one service run the same program; empty: the job's name
@@ -82,7 +82,7 @@
 
 // One try to run a job's task at one node.
 struct Attempt {
-  std::uint32_t number = 0;           // counts from 1 over the life of the job; part of the name on the wire
+  std::uint32_t number = 0;           // counts from 1 for each job; part of the name on the wire
   RequestId request = 0;              // the scheduler's request that started it
   std::uint16_t request_attempt = 0;  // the scheduler's attempt number in that request; 0 if recovered
   AttemptPhase phase = AttemptPhase::kPreparing;
@@ -102,7 +102,7 @@
 struct JobStatus {
   JobState state = JobState::kQueued;
   FinalAnswer answer = FinalAnswer::kNone;
-  bool deleted = false;            // by its owner or the operator
+  bool deleted = false;            // by its user or the operator
   bool closing = false;            // no further request is made; the job is complete once no attempt can run
   bool awaiting_attempts = false;  // no further request until no earlier attempt can run
   bool rerun = false;              // a new request follows once the running attempt has ended
--- a/src/job_manager/job_manager.cpp
+++ b/src/job_manager/job_manager.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint64_t kRandomStreamSeed = 0x5851f42d4c957f2dU;
 // Job numbers must not repeat after a restart, even if nothing is stored. The first number of an incarnation
 // is the wall time in this unit, and each new job increments it by one. Numbers would repeat only if an
-// incarnation accepted more than 100,000 jobs per second on average over its life.
+// incarnation accepted more than 100,000 jobs per second on average.
 constexpr Micros kMicrosPerJobNumber = 10;
 
 SubmitResult Rejected(CommandResult verdict, std::uint64_t job, std::string reason) {
--- a/src/job_manager/job_manager.hpp
+++ b/src/job_manager/job_manager.hpp
@@ -116,7 +116,7 @@
   // functions, is wall time in microseconds. The caller ensures that it never decreases from call to call.
   JobManager(JobManagerOptions options, std::uint64_t seed, Micros now);
 
-  // ---- Commands. An empty `user` stands for the operator. ----
+  // ---- Commands. An empty `user` means the operator. ----
 
   // Returns the number for a new submission. No two calls return the same number.
   std::uint64_t NewJobNumber() { return jobs_.NewNumber(); }
--- a/tests/job_manager/job_manager_attempts_test.cpp
+++ b/tests/job_manager/job_manager_attempts_test.cpp
@@ -1,4 +1,4 @@
-// Attempts: one answer a job, and no second run while the first one may go on.
+// Attempts: each job gets one final answer, and no second attempt starts while an earlier one may still run.
 #include <gtest/gtest.h>
 
 #include "tests/support/job_manager_fixture.hpp"
@@ -22,14 +22,14 @@
   fixture.Take(AttemptCommitted{prepare->attempt});
   EXPECT_EQ(fixture.Job(job).state, JobState::kRunning);
   EXPECT_EQ(fixture.Job(job).answer, FinalAnswer::kStarted);
-  fixture.Take(AttemptCommitted{prepare->attempt});  // a second answer of the node
+  fixture.Take(AttemptCommitted{prepare->attempt});  // the node answers twice
   fixture.Take(AttemptPrepared{prepare->attempt});
   EXPECT_EQ(fixture.Answers(job), 1u);
   EXPECT_EQ(fixture.All<CommitAttempt>().size(), 1u);
   fixture.Take(AttemptFinished{prepare->attempt, EndReason::kExited, 3, "", {}});
   EXPECT_EQ(fixture.Job(job).state, JobState::kComplete);
   EXPECT_EQ(fixture.Job(job).exit_status, 3);
-  fixture.Take(AttemptFinished{prepare->attempt, EndReason::kExited, 4, "", {}});  // reported twice
+  fixture.Take(AttemptFinished{prepare->attempt, EndReason::kExited, 4, "", {}});  // a second report
   EXPECT_EQ(fixture.Job(job).exit_status, 3);
   EXPECT_EQ(fixture.All<JobCompleted>().size(), 1u);
 }
@@ -47,14 +47,14 @@
   EXPECT_EQ(fixture.Answers(job), 1u);
 }
 
-// Between "ready to commit" and the commit nothing can run: the daemon alone ends the attempt.
+// An attempt cannot run before its commit, so the daemon ends it without the node's answer.
 TEST_F(AttemptsTest, AbandonsAnAttemptThatIsCancelledBeforeItsCommit) {
   const std::uint64_t job = fixture.Submit(kWithKey, "k");
   const auto prepare = *fixture.Last<PrepareAttempt>();
   EXPECT_EQ(fixture.job_manager.Delete(fixture.now, job, "thandi"), CommandResult::kOk);
   fixture.Collect();
   EXPECT_EQ(fixture.All<AbandonAttempt>().size(), 1u);
-  fixture.Take(AttemptPrepared{prepare.attempt});  // the answer crosses the cancellation
+  fixture.Take(AttemptPrepared{prepare.attempt});  // the node answered before it received the cancellation
   EXPECT_TRUE(fixture.All<CommitAttempt>().empty());
   EXPECT_EQ(fixture.Job(job).answer, FinalAnswer::kDeleted);
   EXPECT_EQ(fixture.Job(job).state, JobState::kComplete);
@@ -62,8 +62,8 @@
   EXPECT_EQ(fixture.job_manager.stopping_attempts(), 0u);
 }
 
-// After the commit the node may have accepted: there is one answer, and the task is stopped until the node
-// reports its end.
+// After the commit the node may have accepted the attempt. The job gets one answer, and stop requests are
+// repeated until the node reports the end.
 TEST_F(AttemptsTest, StopsATaskThatIsCancelledAfterItsCommitUntilTheNodeReportsItsEnd) {
   const std::uint64_t job = fixture.Submit(kWithKey, "k");
   const auto prepare = *fixture.Last<PrepareAttempt>();
@@ -109,9 +109,9 @@
   fixture.Take(AttemptPrepared{first.attempt});
   fixture.Take(AttemptDisconnected{first.attempt, true});
   ASSERT_EQ(fixture.All<QueryAttempt>().size(), 1u);
-  EXPECT_EQ(fixture.All<PrepareAttempt>().size(), 1u);  // nothing goes out while it may run
+  EXPECT_EQ(fixture.All<PrepareAttempt>().size(), 1u);  // no other attempt starts while it may run
   fixture.Take(QueryAnswered{first.attempt, false});
-  ASSERT_EQ(fixture.All<PrepareAttempt>().size(), 2u);  // known not to have run: another node may
+  ASSERT_EQ(fixture.All<PrepareAttempt>().size(), 2u);  // it did not run, so another node is tried
   const auto second = *fixture.Last<PrepareAttempt>();
   EXPECT_NE(second.node, first.node);
   fixture.Take(AttemptPrepared{second.attempt});
@@ -131,7 +131,7 @@
   const Micros start = fixture.now;
   fixture.Run(start + 8 * kSecond);
   EXPECT_EQ(fixture.Job(job).answer, FinalAnswer::kFailed);
-  EXPECT_EQ(fixture.Job(job).state, JobState::kExiting);  // it may still run: stopped until the node answers
+  EXPECT_EQ(fixture.Job(job).state, JobState::kExiting);  // it may still run; it is being stopped
   EXPECT_FALSE(fixture.All<StopAttempt>().empty());
   fixture.Take(AttemptFinished{prepare.attempt, EndReason::kKilled, 271, "", {}});
   EXPECT_EQ(fixture.Job(job).state, JobState::kComplete);
@@ -140,7 +140,7 @@
   EXPECT_EQ(fixture.Answers(job), 1u);
 }
 
-// A keyed repeat must wait until the attempt that may run is settled.
+// A retry of a task with a key must wait until it is known whether the earlier attempt runs.
 TEST_F(AttemptsTest, RetriesATaskWithKeyOnlyOnceTheEarlierAttemptHasEnded) {
   JobSpec spec;
   spec.user = "thandi", spec.task_class = kWithKey, spec.queue = "keyed", spec.service = "s", spec.key = "k";
@@ -149,7 +149,7 @@
   const auto first = *fixture.Last<PrepareAttempt>();
   fixture.Take(AttemptPrepared{first.attempt});
   fixture.Take(AttemptDisconnected{first.attempt, true});
-  // Its other attempts within the window stay in the group; all of them are rejected.
+  // Within the deduplication window other attempts go to the same rack; all of them are rejected.
   const Micros start = fixture.now;
   for (int i = 0; i < 200; ++i) {
     fixture.Run(fixture.now + 100 * kMs);
@@ -162,14 +162,15 @@
   EXPECT_EQ(fixture.Job(job).state, JobState::kWaiting);
   EXPECT_TRUE(fixture.Job(job).awaiting_attempts);
   const std::size_t before = fixture.All<PrepareAttempt>().size();
-  fixture.Take(StopAnswered{first.attempt, false});  // at last the node answers that it does not have it
+  fixture.Take(StopAnswered{first.attempt, false});  // the node answers that it does not have the attempt
   fixture.Run(fixture.now + kSecond);
   EXPECT_EQ(fixture.All<PrepareAttempt>().size(), before + 1);
   EXPECT_EQ(fixture.Answers(job), 0u);
 }
 
-// The scheduler cancels the attempt at a silent node: before the commit it never ran, so that even a task
-// that is not idempotent may go elsewhere; after it, the node is asked to stop it.
+// The scheduler cancels an attempt at a node that does not answer. Before the commit the attempt cannot have
+// run, so even a task that is not idempotent may start at another node. After the commit, the node gets a
+// stop request.
 TEST_F(AttemptsTest, AbandonsOrStopsAnAttemptThatTheSchedulerCancels) {
   JobManagerOptions options = Options();
   options.settings.may_cancel = true;
@@ -191,14 +192,14 @@
   ASSERT_FALSE(stops.empty());
   EXPECT_EQ(stops[0].attempt, keyed.attempt);
   EXPECT_EQ(other.job_manager.stopping_attempts(), 1u);
-  other.Take(
-      AttemptCommitted{keyed.attempt});  // it had accepted after all: it is being stopped, and not reported
+  // The node has accepted the attempt after all. It is being stopped, so the job is not answered as started.
+  other.Take(AttemptCommitted{keyed.attempt});
   EXPECT_NE(other.Job(keyed.attempt.job).answer, FinalAnswer::kStarted);
 }
 
-// Found with a broken scheduler: the report of an attempt that had been given up closed the request while the
-// next attempt was in flight, and the job never got its answer.
-TEST_F(AttemptsTest, KeepsTheRequestOpenWhenAGivenUpAttemptEnds) {
+// Guards against the end of an abandoned attempt closing the request while the next attempt is in flight, so
+// that the job never gets its answer. A broken scheduler revealed this fault.
+TEST_F(AttemptsTest, KeepsTheRequestOpenWhenAnAbandonedAttemptEnds) {
   JobManagerOptions options = Options();
   options.settings.may_cancel = true;
   for (const EndReason reason : {EndReason::kKilled, EndReason::kEvicted}) {
@@ -208,7 +209,7 @@
     const std::uint64_t job = other.Submit(kIdempotent);
     const auto first = *other.Last<PrepareAttempt>();
     other.Take(AttemptPrepared{first.attempt});
-    other.Run(other.now + 1500 * kMs);  // silent: cancelled, and another node is tried
+    other.Run(other.now + 1500 * kMs);  // no answer: cancelled, and another node is tried
     const auto second = *other.Last<PrepareAttempt>();
     ASSERT_FALSE(second.attempt == first.attempt);
     other.Take(AttemptFinished{first.attempt, reason, 271, "", {}});
@@ -225,7 +226,7 @@
 TEST_F(AttemptsTest, DoesNotCommitAnAttemptPreparedAfterItsDeadline) {
   const std::uint64_t job = fixture.Submit(kIdempotent);
   const auto prepare = *fixture.Last<PrepareAttempt>();
-  fixture.now += 9 * kSecond;  // the daemon was suspended, and this is the first it reads
+  fixture.now += 9 * kSecond;  // the daemon was suspended, and this is the first message that it reads
   fixture.Take(AttemptPrepared{prepare.attempt});
   EXPECT_TRUE(fixture.All<CommitAttempt>().empty());
   EXPECT_NE(fixture.Job(job).answer, FinalAnswer::kStarted);
--- a/tests/job_manager/job_manager_commands_test.cpp
+++ b/tests/job_manager/job_manager_commands_test.cpp
@@ -1,4 +1,4 @@
-// What users and operators ask of a job.
+// Commands of users and operators.
 #include <gtest/gtest.h>
 
 #include "tests/support/job_manager_fixture.hpp"
--- a/tests/job_manager/job_manager_journal_test.cpp
+++ b/tests/job_manager/job_manager_journal_test.cpp
@@ -1,4 +1,4 @@
-// The stored form of jobs: what is written is read, and what is damaged is named.
+// The stored format of jobs: written records can be read, and errors describe damaged ones.
 #include <gtest/gtest.h>
 
 #include "job_manager/journal.hpp"
@@ -15,7 +15,7 @@
   return spec;
 }
 
-TEST(Journal, NamesWhatIsNotARecord) {
+TEST(Journal, DescribesTextsThatAreNotRecords) {
   EXPECT_FALSE(ReadRecord(""));
   const auto unknown_kind = ReadRecord(std::string("\7\1\1", 3));
   ASSERT_FALSE(unknown_kind);
@@ -28,7 +28,7 @@
   EXPECT_EQ(Describe(ReadRecord("\1").error()), "kind at byte 0: 1 to 3, not a record of 1 bytes");
 }
 
-TEST(Journal, NamesAnUnknownStateOfAJob) {
+TEST(Journal, ReportsAnUnknownStateOfAJob) {
   StateRecord state;
   std::string record = WriteState(1, state);
   ASSERT_EQ(record[3], 'Q');
@@ -39,7 +39,7 @@
   EXPECT_EQ(read.error().found, 'X');
 }
 
-TEST(Journal, NamesTheFieldAtWhichARecordIsCut) {
+TEST(Journal, ReportsTheFieldAtWhichARecordIsTruncated) {
   const std::string record = WriteSpec(300, SpecWithUncommonValues());
   const auto read = ReadRecord(record.substr(0, record.size() - 1));
   ASSERT_FALSE(read);
@@ -77,7 +77,7 @@
   EXPECT_EQ(read->state.attempts[0].deadline, 3u);
 }
 
-TEST(Journal, RejectsEveryShorterTextAndReadsEveryChangedBitWithoutHarm) {
+TEST(Journal, RejectsEveryTruncatedRecordAndReadsEveryFlippedBitSafely) {
   const std::string whole = WriteSpec(300, SpecWithUncommonValues());
   for (std::size_t i = 0; i < whole.size(); ++i) {
     EXPECT_FALSE(ReadRecord(whole.substr(0, i))) << i;
@@ -89,7 +89,7 @@
   }
 }
 
-TEST(Journal, TakesASnapshotApartAndRejectsOneThatIsCut) {
+TEST(Journal, SplitsASnapshotAndRejectsATruncatedOne) {
   std::string snapshot;
   JoinRecord("first", &snapshot);
   JoinRecord(std::string(200, 'x'), &snapshot);
--- a/tests/job_manager/job_manager_log_entries_test.cpp
+++ b/tests/job_manager/job_manager_log_entries_test.cpp
@@ -1,4 +1,4 @@
-// The events that the job manager logs, and their fields.
+// Log events of the job manager and their fields.
 #include <gtest/gtest.h>
 
 #include "tests/support/job_manager_fixture.hpp"
@@ -16,7 +16,7 @@
     for (const LogEntry& entry : fixture.All<LogEntry>()) events.push_back(entry.event);
     return events;
   }
-  // The value of a field of the newest entry, which must have it.
+  // Returns the value of a field of the latest entry, which must have the field.
   template <typename T>
   T Field(std::string_view name) const {
     const LogEntry entry = fixture.Last<LogEntry>().value();
--- a/tests/job_manager/job_manager_node_table_test.cpp
+++ b/tests/job_manager/job_manager_node_table_test.cpp
@@ -42,12 +42,12 @@
     AddPresent(&nodes, id);
     nodes.QueueReconciliation(id);
   }
-  nodes.QueueReconciliation(3);  // waits already
+  nodes.QueueReconciliation(3);  // is queued already
   EXPECT_EQ(nodes.StartReconciliations(5), (std::vector<NodeId>{1, 2}));
   EXPECT_EQ(nodes.Find(1)->reconcile_sent, 5u);
   EXPECT_TRUE(nodes.StartReconciliations(6).empty());
   nodes.EndReconciliation(nodes.Find(1));
-  nodes.EndReconciliation(nodes.Find(1));  // its turn passes on once
+  nodes.EndReconciliation(nodes.Find(1));  // the second call has no effect
   EXPECT_EQ(nodes.StartReconciliations(7), (std::vector<NodeId>{3}));
 }
 
--- a/tests/job_manager/job_manager_reconciliation_test.cpp
+++ b/tests/job_manager/job_manager_reconciliation_test.cpp
@@ -1,4 +1,4 @@
-// Nodes that leave, start anew or report what they hold.
+// Nodes that leave the list, restart, or report their attempts.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -12,16 +12,16 @@
 
 class ReconciliationTest : public JobManagerTest {};
 
-TEST_F(ReconciliationTest, AdoptsWhatNodesReportAndStartsNothingTwice) {
+TEST_F(ReconciliationTest, AdoptsReportedAttemptsAndStartsNoJobTwice) {
   JobManagerFixture fresh;
   fresh.List({JobManagerFixture::Node("a"), JobManagerFixture::Node("b")});
-  const auto syncs = fresh.All<ReconcileNode>();
-  ASSERT_EQ(syncs.size(), 2u);
+  const auto reconciliations = fresh.All<ReconcileNode>();
+  ASSERT_EQ(reconciliations.size(), 2u);
   ReportedAttempt held;
   held.attempt = {5000, 2};
   held.spec.user = "thandi", held.spec.task_class = kWithKey, held.spec.queue = "keyed", held.spec.key = "k";
   held.spec.service = "stock";
-  fresh.Take(NodeReconciled{syncs[0].node, 0, {held}});
+  fresh.Take(NodeReconciled{reconciliations[0].node, 0, {held}});
   const Job* job = fresh.job_manager.Find(5000);
   ASSERT_NE(job, nullptr);
   EXPECT_EQ(job->state, JobState::kRunning);
@@ -33,7 +33,7 @@
   EXPECT_EQ(fresh.Job(5000).state, JobState::kComplete);
 }
 
-TEST_F(ReconciliationTest, RequestsAnewWhatANodeLostByItsRestart) {
+TEST_F(ReconciliationTest, RequestsATaskAgainThatItsNodeLostByARestart) {
   const auto prepare = fixture.SubmitAndStart(kIdempotent, "", true);
   const std::string name = fixture.job_manager.FindNode(prepare.node)->name;
   const auto other = fixture.SubmitAndStart(kWithKey, "", false);
@@ -49,9 +49,9 @@
   }
 }
 
-// The node itself reports its start seconds before the list does; the scheduler must learn that it is warming
-// up.
-TEST_F(ReconciliationTest, BelievesANodesReportOfItsStartBeforeALateNodeList) {
+// A node reports its own start seconds before the node list does. The scheduler must know it at once, because
+// the node is warming up.
+TEST_F(ReconciliationTest, PrefersTheStartTimeThatANodeReportsToALateNodeList) {
   const auto prepare = fixture.SubmitAndStart(kIdempotent);
   fixture.Take(ReconcileFailed{prepare.node});
   fixture.Run(fixture.now + 2 * kSecond);
@@ -65,7 +65,7 @@
   EXPECT_EQ(fixture.job_manager.FindNode(prepare.node)->started, started);
 }
 
-TEST_F(ReconciliationTest, StopsTheTaskOfAGoneNodeAndRetriesItAfterTheClientsWait) {
+TEST_F(ReconciliationTest, StopsTheTaskOfAGoneNodeAndRetriesItAfterTheReconciliationWait) {
   const auto prepare = fixture.SubmitAndStart(kWithKey, "k", true);
   fixture.Clear();
   ListedNode gone = *fixture.job_manager.FindNode(prepare.node);
@@ -74,7 +74,7 @@
   fixture.List({gone}, NodeListKind::kDelta);
   EXPECT_EQ(fixture.All<StopAttempt>().size(), 1u);
   fixture.Run(start + 2900 * kMs);
-  EXPECT_TRUE(fixture.All<PrepareAttempt>().empty());  // it may run on behind a broken network
+  EXPECT_TRUE(fixture.All<PrepareAttempt>().empty());  // it may still run, beyond a network failure
   fixture.Run(start + 6 * kSecond);
   EXPECT_EQ(fixture.All<PrepareAttempt>().size(), 1u);
 }
@@ -82,13 +82,14 @@
 TEST_F(ReconciliationTest, RequestsElsewhereATaskThatADrainingNodeEnded) {
   const auto prepare = fixture.SubmitAndStart(kWithKey, "k", true);
   fixture.Clear();
-  fixture.Take(AttemptFinished{prepare.attempt, EndReason::kDrained, 271, "sent away", {}});
+  fixture.Take(AttemptFinished{prepare.attempt, EndReason::kDrained, 271, "drained", {}});
   fixture.Run(fixture.now + kSecond);
   ASSERT_EQ(fixture.All<PrepareAttempt>().size(), 1u);
   EXPECT_NE(fixture.Last<PrepareAttempt>()->node, prepare.node);
 }
 
-// Guards against an attempt that has ended here and runs on at a node that was away meanwhile.
+// Guards against an attempt that has ended for the daemon, and still runs at a node that was unreachable
+// meanwhile.
 TEST_F(ReconciliationTest, StopsAReportedAttemptOfAKnownJobThatHasEndedHere) {
   const auto prepare = fixture.SubmitAndStart(kIdempotent);
   fixture.Take(AttemptFinished{prepare.attempt, EndReason::kExited, 0, "", {}});
@@ -106,7 +107,7 @@
   EXPECT_TRUE(fixture.All<StopAttempt>().empty());
 }
 
-TEST_F(ReconciliationTest, AsksManyNodesAFewAtATimeAndEachInTheEnd) {
+TEST_F(ReconciliationTest, ReconcilesManyNodesAFewAtATimeAndEachEventually) {
   JobManagerOptions options = Options();
   options.limits.reconciliations = 10;
   JobManagerFixture other(options);
@@ -114,23 +115,23 @@
   for (int i = 0; i < 100; ++i) nodes.push_back(JobManagerFixture::Node("m" + std::to_string(i)));
   other.List(nodes);
   EXPECT_EQ(other.All<ReconcileNode>().size(), 10u);
-  std::set<NodeId> asked;
+  std::set<NodeId> reconciled;
   for (std::size_t at = 0; at < other.All<ReconcileNode>().size(); ++at) {
     const NodeId id = other.All<ReconcileNode>()[at].node;
-    asked.insert(id);
+    reconciled.insert(id);
     const std::size_t before = other.All<ReconcileNode>().size();
     if (at % 3 == 0) {
       other.Take(ReconcileFailed{id});
-      other.Take(ReconcileFailed{id});  // reported twice: its turn passes on once
+      other.Take(ReconcileFailed{id});  // reported twice: only one other node follows
     } else {
       other.Take(NodeReconciled{id, 0, {}});
     }
     EXPECT_LE(other.All<ReconcileNode>().size(), before + 1);
     EXPECT_LE(other.All<ReconcileNode>().size(), at + 11);
   }
-  EXPECT_EQ(asked.size(), 100u);
+  EXPECT_EQ(reconciled.size(), 100u);
   other.Clear();
-  other.Run(other.now + 2 * kSecond);  // those that failed are asked again
+  other.Run(other.now + 2 * kSecond);  // failed reconciliations are retried
   EXPECT_GE(other.All<ReconcileNode>().size(), 10u);
 }
 
--- a/tests/job_manager/job_manager_submissions_test.cpp
+++ b/tests/job_manager/job_manager_submissions_test.cpp
@@ -1,4 +1,4 @@
-// Submissions: which are accepted, and their bounds.
+// Acceptance and rejection of submissions, and their bounds.
 #include <gtest/gtest.h>
 
 #include "tests/support/job_manager_fixture.hpp"
@@ -30,7 +30,7 @@
   JobSpec other;
   other.user = "sipho", other.task_class = kWithKey, other.queue = "keyed", other.key = "k";
   fixture.Submit(other);
-  EXPECT_EQ(fixture.verdict, CommandResult::kOk);  // keys belong to their users
+  EXPECT_EQ(fixture.verdict, CommandResult::kOk);  // keys are separate for each user
 }
 
 TEST_F(SubmissionsTest, DoesNotRepeatNumbersOverRestarts) {
@@ -56,7 +56,7 @@
   EXPECT_EQ(bounded.verdict, CommandResult::kFull);
   for (const std::uint64_t job : jobs) bounded.job_manager.Delete(bounded.now, job, "");
   for (int i = 0; i < 5; ++i)
-    jobs.push_back(bounded.Submit(kIdempotent));  // no node: each is rejected at once
+    jobs.push_back(bounded.Submit(kIdempotent));  // without a node each is rejected at once
   EXPECT_EQ(bounded.job_manager.Count().complete, 3u);
   EXPECT_EQ(bounded.job_manager.Find(jobs[0]), nullptr);
   EXPECT_NE(bounded.job_manager.Find(jobs.back()), nullptr);
@@ -78,7 +78,7 @@
   EXPECT_EQ(bounded.verdict, CommandResult::kOk);  // complete jobs do not count
 }
 
-TEST_F(SubmissionsTest, GivesEqualOutputsForEqualEvents) {
+TEST_F(SubmissionsTest, GivesEqualOutputsForEqualInputs) {
   const auto play = [] {
     JobManagerFixture other;
     other.List({JobManagerFixture::Node("a"), JobManagerFixture::Node("b"), JobManagerFixture::Node("c"),
@@ -126,7 +126,7 @@
   EXPECT_EQ(fixture.verdict, CommandResult::kStopping);
 }
 
-TEST_F(SubmissionsTest, RejectsAnUnknownClassAndANumberThatIsTaken) {
+TEST_F(SubmissionsTest, RejectsAnUnknownClassAndANumberInUse) {
   JobSpec spec;
   spec.user = "thandi", spec.task_class = 3;
   fixture.Submit(spec);
--- a/tests/job_manager/job_table_test.cpp
+++ b/tests/job_manager/job_table_test.cpp
@@ -13,7 +13,7 @@
   return job;
 }
 
-TEST(JobTable, GivesOutNumbersAboveTheReservedOnes) {
+TEST(JobTable, IssuesNumbersAboveTheReservedOnes) {
   JobTable jobs({10, 10}, 5);
   EXPECT_EQ(jobs.NewNumber(), 6u);
   jobs.ReserveNumbersUpTo(20);
--- a/tests/job_manager/key_index_test.cpp
+++ b/tests/job_manager/key_index_test.cpp
@@ -21,7 +21,7 @@
   EXPECT_EQ(keys.Find("thandi", "other"), 0u);
 }
 
-TEST(KeyIndex, LeavesOutJobsWithoutAKey) {
+TEST(KeyIndex, IgnoresJobsWithoutAKey) {
   KeyIndex keys;
   keys.Add(1, SpecOf("thandi", ""));
   EXPECT_EQ(keys.size(), 0u);
--- a/tests/job_manager/key_search_test.cpp
+++ b/tests/job_manager/key_search_test.cpp
@@ -1,4 +1,4 @@
-// Repeats of submissions that another daemon may have started.
+// Key searches for repeated submissions, whose job another daemon may have started.
 #include "job_manager/key_search.hpp"
 
 #include <gtest/gtest.h>
@@ -12,14 +12,14 @@
 
 class KeySearchTest : public JobManagerTest {};
 
-// ---- The search alone ----
+// ---- KeySearch and KeySearches ----
 
 TEST(KeySearch, IsConclusiveOnceARoundAfterTheHorizonWasAnsweredByAll) {
   KeySearch search(100);
   search.BeginRound(99, {1, 2});
   search.RecordAbsent(1);
   search.RecordAbsent(2);
-  EXPECT_FALSE(search.IsConclusive());  // the earlier submission might have been started since
+  EXPECT_FALSE(search.IsConclusive());  // the job may have been started since this round began
   search.BeginRound(100, {1, 2});
   EXPECT_FALSE(search.IsConclusive());  // earlier answers do not count
   search.RecordAbsent(1);
@@ -38,7 +38,7 @@
   EXPECT_FALSE(search.IsConclusive());
 }
 
-TEST(KeySearches, HoldOneSearchAJob) {
+TEST(KeySearches, HoldOneSearchPerJob) {
   KeySearches searches;
   EXPECT_EQ(searches.Find(1), nullptr);
   searches.Start(1, 10);
@@ -49,7 +49,7 @@
   EXPECT_EQ(searches.Find(1), nullptr);
 }
 
-// ---- The search within the job manager ----
+// ---- Key searches of the job manager ----
 
 TEST_F(KeySearchTest, AnswersARepeatWithTheEarlierStartThatANodeReports) {
   JobSpec spec;
@@ -69,14 +69,14 @@
   EXPECT_TRUE(fixture.All<PrepareAttempt>().empty());
 }
 
-TEST_F(KeySearchTest, RequestsARepeatOnlyOnceNobodyElseCanStartIt) {
+TEST_F(KeySearchTest, RequestsARepeatOnlyOnceNoOtherDaemonCanStartIt) {
   JobSpec spec;
   spec.user = "thandi", spec.task_class = kWithKey, spec.queue = "keyed", spec.key = "k", spec.repeat = true;
   spec.earlier_until = fixture.now + 3 * kSecond;
   const Micros start = fixture.now;
   const std::uint64_t job = fixture.Submit(spec);
-  Micros asked_at = 0;
-  for (int i = 0; i < 70 && asked_at == 0; ++i) {
+  Micros requested_at = 0;
+  for (int i = 0; i < 70 && requested_at == 0; ++i) {
     for (const auto& f : fixture.All<FindKey>()) {
       FindKeyAnswered none;
       none.node = f.node, none.job = job, none.key = "k", none.reached = true;
@@ -85,11 +85,11 @@
     }
     fixture.Clear();
     fixture.Run(fixture.now + 100 * kMs);
-    if (!fixture.All<PrepareAttempt>().empty()) asked_at = fixture.now;
+    if (!fixture.All<PrepareAttempt>().empty()) requested_at = fixture.now;
   }
-  ASSERT_NE(asked_at, 0u);
-  EXPECT_GE(asked_at, start + 4 * kSecond);  // the first prepare's time and the margin of clocks
-  EXPECT_LE(asked_at, start + 6 * kSecond);
+  ASSERT_NE(requested_at, 0u);
+  EXPECT_GE(requested_at, start + 4 * kSecond);  // the end of the earlier submission and the clock difference
+  EXPECT_LE(requested_at, start + 6 * kSecond);
 }
 
 TEST_F(KeySearchTest, RejectsARepeatInTimeIfANodeCannotBeReached) {
--- a/tests/job_manager/output_digest_test.cpp
+++ b/tests/job_manager/output_digest_test.cpp
@@ -1,6 +1,7 @@
-// Guard of the job manager: a digest of all outputs and journal records of runs drawn from a seed, in which
-// users, nodes and the node list do anything, and the process is restarted from its records. A change of
-// names or structure must leave it; a change of what is done renews it and says why.
+// Guards the behaviour of the job manager by a digest of all outputs and journal records of random runs. The
+// commands of users, the answers of nodes and the node lists are drawn from a seed, and the process is
+// restarted from its records. A change of names or structure must not change the digest. A commit that
+// changes the behaviour updates the digest and states the reason.
 #include "tests/support/output_digest.hpp"
 
 #include <gtest/gtest.h>
@@ -17,9 +18,10 @@
 
 using namespace job_manager;
 
-class DrawnRun {
+// One random run of the job manager, determined by its seed.
+class RandomRun {
  public:
-  explicit DrawnRun(std::uint64_t seed) : random_(seed) {
+  explicit RandomRun(std::uint64_t seed) : random_(seed) {
     options_ = Options();
     options_.durable = true;
     options_.settings.may_cancel = seed % 2 == 0;
@@ -39,7 +41,7 @@
       Collect();
       fixture_->Run(fixture_->now + Draw(200 * kMs));
       Collect();
-      for (std::size_t i = 0; i < 2 && !coming_.empty(); ++i) Deliver();
+      for (std::size_t i = 0; i < 2 && !pending_messages_.empty(); ++i) Deliver();
     }
   }
 
@@ -54,29 +56,29 @@
   void DrawStep() {
     const std::uint64_t job = jobs_.empty() ? 0 : jobs_[Draw(jobs_.size())];
     const std::string user = Chance(80) ? "thandi" : Chance(50) ? "" : "sipho";
-    JobManager& core = fixture_->job_manager;
+    JobManager& job_manager = fixture_->job_manager;
     const Micros now = fixture_->now;
     switch (Draw(16)) {
       case 0:
-        DrawList();
+        DrawNodeList();
         break;
       case 1:
-        digest.Add(core.Delete(now, job, user));
+        digest.Add(job_manager.Delete(now, job, user));
         break;
       case 2:
-        digest.Add(core.Hold(now, job, user, Chance(50) ? "u" : "uo"));
+        digest.Add(job_manager.Hold(now, job, user, Chance(50) ? "u" : "uo"));
         break;
       case 3:
-        digest.Add(core.Release(now, job, user, "uo"));
+        digest.Add(job_manager.Release(now, job, user, "uo"));
         break;
       case 4:
-        digest.Add(core.Rerun(now, job, user));
+        digest.Add(job_manager.Rerun(now, job, user));
         break;
       case 5:
-        digest.Add(core.Signal(now, job, user, "SIGUSR1"));
+        digest.Add(job_manager.Signal(now, job, user, "SIGUSR1"));
         break;
       case 6:
-        digest.Add(core.Alter(now, job, user, [](JobSpec* spec) {
+        digest.Add(job_manager.Alter(now, job, user, [](JobSpec* spec) {
           spec->cores += 0.5;
           return spec->cores < 4;
         }));
@@ -85,7 +87,7 @@
         if (Chance(15)) Restart();
         break;
       case 8:
-        DrawGroup();
+        DrawMembership();
         break;
       default:
         DrawSubmission();
@@ -113,12 +115,12 @@
     if (jobs_.back() == 0) jobs_.pop_back();
   }
 
-  void DrawList() {
+  void DrawNodeList() {
     std::vector<ListedNode> nodes;
     for (unsigned i = 0; i < 5; ++i) {
-      if (Chance(20)) starts_[i] = fixture_->now - Draw(30 * kSecond);
-      ListedNode node =
-          JobManagerFixture::Node("node-" + std::to_string(i), "rack-" + std::to_string(i / 2), starts_[i]);
+      if (Chance(20)) node_starts_[i] = fixture_->now - Draw(30 * kSecond);
+      ListedNode node = JobManagerFixture::Node("node-" + std::to_string(i), "rack-" + std::to_string(i / 2),
+                                                node_starts_[i]);
       if (Chance(10)) node.state = Chance(50) ? NodeState::kDraining : NodeState::kGone;
       node.free_cores = static_cast<double>(Draw(17));
       if (Chance(85)) nodes.push_back(node);
@@ -128,7 +130,7 @@
                                        : NodeListKind::kCached);
   }
 
-  void DrawGroup() {
+  void DrawMembership() {
     MembershipChange change;
     change.size = static_cast<int>(1 + Draw(3));
     change.index = Chance(80) ? 0 : -1;
@@ -141,7 +143,7 @@
     const Micros now = fixture_->now + Draw(3 * kSecond);
     fixture_ = std::make_unique<JobManagerFixture>(options_, 8);
     fixture_->now = now;
-    for (const std::string& record : kept_) {
+    for (const std::string& record : stored_records_) {
       const auto restored = fixture_->job_manager.Restore(record);
       ASSERT_TRUE(restored) << Describe(restored.error());
     }
@@ -149,16 +151,16 @@
     ASSERT_TRUE(finished) << Describe(finished.error());
     digest.Add(std::string_view(fixture_->job_manager.Snapshot()));
     fixture_->Collect();
-    coming_.clear();
+    pending_messages_.clear();
   }
 
-  // The outputs and records, and what the nodes answer.
+  // Adds the new outputs and records to the digest, and draws the answers of the nodes to the outputs.
   void Collect() {
     fixture_->Collect();
     for (std::string& record : fixture_->job_manager.TakeJournal()) {
       digest.Add(std::string_view(record));
       ++records;
-      kept_.push_back(std::move(record));
+      stored_records_.push_back(std::move(record));
     }
     for (const Output& output : std::exchange(fixture_->all, {})) {
       ++outputs[output.index()];
@@ -167,7 +169,8 @@
       Answer(output);
     }
   }
-  // A field that is not in the table of events is missing on the page for operators too.
+  // Checks that the table of log events has each field of the entry. The documentation for operators lists
+  // only the fields of that table.
   static void CheckFields(const LogEntry& entry) {
     const auto expect = [&entry](bool is_set, std::string_view field) {
       EXPECT_TRUE(!is_set || logging::HasField(entry.event, field)) << Name(entry.event) << ": " << field;
@@ -181,49 +184,50 @@
   void Answer(const Output& output) {
     if (const auto* prepare = std::get_if<PrepareAttempt>(&output)) {
       if (Chance(80)) {
-        coming_.push_back(AttemptPrepared{prepare->attempt});
+        pending_messages_.push_back(AttemptPrepared{prepare->attempt});
       } else if (Chance(60)) {
-        coming_.push_back(AttemptRejected{
+        pending_messages_.push_back(AttemptRejected{
             prepare->attempt, static_cast<RejectionReason>(Draw(5)), "no room", {}, Chance(20)});
       } else {
-        coming_.push_back(AttemptDisconnected{prepare->attempt, false});
+        pending_messages_.push_back(AttemptDisconnected{prepare->attempt, false});
       }
     } else if (const auto* commit = std::get_if<CommitAttempt>(&output)) {
       if (Chance(85)) {
-        coming_.push_back(AttemptCommitted{commit->attempt});
-        if (Chance(80)) coming_.push_back(DrawnEnd(commit->attempt));
+        pending_messages_.push_back(AttemptCommitted{commit->attempt});
+        if (Chance(80)) pending_messages_.push_back(DrawEnd(commit->attempt));
         running_.push_back(commit->attempt);
       } else {
-        coming_.push_back(AttemptDisconnected{commit->attempt, true});
+        pending_messages_.push_back(AttemptDisconnected{commit->attempt, true});
       }
     } else if (const auto* stop = std::get_if<StopAttempt>(&output)) {
       const bool known = Chance(50);
       if (Chance(20)) {
-        coming_.push_back(StopFailed{stop->attempt});
+        pending_messages_.push_back(StopFailed{stop->attempt});
         return;
       }
-      coming_.push_back(StopAnswered{stop->attempt, known});
-      if (known) coming_.push_back(AttemptFinished{stop->attempt, EndReason::kKilled, 9, "", {}, 1, 2});
+      pending_messages_.push_back(StopAnswered{stop->attempt, known});
+      if (known)
+        pending_messages_.push_back(AttemptFinished{stop->attempt, EndReason::kKilled, 9, "", {}, 1, 2});
     } else if (const auto* query = std::get_if<QueryAttempt>(&output)) {
       if (Chance(20)) {
-        coming_.push_back(QueryFailed{query->attempt});
+        pending_messages_.push_back(QueryFailed{query->attempt});
       } else {
-        coming_.push_back(QueryAnswered{query->attempt, Chance(50)});
+        pending_messages_.push_back(QueryAnswered{query->attempt, Chance(50)});
       }
-    } else if (const auto* sync = std::get_if<ReconcileNode>(&output)) {
+    } else if (const auto* reconcile = std::get_if<ReconcileNode>(&output)) {
       if (Chance(15)) {
-        coming_.push_back(ReconcileFailed{sync->node});
+        pending_messages_.push_back(ReconcileFailed{reconcile->node});
       } else {
-        coming_.push_back(DrawnSynced(sync->node));
+        pending_messages_.push_back(DrawReconciliation(reconcile->node));
       }
     } else if (const auto* find = std::get_if<FindKey>(&output)) {
-      coming_.push_back(
+      pending_messages_.push_back(
           FindKeyAnswered{find->node, find->job, Chance(85), Chance(20), {7, 1}, "d1", find->key});
-    } else if (const auto* probe = std::get_if<CheckNodeHealth>(&output)) {
-      coming_.push_back(NodeHealthChecked{probe->node, Chance(50), 20 * kMs, {}});
+    } else if (const auto* check = std::get_if<CheckNodeHealth>(&output)) {
+      pending_messages_.push_back(NodeHealthChecked{check->node, Chance(50), 20 * kMs, {}});
     }
   }
-  AttemptFinished DrawnEnd(const AttemptId& attempt) {
+  AttemptFinished DrawEnd(const AttemptId& attempt) {
     AttemptFinished ended{
         attempt, static_cast<EndReason>(Draw(7)), static_cast<int>(Draw(3)), "its words", {}};
     ended.started = fixture_->now - Draw(kSecond);
@@ -231,23 +235,23 @@
     if (Chance(40)) ended.report.utilisation = static_cast<double>(Draw(100)) / 100.0;
     return ended;
   }
-  NodeReconciled DrawnSynced(NodeId node) {
-    NodeReconciled synced{node, 0, {}};
+  NodeReconciled DrawReconciliation(NodeId node) {
+    NodeReconciled reconciled{node, 0, {}};
     for (unsigned i = 0; i < 5; ++i) {
-      if (JobManager::NodeIdOf("node-" + std::to_string(i)) == node) synced.started = starts_[i];
+      if (JobManager::NodeIdOf("node-" + std::to_string(i)) == node) reconciled.started = node_starts_[i];
     }
     for (const AttemptId& attempt : running_) {
       const Job* job = fixture_->job_manager.Find(attempt.job);
       if (job == nullptr || !Chance(20)) continue;
       ReportedAttempt held{attempt, *job->spec, Chance(10)};
-      synced.held.push_back(held);
+      reconciled.held.push_back(held);
     }
-    return synced;
+    return reconciled;
   }
   void Deliver() {
-    const std::size_t which = Draw(coming_.size());
-    const NodeMessage message = coming_[which];
-    coming_.erase(coming_.begin() + static_cast<std::ptrdiff_t>(which));
+    const std::size_t index = Draw(pending_messages_.size());
+    const NodeMessage message = pending_messages_[index];
+    pending_messages_.erase(pending_messages_.begin() + static_cast<std::ptrdiff_t>(index));
     fixture_->Take(message);
     Collect();
   }
@@ -257,9 +261,9 @@
   std::unique_ptr<JobManagerFixture> fixture_;
   std::vector<std::uint64_t> jobs_;
   std::vector<AttemptId> running_;
-  std::vector<NodeMessage> coming_;
-  std::vector<std::string> kept_;
-  std::array<Micros, 5> starts_{};
+  std::vector<NodeMessage> pending_messages_;
+  std::vector<std::string> stored_records_;
+  std::array<Micros, 5> node_starts_{};
 };
 
 TEST(OutputDigest, EqualsTheRecordedOneOverSixteenSeeds) {
@@ -268,7 +272,7 @@
   std::array<std::size_t, std::variant_size_v<Output>> outputs{};
   std::size_t records = 0;
   for (std::uint64_t seed = 1; seed <= 16; ++seed) {
-    DrawnRun run(seed);
+    RandomRun run(seed);
     run.Play();
     all.Add(run.digest.Value());
     records += run.records;
--- a/tests/job_manager/restart_test.cpp
+++ b/tests/job_manager/restart_test.cpp
@@ -1,4 +1,4 @@
-// The job manager over restarts: answers do not change, each job gets one, nothing runs twice.
+// Restarts of the job manager: final answers do not change, each job gets one, and no job runs twice.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -16,7 +16,8 @@
   return options;
 }
 
-// A job manager whose records are kept; Restart makes a new one from them, as a new process does.
+// A job manager whose journal records are stored. Restart creates a new one from the records, as a new
+// process does.
 class RestartableJobManager {
  public:
   explicit RestartableJobManager(JobManagerOptions initial_options = Durable())
@@ -25,17 +26,17 @@
   }
   JobManagerOptions options;
   std::unique_ptr<JobManagerFixture> fixture;
-  std::vector<std::string> kept;
+  std::vector<std::string> records;
 
-  void Keep() {
-    for (std::string& r : fixture->job_manager.TakeJournal()) kept.push_back(std::move(r));
+  void StoreRecords() {
+    for (std::string& r : fixture->job_manager.TakeJournal()) records.push_back(std::move(r));
   }
-  void Restart(Micros away = kSecond) {
-    Keep();
-    const Micros now = fixture->now + away;
+  void Restart(Micros downtime = kSecond) {
+    StoreRecords();
+    const Micros now = fixture->now + downtime;
     fixture = std::make_unique<JobManagerFixture>(options, 8);
     fixture->now = now;
-    for (const std::string& record : kept) {
+    for (const std::string& record : records) {
       const auto restored = fixture->job_manager.Restore(record);
       ASSERT_TRUE(restored) << Describe(restored.error());
     }
@@ -69,8 +70,8 @@
   EXPECT_EQ(daemon.fixture->job_manager.Count().complete, 1u);
 }
 
-// Found by a chaos test: before its nodes had answered, a new incarnation exceeded the topology spread of a
-// service.
+// Guards against a new incarnation that exceeds the topology spread of a service before its nodes have
+// answered. A chaos test found this fault.
 TEST(Restart, CountsTasksThatMayRunForTheTopologySpreadBeforeTheirNodesAnswer) {
   JobManagerOptions options = Durable();
   options.settings.classes[1].topology_spread = TopologySpread::kRack;
@@ -80,7 +81,7 @@
   daemon.fixture->ReconcileAll();
   daemon.fixture->SubmitAndStart(1);
   daemon.fixture->Clear();
-  const std::uint64_t doubt = daemon.fixture->Submit(1);
+  const std::uint64_t in_doubt = daemon.fixture->Submit(1);
   const PrepareAttempt prepare = *daemon.fixture->Last<PrepareAttempt>();
   daemon.fixture->Take(AttemptPrepared{prepare.attempt});
   daemon.Restart();
@@ -88,18 +89,18 @@
   daemon.fixture->Clear();
   daemon.fixture->Submit(1);
   EXPECT_FALSE(daemon.fixture->Last<PrepareAttempt>()) << "one runs and one may: a third would be too many";
-  // The node never had the one in doubt: it does not count, and is requested anew.
+  // The node never had the attempt in doubt, so it does not count and its job is requested again.
   daemon.fixture->Run(daemon.fixture->now + kSecond / 10);
   daemon.fixture->Take(AttemptDisconnected{prepare.attempt, true});
   daemon.fixture->Take(QueryAnswered{prepare.attempt, false});
   daemon.fixture->Clear();
   daemon.fixture->Run(daemon.fixture->now + 3 * kSecond);
   ASSERT_TRUE(daemon.fixture->Last<PrepareAttempt>());
-  EXPECT_EQ(daemon.fixture->Last<PrepareAttempt>()->attempt.job, doubt);
+  EXPECT_EQ(daemon.fixture->Last<PrepareAttempt>()->attempt.job, in_doubt);
   EXPECT_EQ(daemon.fixture->All<PrepareAttempt>().size(), 1u);
 }
 
-TEST(Restart, RequestsATaskAnewOnceWhenItsNodeLostItRestartedOrIsGone) {
+TEST(Restart, RequestsATaskAgainOnceWhenItsNodeLostItRestartedOrIsGone) {
   for (const int how : {0, 1, 2}) {
     RestartableJobManager daemon;
     daemon.fixture->List({JobManagerFixture::Node("a", "rack", 5)});
@@ -116,7 +117,7 @@
       daemon.fixture->List({JobManagerFixture::Node("b")});
     }
     EXPECT_EQ(daemon.fixture->Job(job).state, JobState::kWaiting)
-        << how;  // requested anew, as its client allows
+        << how;  // to be requested again, as its client allows
     EXPECT_EQ(daemon.fixture->Job(job).answer, FinalAnswer::kStarted);
     EXPECT_TRUE(daemon.fixture->All<JobAnswered>().empty());
     daemon.fixture->Run(daemon.fixture->now + 5 * kSecond);
@@ -124,8 +125,9 @@
   }
 }
 
-// The commit went out and the daemon ended: the node is queried, and nothing else goes out before it answers.
-TEST(Restart, QueriesWhatMayHaveRunBeforeItRequestsAnew) {
+// The commit was sent and the daemon ended. The node is queried, and no other attempt is sent before it
+// answers.
+TEST(Restart, QueriesAnAttemptThatMayHaveRunBeforeItRequestsTheJobAgain) {
   for (const bool found : {true, false}) {
     for (const unsigned task_class : {0u, 1u, 2u}) {
       RestartableJobManager daemon;
@@ -152,14 +154,14 @@
         EXPECT_TRUE(daemon.fixture->All<PrepareAttempt>().empty());
       } else {
         EXPECT_EQ(daemon.fixture->All<PrepareAttempt>().size(),
-                  1u);  // it never ran and never will: requested anew
+                  1u);  // it never ran and never will: requested again
         EXPECT_NE(daemon.fixture->Last<PrepareAttempt>()->attempt, prepare.attempt);
       }
     }
   }
 }
 
-TEST(Restart, FailsAndStopsInTimeWhatNoNodeConfirms) {
+TEST(Restart, FailsAndStopsInTimeAJobThatNoNodeConfirms) {
   RestartableJobManager daemon;
   daemon.fixture->List({JobManagerFixture::Node("a"), JobManagerFixture::Node("b", "other")});
   daemon.fixture->ReconcileAll();
@@ -167,10 +169,10 @@
   const std::uint64_t job = daemon.fixture->Submit(2);
   const PrepareAttempt prepare = *daemon.fixture->Last<PrepareAttempt>();
   daemon.fixture->Take(AttemptPrepared{prepare.attempt});
-  const Micros give_up = daemon.fixture->Job(job).deadline;
+  const Micros deadline = daemon.fixture->Job(job).deadline;
   daemon.Restart();
   daemon.fixture->List({JobManagerFixture::Node("a"), JobManagerFixture::Node("b", "other")});
-  daemon.fixture->Run(give_up + 400 * kMs);  // its node never answers
+  daemon.fixture->Run(deadline + 400 * kMs);  // the node of the attempt never answers
   EXPECT_EQ(daemon.fixture->Job(job).answer, FinalAnswer::kFailed);
   EXPECT_TRUE(daemon.fixture->All<PrepareAttempt>().empty());
   ASSERT_TRUE(daemon.fixture->Last<StopAttempt>());
@@ -179,8 +181,8 @@
   EXPECT_EQ(daemon.fixture->Job(job).state, JobState::kComplete);
 }
 
-// Guards against an attempt whose stop was lost with the daemon that had ordered it.
-TEST(Restart, StopsAnewWhatWasBeingStoppedWhenItsNodeIsReconciled) {
+// Guards against an attempt that runs on because its stop request was lost with an earlier incarnation.
+TEST(Restart, RepeatsAStopRequestWhenTheNodeIsReconciled) {
   RestartableJobManager daemon;
   daemon.fixture->List({JobManagerFixture::Node("a")});
   daemon.fixture->ReconcileAll();
@@ -203,21 +205,21 @@
   const std::uint64_t waiting = daemon.fixture->Submit(1);  // no node yet: the scheduler rejects it or waits
   JobSpec held;
   held.user = "thandi", held.task_class = 1, held.hold = "u", held.script = "echo";
-  const std::uint64_t on_hold = daemon.fixture->Submit(held);
+  const std::uint64_t held_job = daemon.fixture->Submit(held);
   JobSpec timed = held;
   timed.hold.clear(), timed.due = daemon.fixture->now + 60 * kSecond, timed.key = "k1";
   const std::uint64_t later = daemon.fixture->Submit(timed);
   const FinalAnswer before = daemon.fixture->Job(waiting).answer;
   daemon.Restart();
   EXPECT_EQ(daemon.fixture->Job(waiting).answer, before);
-  EXPECT_EQ(daemon.fixture->Job(on_hold).state, JobState::kHeld);
-  EXPECT_EQ(daemon.fixture->Job(on_hold).spec->script, "echo");
+  EXPECT_EQ(daemon.fixture->Job(held_job).state, JobState::kHeld);
+  EXPECT_EQ(daemon.fixture->Job(held_job).spec->script, "echo");
   EXPECT_EQ(daemon.fixture->job_manager.FindJobByKey("thandi", "k1"), later);
   daemon.fixture->Run(daemon.fixture->now + 2 * kSecond);
   EXPECT_TRUE(daemon.fixture->All<JobAnswered>().empty());
   daemon.fixture->List({JobManagerFixture::Node("a")});
   daemon.fixture->ReconcileAll();
-  EXPECT_EQ(daemon.fixture->job_manager.Release(daemon.fixture->now, on_hold, "thandi", "u"),
+  EXPECT_EQ(daemon.fixture->job_manager.Release(daemon.fixture->now, held_job, "thandi", "u"),
             CommandResult::kOk);
   daemon.fixture->Collect();
   EXPECT_EQ(daemon.fixture->All<PrepareAttempt>().size(), 1u);
@@ -236,12 +238,13 @@
   const std::uint64_t job = daemon.fixture->Submit(held);
   EXPECT_EQ(daemon.fixture->job_manager.Delete(daemon.fixture->now, job, "thandi"), CommandResult::kOk);
   daemon.fixture->Collect();
-  daemon.Keep();
+  daemon.StoreRecords();
   daemon.Restart();
   ASSERT_NE(daemon.fixture->job_manager.Find(job), nullptr);
   EXPECT_EQ(daemon.fixture->Job(job).state, JobState::kComplete);
   EXPECT_EQ(daemon.fixture->Job(job).answer, FinalAnswer::kDeleted);
-  daemon.fixture->Run(daemon.fixture->now + 700 * kSecond);  // by the second incarnation's own limit
+  // Longer than the retention time of the second incarnation, which has the default options.
+  daemon.fixture->Run(daemon.fixture->now + 700 * kSecond);
   daemon.Restart();
   EXPECT_EQ(daemon.fixture->job_manager.Find(job), nullptr);
 }
@@ -251,24 +254,25 @@
   JobSpec spec;
   spec.user = "thandi", spec.queue = "unsafe", spec.task_class = 2, spec.hold = "u";
   const std::uint64_t job = daemon.fixture->Submit(spec);
-  daemon.Keep();
-  JobManagerOptions turned = Durable();  // the same queues in another order
-  std::swap(turned.classes[1], turned.classes[2]);
-  std::swap(turned.settings.classes[1], turned.settings.classes[2]);
+  daemon.StoreRecords();
+  JobManagerOptions reordered = Durable();  // the same queues in another order
+  std::swap(reordered.classes[1], reordered.classes[2]);
+  std::swap(reordered.settings.classes[1], reordered.settings.classes[2]);
   JobManagerOptions without = Durable();
   without.classes[2] = "other";
-  JobManager same(turned, 1, daemon.fixture->now), missing(without, 1, daemon.fixture->now);
-  for (JobManager* core : {&same, &missing}) {
-    for (const std::string& record : daemon.kept) ASSERT_TRUE(core->Restore(record));
+  JobManager same(reordered, 1, daemon.fixture->now), missing(without, 1, daemon.fixture->now);
+  for (JobManager* job_manager : {&same, &missing}) {
+    for (const std::string& record : daemon.records) ASSERT_TRUE(job_manager->Restore(record));
   }
   const auto finished = same.FinishRestore(daemon.fixture->now);
   ASSERT_TRUE(finished) << Describe(finished.error());
   EXPECT_EQ(same.Find(job)->spec->task_class, 1u);
-  const auto refused = missing.FinishRestore(daemon.fixture->now);
-  ASSERT_FALSE(refused);
-  EXPECT_EQ(refused.error().code, JournalErrorCode::kUnknownQueue);
-  EXPECT_EQ(refused.error().job_id, daemon.fixture->job_manager.JobId(job));
-  EXPECT_NE(Describe(refused.error()).find("expected queue 'unsafe' to be configured"), std::string::npos);
+  const auto finished_without = missing.FinishRestore(daemon.fixture->now);
+  ASSERT_FALSE(finished_without);
+  EXPECT_EQ(finished_without.error().code, JournalErrorCode::kUnknownQueue);
+  EXPECT_EQ(finished_without.error().job_id, daemon.fixture->job_manager.JobId(job));
+  EXPECT_NE(Describe(finished_without.error()).find("expected queue 'unsafe' to be configured"),
+            std::string::npos);
 }
 
 TEST(Restart, RestoresTheSameFromASnapshotAsFromRecords) {
@@ -277,7 +281,7 @@
   daemon.fixture->ReconcileAll();
   for (unsigned i = 0; i < 12; ++i)
     daemon.fixture->Submit(i % 3, i % 2 == 0 ? "key" + std::to_string(i) : "");
-  daemon.Keep();
+  daemon.StoreRecords();
   JobManager again(Durable(), 1, daemon.fixture->now);
   const std::string snapshot = daemon.fixture->job_manager.Snapshot();
   ASSERT_TRUE(
@@ -285,14 +289,14 @@
   ASSERT_TRUE(again.FinishRestore(daemon.fixture->now));
   EXPECT_EQ(again.Count().waiting + again.Count().complete + again.Count().held, 12u);
   JobManager other(Durable(), 1, daemon.fixture->now);
-  for (const std::string& record : daemon.kept) ASSERT_TRUE(other.Restore(record));
+  for (const std::string& record : daemon.records) ASSERT_TRUE(other.Restore(record));
   ASSERT_TRUE(other.FinishRestore(daemon.fixture->now));
   EXPECT_EQ(again.Snapshot(), other.Snapshot());
   EXPECT_FALSE(ForEachRecord(snapshot.substr(0, snapshot.size() - 1), [](std::string_view) { return true; }));
 }
 
-// Simulated nodes, and a daemon that ends at random: every job is answered once,
-// and no two attempts of one job run at a time.
+// With simulated nodes and random restarts of the daemon, every job is answered exactly once, and no two
+// attempts of one job run at the same time.
 TEST(Restart, RunsAndAnswersNothingTwiceWhereverItIsRestarted) {
   for (unsigned seed = 1; seed <= 60; ++seed) {
     std::mt19937 random(seed);
@@ -302,88 +306,92 @@
                                            JobManagerFixture::Node("b", "other"),
                                            JobManagerFixture::Node("c", "third")};
     std::map<NodeId, std::map<std::uint64_t, AttemptId>> runs;  // by node and job
-    std::map<NodeId, std::set<std::string>> refused;  // queried or stopped, and never accepted later
+    std::map<NodeId, std::set<std::string>> rejected;  // queried or stopped, and never accepted later
     std::map<std::uint64_t, int> answers;
-    std::vector<std::pair<Micros, NodeMessage>> coming;
-    std::vector<std::pair<NodeId, AttemptId>> commits;  // on the way; they outlive the daemon
+    std::vector<std::pair<Micros, NodeMessage>> pending_messages;
+    std::vector<std::pair<NodeId, AttemptId>> commits;  // in flight; delivered even if the daemon ends
     daemon.fixture->List(nodes);
     const auto name = [&](const AttemptId& id) {
       return std::to_string(id.job) + "/" + std::to_string(id.number);
     };
-    const auto arrive = [&] {
+    const auto deliver_commits = [&] {
       for (const auto& [node, id] : std::exchange(commits, {})) {
-        if (refused[node].count(name(id)) > 0) continue;
+        if (rejected[node].count(name(id)) > 0) continue;
         for (const auto& [other, held] : runs) {
           EXPECT_EQ(held.count(id.job), 0u) << "seed " << seed << ": two attempts of one job run";
         }
         runs[node][id.job] = id;
-        coming.emplace_back(daemon.fixture->now, AttemptCommitted{id});
+        pending_messages.emplace_back(daemon.fixture->now, AttemptCommitted{id});
       }
     };
-    const auto serve = [&] {
-      daemon.Keep();
+    const auto answer_requests = [&] {
+      daemon.StoreRecords();
       std::vector<Output> outputs = std::exchange(daemon.fixture->all, {});
       for (const Output& o : outputs) {
         const Micros soon = daemon.fixture->now + random() % (300 * kMs);
         if (const auto* prepare = std::get_if<PrepareAttempt>(&o)) {
-          if (chance(80)) coming.emplace_back(soon, AttemptPrepared{prepare->attempt});
-        } else if (const auto* go = std::get_if<CommitAttempt>(&o)) {
-          if (chance(90)) commits.emplace_back(go->node, go->attempt);
+          if (chance(80)) pending_messages.emplace_back(soon, AttemptPrepared{prepare->attempt});
+        } else if (const auto* commit = std::get_if<CommitAttempt>(&o)) {
+          if (chance(90)) commits.emplace_back(commit->node, commit->attempt);
         } else if (const auto* stop = std::get_if<StopAttempt>(&o)) {
           auto& held = runs[stop->node];
           const bool had = held.count(stop->attempt.job) > 0 && held[stop->attempt.job] == stop->attempt;
-          refused[stop->node].insert(name(stop->attempt));
+          rejected[stop->node].insert(name(stop->attempt));
           if (had) held.erase(stop->attempt.job);
-          coming.emplace_back(soon, StopAnswered{stop->attempt, had});
+          pending_messages.emplace_back(soon, StopAnswered{stop->attempt, had});
           if (had)
-            coming.emplace_back(soon + 1, AttemptFinished{stop->attempt, EndReason::kKilled, 9, "", {}});
+            pending_messages.emplace_back(soon + 1,
+                                          AttemptFinished{stop->attempt, EndReason::kKilled, 9, "", {}});
         } else if (const auto* query = std::get_if<QueryAttempt>(&o)) {
           const auto& held = runs[query->node];
           const auto it = held.find(query->attempt.job);
           const bool had = it != held.end() && it->second == query->attempt;
-          if (!had) refused[query->node].insert(name(query->attempt));
-          coming.emplace_back(soon, QueryAnswered{query->attempt, had});
-        } else if (const auto* sync = std::get_if<ReconcileNode>(&o)) {
-          NodeReconciled s{sync->node, 0, {}};
-          for (const auto& [job, id] : runs[sync->node]) {
+          if (!had) rejected[query->node].insert(name(query->attempt));
+          pending_messages.emplace_back(soon, QueryAnswered{query->attempt, had});
+        } else if (const auto* reconcile = std::get_if<ReconcileNode>(&o)) {
+          NodeReconciled s{reconcile->node, 0, {}};
+          for (const auto& [job, id] : runs[reconcile->node]) {
             ReportedAttempt r;
             r.attempt = id;
             if (const Job* known = daemon.fixture->job_manager.Find(job)) r.spec = *known->spec;
             s.held.push_back(r);
           }
-          coming.emplace_back(daemon.fixture->now, s);
+          pending_messages.emplace_back(daemon.fixture->now, s);
         } else if (const auto* answered = std::get_if<JobAnswered>(&o)) {
           EXPECT_EQ(++answers[answered->job], 1) << "seed " << seed;
         }
       }
     };
-    const auto deliver = [&] {
-      serve();
-      std::sort(coming.begin(), coming.end(), [](const auto& x, const auto& y) { return x.first < y.first; });
-      while (!coming.empty() && coming.front().first <= daemon.fixture->now) {
-        const NodeMessage m = coming.front().second;
-        coming.erase(coming.begin());
+    const auto deliver_messages = [&] {
+      answer_requests();
+      std::sort(pending_messages.begin(), pending_messages.end(),
+                [](const auto& x, const auto& y) { return x.first < y.first; });
+      while (!pending_messages.empty() && pending_messages.front().first <= daemon.fixture->now) {
+        const NodeMessage m = pending_messages.front().second;
+        pending_messages.erase(pending_messages.begin());
         daemon.fixture->Take(m);
-        serve();
+        answer_requests();
       }
     };
     std::vector<std::uint64_t> jobs;
     for (int step = 0; step < 400; ++step) {
       if (step < 250 && chance(15)) jobs.push_back(daemon.fixture->Submit(random() % 3, "", chance(50)));
-      if (chance(40)) arrive();
+      if (chance(40)) deliver_commits();
       for (auto& [node, held] : runs) {
         if (held.empty() || !chance(5)) continue;
         const AttemptId id = held.begin()->second;
         held.erase(held.begin());
-        coming.emplace_back(daemon.fixture->now, AttemptFinished{id, EndReason::kExited, 0, "", {}});
+        pending_messages.emplace_back(daemon.fixture->now,
+                                      AttemptFinished{id, EndReason::kExited, 0, "", {}});
       }
-      deliver();
-      if (chance(4)) {  // it ends: messages in flight are lost, but for ends, which are reported again
+      deliver_messages();
+      // The daemon restarts. Messages in flight are lost, except reports of ends, which nodes repeat.
+      if (chance(4)) {
         std::vector<std::pair<Micros, NodeMessage>> ends;
-        for (auto& c : coming) {
+        for (auto& c : pending_messages) {
           if (std::holds_alternative<AttemptFinished>(c.second)) ends.push_back(std::move(c));
         }
-        coming = std::move(ends);
+        pending_messages = std::move(ends);
         daemon.Restart(random() % (3 * kSecond));
         if (HasFatalFailure()) return;
         daemon.fixture->List(nodes);
@@ -391,8 +399,8 @@
       daemon.fixture->Run(daemon.fixture->now + 50 * kMs);
     }
     for (int i = 0; i < 400; ++i) {
-      arrive();
-      deliver();
+      deliver_commits();
+      deliver_messages();
       daemon.fixture->Run(daemon.fixture->now + 100 * kMs);
     }
     for (const std::uint64_t job : jobs) {
--- a/tests/job_manager/scheduler_actions_test.cpp
+++ b/tests/job_manager/scheduler_actions_test.cpp
@@ -1,5 +1,5 @@
-// What the job manager does for actions that the scheduler library gives rarely or never: the Scheduler of
-// this program is a script, which comes before the library's.
+// Actions that the scheduler library returns rarely or never. This program defines a scripted Scheduler of
+// its own, which the linker uses in place of the library's.
 #include <gtest/gtest.h>
 
 #include <utility>
@@ -10,12 +10,12 @@
 namespace mountflow {
 namespace {
 
-std::vector<Action> scripted_actions;      // given with the next event, whatever it is
-std::vector<AttemptEnded> ended_attempts;  // that the scheduler was told of
+std::vector<Action> scripted_actions;      // returned with the next event
+std::vector<AttemptEnded> ended_attempts;  // outcomes reported to the scheduler
 
 }  // namespace
 
-// Starts each task at the first node of the list.
+// Starts each task at the first node of the latest node list.
 class Scheduler::Impl {
  public:
   void Handle(const Event& event, std::vector<Action>* actions) {
@@ -54,8 +54,8 @@
     scripted_actions.clear();
     ended_attempts.clear();
   }
-  // An event of the node list, with which the scheduler gives this action.
-  void Give(const Action& action) {
+  // Makes the scheduler return this action with its next event, which is an event of the node list.
+  void ReturnAction(const Action& action) {
     scripted_actions = {action};
     fixture.List({JobManagerFixture::Node("d", "rack3")}, NodeListKind::kDelta);
     ASSERT_TRUE(scripted_actions.empty());
@@ -63,10 +63,10 @@
   RequestId RequestOf(const PrepareAttempt& attempt) { return fixture.Job(attempt.attempt.job).request; }
 };
 
-// Guards against a task that runs and is stopped, though its client was answered that it started.
+// Guards against stopping a running task after its client received the answer that it started.
 TEST_F(SchedulerActionsTest, ACancelThatComesAfterTheAcceptanceLeavesTheTaskRunning) {
   const PrepareAttempt running = fixture.SubmitAndStart(kIdempotent);
-  Give(CancelAttempt{RequestOf(running), 0});
+  ReturnAction(CancelAttempt{RequestOf(running), 0});
   EXPECT_TRUE(fixture.All<StopAttempt>().empty());
   EXPECT_TRUE(ended_attempts.empty());
   EXPECT_EQ(fixture.Job(running.attempt.job).state, JobState::kRunning);
@@ -76,12 +76,12 @@
   EXPECT_EQ(ended_attempts[0].result, AttemptResult::kCompleted);
 }
 
-// Guards against an attempt that runs on though the scheduler counts it as cancelled.
+// Guards against an attempt that still runs after the scheduler considers it cancelled.
 TEST_F(SchedulerActionsTest, ACancelAfterTheCommitStopsTheAttemptUntilItsNodeAnswers) {
   fixture.Submit(kIdempotent);
   const PrepareAttempt committed = *fixture.Last<PrepareAttempt>();
   fixture.Take(AttemptPrepared{committed.attempt});
-  Give(CancelAttempt{RequestOf(committed), 0});
+  ReturnAction(CancelAttempt{RequestOf(committed), 0});
   ASSERT_EQ(fixture.All<StopAttempt>().size(), 1u);
   EXPECT_EQ(fixture.Last<StopAttempt>()->attempt, committed.attempt);
   ASSERT_EQ(ended_attempts.size(), 1u);
@@ -91,11 +91,11 @@
   EXPECT_EQ(fixture.job_manager.stopping_attempts(), 0u);
 }
 
-// Guards against a migration that starts the task again beside the one that runs.
+// Guards against a migration that starts the task again while its first attempt is still running.
 TEST_F(SchedulerActionsTest, AMigrationStopsTheRunningAttemptAndOnlyThenRunsTheTaskAgain) {
   const PrepareAttempt running = fixture.SubmitAndStart(kIdempotent, "", true);
   fixture.Clear();
-  Give(MigrateTask{RequestOf(running)});
+  ReturnAction(MigrateTask{RequestOf(running)});
   ASSERT_EQ(fixture.All<StopAttempt>().size(), 1u);
   EXPECT_EQ(fixture.Last<StopAttempt>()->attempt, running.attempt);
   fixture.Take(StopAnswered{running.attempt, true});
@@ -108,7 +108,7 @@
 
 TEST_F(SchedulerActionsTest, AMigrationLeavesATaskThatItsClientDoesNotWantRerun) {
   const PrepareAttempt running = fixture.SubmitAndStart(kIdempotent);
-  Give(MigrateTask{RequestOf(running)});
+  ReturnAction(MigrateTask{RequestOf(running)});
   EXPECT_TRUE(fixture.All<StopAttempt>().empty());
   EXPECT_EQ(fixture.Job(running.attempt.job).state, JobState::kRunning);
 }
--- a/tests/job_manager/scheduler_bridge_test.cpp
+++ b/tests/job_manager/scheduler_bridge_test.cpp
@@ -7,7 +7,7 @@
 namespace mountflow::job_manager {
 namespace {
 
-// A task that no node qualifies for: the scheduler rejects it at once.
+// Returns a task for which no node qualifies, so that the scheduler rejects it at once.
 TaskSubmitted SubmittedTask(RequestId request) {
   TaskSubmitted submitted;
   submitted.task.request = request;
@@ -16,7 +16,7 @@
   return submitted;
 }
 
-TEST(SchedulerBridge, GivesOutARequestNumberAndForgetsItOnceClosed) {
+TEST(SchedulerBridge, AssignsARequestNumberAndForgetsItOnceClosed) {
   SchedulerBridge bridge(testing::Options().settings, 1);
   const RequestId first = bridge.OpenRequest(10);
   const RequestId second = bridge.OpenRequest(11);
--- a/tests/support/digest.hpp
+++ b/tests/support/digest.hpp
@@ -1,4 +1,4 @@
-// A digest of a stream of values, for tests that compare a whole run with one recorded before.
+// A digest of a sequence of values, for tests that compare a whole run with a recorded one.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_DIGEST_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_DIGEST_HPP_
 
@@ -11,7 +11,8 @@
 
 namespace mountflow::testing {
 
-// Values are taken at a fixed width, so that the digest depends neither on a type's name nor on its size.
+// Computes a 64-bit XXH3 digest. Integers and enumerators are added as 64-bit values, so that the digest does
+// not depend on the size of their type.
 class Digest {
  public:
   Digest() : state_(XXH3_createState()) { XXH3_64bits_reset(state_.get()); }
@@ -24,8 +25,10 @@
     Add(text.size());
     AddUnframed(text);
   }
-  // Without its length: pieces of one stream count alike however they are cut.
+  // Adds the text without its length, so that the digest does not depend on how a stream is divided into
+  // pieces.
   void AddUnframed(std::string_view text) { XXH3_64bits_update(state_.get(), text.data(), text.size()); }
+  // Returns the digest of all values added so far.
   std::uint64_t Value() const { return XXH3_64bits_digest(state_.get()); }
 
  private:
--- a/tests/support/golden.hpp
+++ b/tests/support/golden.hpp
@@ -1,5 +1,6 @@
-// Texts and bytes recorded in a file of tests/data/, one "NAME VALUE" a line, and compared with what is
-// written now. MOUNTFLOW_RECORD_GOLDEN=1 writes the file anew; a difference is then for the reviewer to see.
+// Compares texts and bytes with those recorded in a file of tests/data/, which has one "NAME VALUE" pair on
+// each line. With MOUNTFLOW_RECORD_GOLDEN=1 in the environment, the file is written again instead, and a
+// reviewer checks the differences.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_GOLDEN_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_GOLDEN_HPP_
 
@@ -13,6 +14,7 @@
 
 namespace mountflow::testing {
 
+// Returns two lower-case hexadecimal digits for each byte.
 inline std::string ToHex(std::string_view bytes) {
   static const char* const kDigits = "0123456789abcdef";
   std::string hex;
@@ -23,7 +25,8 @@
   return hex;
 }
 
-// Collects what a test writes; Compare() holds it against the file, in both directions.
+// Collects the values of a test. Compare() reports values that differ from the file, are missing in it, or
+// are only in the file.
 class GoldenFile {
  public:
   explicit GoldenFile(const std::string& name) : path_(std::string(MOUNTFLOW_TEST_DATA) + "/" + name) {
@@ -34,11 +37,13 @@
   void Add(const std::string& name, const std::string& value) {
     EXPECT_TRUE(written_.emplace(name, value).second) << name << " is written twice";
   }
+  // Adds bytes as hexadecimal digits, or "-" if there are none.
   void AddBytes(const std::string& name, std::string_view bytes) {
     Add(name, bytes.empty() ? "-" : ToHex(bytes));
   }
   const std::map<std::string, std::string>& recorded() const { return recorded_; }
 
+  // Compares the collected values with the file, or writes the file; see above.
   void Compare() const {
     if (std::getenv("MOUNTFLOW_RECORD_GOLDEN") != nullptr) {
       std::ofstream out(path_);
--- a/tests/support/job_manager_fixture.hpp
+++ b/tests/support/job_manager_fixture.hpp
@@ -1,5 +1,5 @@
-// The job manager with simulated nodes and a clock under the test's control: messages in, outputs out, no
-// sockets.
+// A job manager without sockets. The test controls its clock, passes it messages as simulated nodes would,
+// and collects its outputs.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_JOB_MANAGER_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_JOB_MANAGER_FIXTURE_HPP_
 
@@ -16,7 +16,8 @@
 inline constexpr Micros kMs = 1000;
 inline constexpr Micros kSecond = 1000 * kMs;
 
-// Classes: 0 idempotent with a key by rack, 1 idempotent, 2 not idempotent.
+// Returns options with three classes: 0 is idempotent with a key within a rack, 1 is idempotent, and 2 is not
+// idempotent.
 inline job_manager::JobManagerOptions Options() {
   job_manager::JobManagerOptions options;
   options.server = "d0";
@@ -32,7 +33,7 @@
   settings.self_index = 0;
   settings.list_has_free_capacity = true;
   settings.started_means_running = false;
-  settings.may_cancel = false;  // else unanswered attempts of a test are cancelled after a while
+  settings.may_cancel = false;  // otherwise the scheduler would cancel unanswered attempts after a while
   settings.max_attempts = 4;
   settings.mean_memory = 2.0;
   settings.client_wait = 3 * kSecond;
@@ -56,21 +57,23 @@
 
   Micros now;
   job_manager::JobManager job_manager;
-  std::vector<job_manager::Output> all;                                  // since the last Clear
-  std::vector<job_manager::Output> last;                                 // of the last step
-  job_manager::CommandResult verdict = job_manager::CommandResult::kOk;  // of the last Submit
+  std::vector<job_manager::Output> all;                                  // outputs since the last Clear
+  std::vector<job_manager::Output> last;                                 // outputs of the last step
+  job_manager::CommandResult verdict = job_manager::CommandResult::kOk;  // result of the last Submit
 
+  // Moves the outputs of the job manager to `last`, and appends them to `all`.
   void Collect() {
     last = std::move(job_manager.outputs());
     job_manager.outputs().clear();
     all.insert(all.end(), last.begin(), last.end());
   }
   void Clear() { all.clear(); }
+  // Passes a message from a node to the job manager.
   void Take(const job_manager::NodeMessage& message) {
     job_manager.HandleNodeMessage(now, message);
     Collect();
   }
-  // Handles all timers up to `to`, each at its time.
+  // Advances the clock to `to`, and handles each timer that becomes due at its time.
   void Run(Micros to) {
     while (job_manager.NextTimer() <= to) {
       now = std::max(now, job_manager.NextTimer());
@@ -92,14 +95,15 @@
     node.free_memory = 32.0;
     return node;
   }
+  // Passes an event of the node list to the job manager.
   void List(std::vector<job_manager::ListedNode> nodes, NodeListKind kind = NodeListKind::kSnapshot) {
-    job_manager::NodeListEvent view;
-    view.kind = kind;
-    view.nodes = std::move(nodes);
-    job_manager.HandleNodeList(now, view);
+    job_manager::NodeListEvent event;
+    event.kind = kind;
+    event.nodes = std::move(nodes);
+    job_manager.HandleNodeList(now, event);
     Collect();
   }
-  // Answers the reconciliation of each listed node: nothing runs there.
+  // Answers each reconciliation request so far: the node holds no attempt.
   void ReconcileAll(Micros started = 0) {
     for (const job_manager::ReconcileNode& request : Of<job_manager::ReconcileNode>(all)) {
       Take(job_manager::NodeReconciled{request.node, started, {}});
@@ -123,6 +127,7 @@
     return result.job;
   }
 
+  // Returns the outputs of type T.
   template <typename T>
   static std::vector<T> Of(const std::vector<job_manager::Output>& outputs) {
     std::vector<T> found;
@@ -131,22 +136,25 @@
     }
     return found;
   }
+  // Returns the outputs of type T since the last Clear.
   template <typename T>
   std::vector<T> All() const {
     return Of<T>(all);
   }
+  // Returns the latest output of type T since the last Clear.
   template <typename T>
   std::optional<T> Last() const {
     const auto found = Of<T>(all);
     return found.empty() ? std::nullopt : std::optional<T>(found.back());
   }
   const job_manager::Job& Job(std::uint64_t number) const { return *job_manager.Find(number); }
+  // Returns the number of final answers of the job since the last Clear.
   std::size_t Answers(std::uint64_t job) const {
     std::size_t count = 0;
     for (const auto& answered : All<job_manager::JobAnswered>()) count += answered.job == job;
     return count;
   }
-  // Submits a job and has its first node accept it; returns that attempt.
+  // Submits a job, and answers its first attempt as a node that accepts it. Returns that attempt.
   job_manager::PrepareAttempt SubmitAndStart(unsigned task_class, const std::string& key = "",
                                              bool rerunnable = false) {
     Clear();
@@ -158,7 +166,7 @@
   }
 };
 
-// Three nodes that hold nothing, two of them in one rack.
+// A fixture with three reconciled nodes without attempts; two of the nodes share a rack.
 class JobManagerTest : public ::testing::Test {
  protected:
   static constexpr unsigned kWithKey = 0;
--- a/tests/support/output_digest.hpp
+++ b/tests/support/output_digest.hpp
@@ -1,5 +1,6 @@
-// Adds outputs of the job manager to a digest, field by field. Texts, further fields and event names of
-// log entries are left out: they may be reworded. Their levels, which the table of events gives, are in.
+// Adds outputs of the job manager to a digest, field by field. The texts, the further fields and the event
+// names of log entries are not included, so that they can be reworded. The levels of log entries, which the
+// event table defines, are included.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_OUTPUT_DIGEST_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_OUTPUT_DIGEST_HPP_
 
@@ -16,6 +17,7 @@
   digest->Add(attempt.number);
 }
 
+// A visitor that adds one output to a digest.
 struct OutputDigester {
   Digest* digest;
 
@@ -64,6 +66,7 @@
   }
 };
 
+// Adds the type and the fields of an output.
 inline void AddOutput(const job_manager::Output& output, Digest* digest) {
   digest->Add(output.index());
   std::visit(OutputDigester{digest}, output);
