--- a/src/config/daemon_loader.cpp
+++ b/src/config/daemon_loader.cpp
@@ -70,7 +70,7 @@
   // Until the registry has answered, nothing is known of the other daemons, whatever the settings say.
   if (config->group.from_registry) job_manager->settings.self_index = -1;
   if (job_manager->settings.client_wait != 0) {
-    job_manager->repeats.reconciliation_wait = job_manager->settings.client_wait;
+    job_manager->retry_policy.reconciliation_wait = job_manager->settings.client_wait;
   }
 }
 
@@ -91,7 +91,7 @@
   if (document.Has("limits")) DecodeLimits(document.Section("limits"), &config);
   if (document.Has("door")) config.admission = DecodeAdmission(document.Section("door"));
   if (document.Has("repeats")) {
-    config.job_manager.repeats = DecodeRetryPolicy(document.Section("repeats"));
+    config.job_manager.retry_policy = DecodeRetryPolicy(document.Section("repeats"));
   }
   if (document.Has("log")) config.log = DecodeLog(document.Section("log"));
   if (document.Has("storage")) config.storage = DecodeStorage(document.Section("storage"));
--- a/src/daemon/http_api.cpp
+++ b/src/daemon/http_api.cpp
@@ -235,7 +235,7 @@
   if (rejection) return tl::unexpected(std::move(*rejection));
   const std::uint64_t number = job_manager_->NewJobNumber();
   const job_manager::SubmitResult submitted = job_manager_->Submit(request.now, number, std::move(*spec));
-  switch (submitted.verdict) {
+  switch (submitted.command_result) {
     case job_manager::CommandResult::kOk:
       return JsonReply{HttpStatus::kCreated, JobToJson(*job_manager_->Find(submitted.job))};
     case job_manager::CommandResult::kExists:
@@ -244,10 +244,10 @@
       break;
   }
   HttpProblem problem;
-  problem.status = HttpStatusOf(submitted.verdict);
+  problem.status = HttpStatusOf(submitted.command_result);
   problem.detail = submitted.reason;
-  problem.stored_nothing = submitted.verdict == job_manager::CommandResult::kFull ||
-                           submitted.verdict == job_manager::CommandResult::kStopping;
+  problem.stored_nothing = submitted.command_result == job_manager::CommandResult::kFull ||
+                           submitted.command_result == job_manager::CommandResult::kStopping;
   return tl::unexpected(std::move(problem));
 }
 
@@ -278,9 +278,10 @@
   return options_->managers.count(request.user) > 0 ? "" : request.user;
 }
 
-JsonResult HttpApi::AnswerCommand(job_manager::CommandResult verdict, std::uint64_t job) const {
-  if (verdict != job_manager::CommandResult::kOk) {
-    return Fail(HttpStatusOf(verdict), pbs_protocol::Describe(pbs_server::ReplyCodeOf(verdict)));
+JsonResult HttpApi::AnswerCommand(job_manager::CommandResult command_result, std::uint64_t job) const {
+  if (command_result != job_manager::CommandResult::kOk) {
+    return Fail(HttpStatusOf(command_result),
+                pbs_protocol::Describe(pbs_server::ReplyCodeOf(command_result)));
   }
   return JsonReply{HttpStatus::kOk, JobToJson(*job_manager_->Find(job))};
 }
--- a/src/daemon/http_api.hpp
+++ b/src/daemon/http_api.hpp
@@ -90,7 +90,7 @@
                                                           const job_manager::JobSpec& spec) const;
   // The user whose jobs a command may change; empty: a manager, who may change all.
   [[nodiscard]] std::string ActingUser(const Request& request) const;
-  [[nodiscard]] JsonResult AnswerCommand(job_manager::CommandResult verdict, std::uint64_t job) const;
+  [[nodiscard]] JsonResult AnswerCommand(job_manager::CommandResult command_result, std::uint64_t job) const;
   [[nodiscard]] nlohmann::json JobToJson(const job_manager::Job& job) const;
 
   job_manager::JobManager* job_manager_;
--- a/src/daemon/http_problem.cpp
+++ b/src/daemon/http_problem.cpp
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-HttpStatus HttpStatusOf(job_manager::CommandResult verdict) {
-  switch (verdict) {
+HttpStatus HttpStatusOf(job_manager::CommandResult command_result) {
+  switch (command_result) {
     case job_manager::CommandResult::kOk:
       return HttpStatus::kOk;
     case job_manager::CommandResult::kUnknownJob:
--- a/src/daemon/http_problem.hpp
+++ b/src/daemon/http_problem.hpp
@@ -42,7 +42,7 @@
 using JsonResult = tl::expected<JsonReply, HttpProblem>;
 
 // The status that reports why a command failed; kOk for a command that succeeded.
-[[nodiscard]] HttpStatus HttpStatusOf(job_manager::CommandResult verdict);
+[[nodiscard]] HttpStatus HttpStatusOf(job_manager::CommandResult command_result);
 
 // Whole replies as bytes. `request`: whether its connection is kept.
 [[nodiscard]] std::string WriteJson(const http::Message& request, const JsonReply& reply);
--- a/src/job_manager/job.hpp
+++ b/src/job_manager/job.hpp
@@ -44,7 +44,7 @@
   std::string hold;     // POSIX hold types, any of u, o and s; empty: not held
   std::string script;
   // Attributes that the job manager only passes on to the node: paths, variables, join.
-  std::vector<std::pair<std::string, std::string>> passed;
+  std::vector<std::pair<std::string, std::string>> forwarded_attributes;
 };
 
 // The state of a job. The letters are those of the PBS documents and are stored in journal records.
--- a/src/job_manager/job_lifecycle.cpp
+++ b/src/job_manager/job_lifecycle.cpp
@@ -86,10 +86,10 @@
   ended.now = now_;
   // A lost task is started again, so the client's wait begins again.
   if (end == retry::RequestResult::kLost)
-    job->deadline = now_ + ClientWait(*job) + options_.repeats.reconciliation_wait;
+    job->deadline = now_ + ClientWait(*job) + options_.retry_policy.reconciliation_wait;
   ended.deadline = job->deadline;
   ended.random_draw = random_.Draw();
-  const retry::RetryDecision decision = job->retry_state.Decide(options_.repeats, ended);
+  const retry::RetryDecision decision = job->retry_state.Decide(options_.retry_policy, ended);
   if (decision.action == retry::RetryAction::kGiveUp) {
     const bool rejected = end == retry::RequestResult::kRejected;
     std::string explained = reason;
@@ -160,7 +160,7 @@
 void JobManager::StartKeySearch(Job* job) {
   const Micros limit = options_.hard_limits[job->spec->task_class];
   const Micros stated = job->spec->earlier_until != 0 ? job->spec->earlier_until : now_ + limit;
-  const Micros latest = now_ + limit + options_.repeats.max_backoff;
+  const Micros latest = now_ + limit + options_.retry_policy.max_backoff;
   KeySearch& search = key_searches_.Start(job->number, std::min(stated, latest) + kMaxClockDifference);
   StartClientWait(job, now_);
   SetState(job, JobState::kWaiting);
--- a/src/job_manager/job_manager.cpp
+++ b/src/job_manager/job_manager.cpp
@@ -15,8 +15,8 @@
 // incarnation accepted more than 100,000 jobs per second on average.
 constexpr Micros kMicrosPerJobNumber = 10;
 
-SubmitResult Rejected(CommandResult verdict, std::uint64_t job, std::string reason) {
-  return {verdict, job, std::move(reason)};
+SubmitResult Rejected(CommandResult command_result, std::uint64_t job, std::string reason) {
+  return {command_result, job, std::move(reason)};
 }
 
 }  // namespace
@@ -130,7 +130,7 @@
 SubmitResult JobManager::Submit(Micros now, std::uint64_t number, JobSpec spec) {
   AdvanceTime(now);
   SubmitResult result = CheckSubmission(number, spec);
-  if (result.verdict != CommandResult::kOk) return result;
+  if (result.command_result != CommandResult::kOk) return result;
   Job& job = jobs_.FindOrCreate(number);
   job.spec = std::make_unique<JobSpec>(std::move(spec));
   job.created = job.queued = job.changed = now_;
--- a/src/job_manager/job_manager.hpp
+++ b/src/job_manager/job_manager.hpp
@@ -80,7 +80,7 @@
   std::vector<std::string> kinds;
   std::vector<std::string> zones;
   std::vector<Micros> hard_limits;  // for each class: the default time that a client waits for the answer
-  retry::RetryPolicy repeats;
+  retry::RetryPolicy retry_policy;
   Limits limits;
   Micros stop_retry_delay = 500'000;  // before the next stop request or query of an attempt; with backoff
   Micros reconcile_retry_delay = 500'000;  // before a failed reconciliation is retried; with backoff
@@ -103,7 +103,7 @@
 };
 
 struct SubmitResult {
-  CommandResult verdict = CommandResult::kOk;
+  CommandResult command_result = CommandResult::kOk;
   std::uint64_t job = 0;
   std::string reason;  // for a rejection; otherwise empty
 };
--- a/src/job_manager/journal.cpp
+++ b/src/job_manager/journal.cpp
@@ -40,7 +40,7 @@
   archive("repeat", spec.repeat);
   archive("hold", spec.hold);
   archive("script", spec.script);
-  archive.List("passed", spec.passed, [&archive](auto& pair) {
+  archive.List("passed", spec.forwarded_attributes, [&archive](auto& pair) {
     archive("passed name", pair.first);
     archive("passed value", pair.second);
   });
--- a/src/job_manager/reconciliation.cpp
+++ b/src/job_manager/reconciliation.cpp
@@ -116,7 +116,7 @@
   node.present = false;
   ++node.removal_generation;
   Log({.event = logging::LogEvent::kNodeRemoved, .node = node.listed.name});
-  timers_.Add(now_ + options_.repeats.reconciliation_wait, NodeRemoval{id, node.removal_generation});
+  timers_.Add(now_ + options_.retry_policy.reconciliation_wait, NodeRemoval{id, node.removal_generation});
   const std::set<AttemptId> attempts = node.attempts;
   for (const AttemptId& attempt_id : attempts) {
     const auto [job, attempt] = FindAttempt(attempt_id);
--- a/src/pbs_server/attribute_mapping.cpp
+++ b/src/pbs_server/attribute_mapping.cpp
@@ -246,8 +246,9 @@
 // ---- Decoding ----
 
 void SetPassedAttribute(const Attribute& attribute, JobSpec* spec) {
-  std::erase_if(spec->passed, [&attribute](const auto& passed) { return passed.first == attribute.name; });
-  spec->passed.emplace_back(attribute.name, attribute.value);
+  std::erase_if(spec->forwarded_attributes,
+                [&attribute](const auto& passed) { return passed.first == attribute.name; });
+  spec->forwarded_attributes.emplace_back(attribute.name, attribute.value);
 }
 
 AttributeResult DecodeOtherAttribute(const Attribute& attribute, JobSpec* spec) {
@@ -344,7 +345,7 @@
     if (value.empty() && row.may_be_absent) continue;
     attributes.push_back({row.name, row.resource, std::move(value), pbs_protocol::Op::kSet});
   }
-  for (const auto& [name, value] : spec.passed) Put(&attributes, name.c_str(), value);
+  for (const auto& [name, value] : spec.forwarded_attributes) Put(&attributes, name.c_str(), value);
   return attributes;
 }
 
--- a/src/pbs_server/submission_handlers.cpp
+++ b/src/pbs_server/submission_handlers.cpp
@@ -86,16 +86,16 @@
   PendingSubmission submission = *std::exchange(context.submission, std::nullopt);
   const job_manager::SubmitResult result =
       job_manager.Submit(context.now, submission.number, std::move(submission.spec));
-  switch (result.verdict) {
+  switch (result.command_result) {
     case CommandResult::kOk:
       return {MakeReply(Choice::kCommitted, submission.id)};
     case CommandResult::kExists:
       return {MakeReply(Code::kExists, job_manager.JobId(result.job))};
     case CommandResult::kFull:
     case CommandResult::kStopping:
-      return {MakeReply(ReplyCodeOf(result.verdict), result.reason), true};
+      return {MakeReply(ReplyCodeOf(result.command_result), result.reason), true};
     default:
-      return {MakeReply(ReplyCodeOf(result.verdict), result.reason)};
+      return {MakeReply(ReplyCodeOf(result.command_result), result.reason)};
   }
 }
 
--- a/tests/config/config_dump.hpp
+++ b/tests/config/config_dump.hpp
@@ -108,12 +108,12 @@
   dump->AddList(at + "kinds", options.kinds);
   dump->AddList(at + "zones", options.zones);
   dump->AddList(at + "hard_limits", options.hard_limits);
-  dump->Add(at + "repeats.max_retries", options.repeats.max_retries);
-  dump->Add(at + "repeats.initial_backoff", options.repeats.initial_backoff);
-  dump->Add(at + "repeats.max_backoff", options.repeats.max_backoff);
-  dump->Add(at + "repeats.lost_task_backoff", options.repeats.lost_task_backoff);
-  dump->Add(at + "repeats.jitter", options.repeats.jitter);
-  dump->Add(at + "repeats.reconciliation_wait", options.repeats.reconciliation_wait);
+  dump->Add(at + "repeats.max_retries", options.retry_policy.max_retries);
+  dump->Add(at + "repeats.initial_backoff", options.retry_policy.initial_backoff);
+  dump->Add(at + "repeats.max_backoff", options.retry_policy.max_backoff);
+  dump->Add(at + "repeats.lost_task_backoff", options.retry_policy.lost_task_backoff);
+  dump->Add(at + "repeats.jitter", options.retry_policy.jitter);
+  dump->Add(at + "repeats.reconciliation_wait", options.retry_policy.reconciliation_wait);
   dump->Add(at + "limits.jobs", options.limits.jobs);
   dump->Add(at + "limits.script_bytes", options.limits.script_bytes);
   dump->Add(at + "limits.history", options.limits.history);
--- a/tests/job_manager/job_manager_journal_test.cpp
+++ b/tests/job_manager/job_manager_journal_test.cpp
@@ -11,7 +11,7 @@
   spec.script = "x";
   spec.cores = 1.5;
   spec.priority = -7;
-  spec.passed = {{"a", "b"}};
+  spec.forwarded_attributes = {{"a", "b"}};
   return spec;
 }
 
@@ -55,7 +55,7 @@
   EXPECT_EQ(read->job, 300u);
   EXPECT_EQ(read->spec.priority, -7);
   EXPECT_EQ(read->spec.cores, 1.5);
-  EXPECT_EQ(read->spec.passed, spec.passed);
+  EXPECT_EQ(read->spec.forwarded_attributes, spec.forwarded_attributes);
 }
 
 TEST(Journal, ReadsTheStateThatWasWritten) {
--- a/tests/job_manager/job_manager_reconciliation_test.cpp
+++ b/tests/job_manager/job_manager_reconciliation_test.cpp
@@ -27,7 +27,7 @@
   EXPECT_EQ(job->state, JobState::kRunning);
   EXPECT_TRUE(job->recovered);
   fresh.Submit(kWithKey, "k");  // the client submits it again
-  EXPECT_EQ(fresh.verdict, CommandResult::kExists);
+  EXPECT_EQ(fresh.command_result, CommandResult::kExists);
   EXPECT_TRUE(fresh.All<PrepareAttempt>().empty());
   fresh.Take(AttemptFinished{held.attempt, EndReason::kExited, 0, "", {}});
   EXPECT_EQ(fresh.Job(5000).state, JobState::kComplete);
--- a/tests/job_manager/job_manager_submissions_test.cpp
+++ b/tests/job_manager/job_manager_submissions_test.cpp
@@ -15,22 +15,22 @@
   spec.user = "thandi", spec.task_class = kIdempotent, spec.queue = "safe",
   spec.client_deadline = fixture.now - 1;
   fixture.Submit(spec);
-  EXPECT_EQ(fixture.verdict, CommandResult::kBadState);
+  EXPECT_EQ(fixture.command_result, CommandResult::kBadState);
   EXPECT_TRUE(fixture.All<PrepareAttempt>().empty());
 }
 
 TEST_F(SubmissionsTest, RejectsASecondSubmissionOfAKeyWhileItsJobRunsAndAfterwards) {
   const auto prepare = fixture.SubmitAndStart(kWithKey, "k");
   const std::uint64_t again = fixture.Submit(kWithKey, "k");
-  EXPECT_EQ(fixture.verdict, CommandResult::kExists);
+  EXPECT_EQ(fixture.command_result, CommandResult::kExists);
   EXPECT_EQ(again, prepare.attempt.job);
   fixture.Take(AttemptFinished{prepare.attempt, EndReason::kExited, 0, "", {}});
   fixture.Submit(kWithKey, "k");
-  EXPECT_EQ(fixture.verdict, CommandResult::kExists);
+  EXPECT_EQ(fixture.command_result, CommandResult::kExists);
   JobSpec other;
   other.user = "sipho", other.task_class = kWithKey, other.queue = "keyed", other.key = "k";
   fixture.Submit(other);
-  EXPECT_EQ(fixture.verdict, CommandResult::kOk);  // keys are separate for each user
+  EXPECT_EQ(fixture.command_result, CommandResult::kOk);  // keys are separate for each user
 }
 
 TEST_F(SubmissionsTest, DoesNotRepeatNumbersOverRestarts) {
@@ -53,7 +53,7 @@
     jobs.push_back(bounded.Submit(spec));
   }
   bounded.Submit(kIdempotent);
-  EXPECT_EQ(bounded.verdict, CommandResult::kFull);
+  EXPECT_EQ(bounded.command_result, CommandResult::kFull);
   for (const std::uint64_t job : jobs) bounded.job_manager.Delete(bounded.now, job, "");
   for (int i = 0; i < 5; ++i)
     jobs.push_back(bounded.Submit(kIdempotent));  // without a node each is rejected at once
@@ -72,10 +72,10 @@
   spec.script = std::string(600, 'x');
   const std::uint64_t job = bounded.Submit(spec);
   bounded.Submit(spec);
-  EXPECT_EQ(bounded.verdict, CommandResult::kFull);
+  EXPECT_EQ(bounded.command_result, CommandResult::kFull);
   bounded.job_manager.Delete(bounded.now, job, "");
   bounded.Submit(spec);
-  EXPECT_EQ(bounded.verdict, CommandResult::kOk);  // complete jobs do not count
+  EXPECT_EQ(bounded.command_result, CommandResult::kOk);  // complete jobs do not count
 }
 
 TEST_F(SubmissionsTest, GivesEqualOutputsForEqualInputs) {
@@ -110,31 +110,31 @@
   spec.cores = 2;
   const SubmitResult checked =
       fixture.job_manager.Submit(fixture.now, fixture.job_manager.NewJobNumber(), spec);
-  EXPECT_EQ(checked.verdict, CommandResult::kFull);
+  EXPECT_EQ(checked.command_result, CommandResult::kFull);
   EXPECT_EQ(checked.reason, "too many cores");
   spec.cores = 1;
   fixture.job_manager.RejectNewJobs("the disk is full");
   const SubmitResult rejected =
       fixture.job_manager.Submit(fixture.now, fixture.job_manager.NewJobNumber(), spec);
-  EXPECT_EQ(rejected.verdict, CommandResult::kFull);
+  EXPECT_EQ(rejected.command_result, CommandResult::kFull);
   EXPECT_EQ(rejected.reason, "the disk is full");
   fixture.job_manager.RejectNewJobs("");
   fixture.Submit(spec);
-  EXPECT_EQ(fixture.verdict, CommandResult::kOk);
+  EXPECT_EQ(fixture.command_result, CommandResult::kOk);
   fixture.job_manager.StopAccepting();
   fixture.Submit(spec);
-  EXPECT_EQ(fixture.verdict, CommandResult::kStopping);
+  EXPECT_EQ(fixture.command_result, CommandResult::kStopping);
 }
 
 TEST_F(SubmissionsTest, RejectsAnUnknownClassAndANumberInUse) {
   JobSpec spec;
   spec.user = "thandi", spec.task_class = 3;
   fixture.Submit(spec);
-  EXPECT_EQ(fixture.verdict, CommandResult::kBadValue);
+  EXPECT_EQ(fixture.command_result, CommandResult::kBadValue);
   spec.task_class = kIdempotent, spec.hold = "u";
   const std::uint64_t number = fixture.Submit(spec);
-  EXPECT_EQ(fixture.job_manager.Submit(fixture.now, number, spec).verdict, CommandResult::kExists);
-  EXPECT_EQ(fixture.job_manager.Submit(fixture.now, 0, spec).verdict, CommandResult::kBadValue);
+  EXPECT_EQ(fixture.job_manager.Submit(fixture.now, number, spec).command_result, CommandResult::kExists);
+  EXPECT_EQ(fixture.job_manager.Submit(fixture.now, 0, spec).command_result, CommandResult::kBadValue);
 }
 
 }  // namespace
--- a/tests/job_manager/output_digest_test.cpp
+++ b/tests/job_manager/output_digest_test.cpp
@@ -110,7 +110,7 @@
     spec.cores = static_cast<double>(1 + Draw(4));
     spec.script = "echo " + std::to_string(Draw(1000));
     jobs_.push_back(fixture_->Submit(std::move(spec)));
-    digest.Add(fixture_->verdict);
+    digest.Add(fixture_->command_result);
     digest.Add(jobs_.back());
     if (jobs_.back() == 0) jobs_.pop_back();
   }
--- a/tests/pbs_server/attribute_mapping_test.cpp
+++ b/tests/pbs_server/attribute_mapping_test.cpp
@@ -30,7 +30,7 @@
   spec.name = "n", spec.user = "thandi", spec.service = "s", spec.key = "k";
   spec.cores = 2.5, spec.memory = 3.0, spec.walltime = 90'000'000, spec.client_wait = 5'000'000;
   spec.rerunnable = true;
-  spec.passed = {{"Output_Path", "out"}};
+  spec.forwarded_attributes = {{"Output_Path", "out"}};
   Attributes attributes = EncodeForNode(spec, OneQueue());
   std::erase_if(attributes, [](const auto& attribute) { return attribute.name == "Job_Owner"; });
   JobSpec read;
@@ -43,7 +43,7 @@
   EXPECT_EQ(read.walltime, spec.walltime);
   EXPECT_EQ(read.client_wait, spec.client_wait);
   EXPECT_TRUE(read.rerunnable);
-  EXPECT_EQ(read.passed, spec.passed);
+  EXPECT_EQ(read.forwarded_attributes, spec.forwarded_attributes);
 }
 
 TEST(AttributeMapping, AnErrorNamesTheAttributeItsValueAndWhatWasExpected) {
@@ -77,8 +77,8 @@
   JobSpec spec;
   ASSERT_TRUE(DecodeSubmission({{"umask", "", "22", Op::kSet}, {"umask", "", "77", Op::kSet}}, "batch",
                                OneQueue(), &spec));
-  ASSERT_EQ(spec.passed.size(), 1u);
-  EXPECT_EQ(spec.passed[0].second, "77");
+  ASSERT_EQ(spec.forwarded_attributes.size(), 1u);
+  EXPECT_EQ(spec.forwarded_attributes[0].second, "77");
 }
 
 }  // namespace
--- a/tests/storage/stored_state_test.cpp
+++ b/tests/storage/stored_state_test.cpp
@@ -99,7 +99,7 @@
   fixture.SubmitAndStart(0, "key-2");
   JobSpec held;
   held.user = "thandi", held.task_class = 1, held.queue = "safe", held.hold = "u", held.script = "echo held";
-  held.passed = {{"Variable_List", "A=1"}};
+  held.forwarded_attributes = {{"Variable_List", "A=1"}};
   fixture.Submit(held);
   JobSpec timed = held;
   timed.hold.clear(), timed.due = fixture.now + 24 * kHour, timed.rerunnable = true;
--- a/tests/support/job_manager_fixture.hpp
+++ b/tests/support/job_manager_fixture.hpp
@@ -57,9 +57,9 @@
 
   Micros now;
   job_manager::JobManager job_manager;
-  std::vector<job_manager::Output> all;                                  // outputs since the last Clear
-  std::vector<job_manager::Output> last;                                 // outputs of the last step
-  job_manager::CommandResult verdict = job_manager::CommandResult::kOk;  // result of the last Submit
+  std::vector<job_manager::Output> all;   // outputs since the last Clear
+  std::vector<job_manager::Output> last;  // outputs of the last step
+  job_manager::CommandResult command_result = job_manager::CommandResult::kOk;  // result of the last Submit
 
   // Moves the outputs of the job manager to `last`, and appends them to `all`.
   void Collect() {
@@ -122,7 +122,7 @@
   std::uint64_t Submit(job_manager::JobSpec spec) {
     const job_manager::SubmitResult result =
         job_manager.Submit(now, job_manager.NewJobNumber(), std::move(spec));
-    verdict = result.verdict;
+    command_result = result.command_result;
     Collect();
     return result.job;
   }
