--- a/src/discovery/backoff.hpp
+++ b/src/discovery/backoff.hpp
@@ -1,5 +1,5 @@
-// Delays between attempts that fail in a row: doubled with each failure up to a bound, and stretched by a
-// drawn share, because many daemons lose one registry together and must not return to it together.
+// Exponential backoff with jitter for consecutive failures. The jitter is needed because many daemons lose a
+// registry at the same time and must not reconnect to it at the same time.
 #ifndef MOUNTFLOW_DISCOVERY_BACKOFF_HPP_
 #define MOUNTFLOW_DISCOVERY_BACKOFF_HPP_
 
@@ -9,28 +9,30 @@
 
 namespace mountflow::discovery {
 
-// The delay after `failures` earlier failures in a row, without any stretch; never above `max`.
+// Returns `initial` doubled once for each of `failures` earlier consecutive failures, at most `max`. Adds no
+// jitter.
 [[nodiscard]] Micros ExponentialDelay(Micros initial, Micros max, unsigned failures);
 
 struct BackoffOptions {
   Micros initial_delay = 200'000;
-  Micros max_delay = 5'000'000;  // before it is stretched
-  double spread = 0.25;          // each delay is stretched by up to this share
+  Micros max_delay = 5'000'000;  // without the jitter
+  double jitter = 0.25;          // greatest jitter, as a fraction of the delay it is added to
 };
 
-// Counts the failures of a row and draws their delays from a seed. Not thread-safe.
+// Counts consecutive failures and computes the delay after each. The jitter is deterministic for a given
+// seed. Not thread-safe.
 class Backoff {
  public:
   Backoff(BackoffOptions options, std::uint64_t seed) : options_(options), random_(seed) {}
 
-  // Counts one failure; returns how long to wait before the next attempt.
+  // Counts one failure and returns how long to wait before the next attempt.
   [[nodiscard]] Micros NextDelay();
-  // An attempt succeeded: the row ends.
+  // Resets the failure count. Called after an attempt has succeeded.
   void Reset() { failures_ = 0; }
   [[nodiscard]] unsigned failures() const { return failures_; }
 
  private:
-  [[nodiscard]] double DrawShare();
+  [[nodiscard]] double RandomFraction();
 
   BackoffOptions options_;
   std::uint64_t random_;
--- a/src/discovery/client.cpp
+++ b/src/discovery/client.cpp
@@ -9,16 +9,16 @@
 namespace mountflow::discovery {
 namespace {
 
-constexpr std::size_t kMaxWarnings = 256;  // held until they are taken
+constexpr std::size_t kMaxWarnings = 256;  // stored until TakeWarnings() is called
 constexpr int kStreamStatus = 200;
 
 EndpointSelectorOptions SelectorOptions(const ClientOptions& options) {
-  // Consul stretches the wait of a blocking read by up to a sixteenth.
-  constexpr Micros kMaxWaitStretch = 16;
+  // Consul adds a random amount of up to a sixteenth to the wait of a blocking read.
+  constexpr Micros kMaxJitterDivisor = 16;
   EndpointSelectorOptions selector = options.endpoint_selector;
   selector.endpoint_count = options.endpoints.size();
   if (options.kind == RegistryKind::kConsul) {
-    selector.follow_timeout = options.wait + options.wait / kMaxWaitStretch + selector.full_read_timeout;
+    selector.follow_timeout = options.wait + options.wait / kMaxJitterDivisor + selector.full_read_timeout;
   }
   return selector;
 }
@@ -145,7 +145,7 @@
 
 void RegistryClient::Closed(Micros now, const std::string& reason) {
   if (!is_open_) return;
-  is_open_ = false;  // there is nothing to close any more
+  is_open_ = false;  // already closed: ResetConnection must not close it
   is_connected_ = false;
   if (!is_reading_) return ResetConnection();
   HandleConnectionFailure(now, reason);
@@ -189,8 +189,9 @@
   void operator()(const ReadFailed& failure) const { client->HandleReadFailure(now, failure); }
 };
 
-// Invariant: each event is handled before the next is decoded, and none after one that ended the read. What
-// the protocol remembers (the cluster, parts of a revision) then never runs ahead of what the selector knows.
+// Invariant: each event is handled before the next one is decoded, and no event is handled after one that
+// ended the read. Therefore the state of the protocol (cluster ID, fragments of a revision) never advances
+// past events that the selector has not seen.
 void RegistryClient::ProcessEvents(Micros now) {
   while (is_reading_) {
     auto event = protocol_->NextEvent();
@@ -211,7 +212,7 @@
   } else {
     selector_.OnConnectionFailure(now);
   }
-  // The first failure of a row is resumed immediately and is no news.
+  // A first connection failure is not reported, because it is usually retried at once.
   if (selector_.failures() <= 1 && !failure.is_rejection) return;
   RegistryWarning warning;
   warning.code = RegistryWarning::Code::kReadFailed;
@@ -222,7 +223,7 @@
   Warn(std::move(warning));
 }
 
-// What came in between is lost: the whole state is read again, nothing is guessed.
+// The changes since the newest revision are lost, so the client reads the whole state again.
 void RegistryClient::HandleCompaction(Micros now) {
   ResetConnection();
   ++status_.compactions;
@@ -231,7 +232,7 @@
 }
 
 void RegistryClient::HandleClusterChange(Micros now, const ClusterChanged& change) {
-  Warn(RegistryWarning::Code::kOtherCluster);
+  Warn(RegistryWarning::Code::kClusterChanged);
   ++status_.new_histories;
   state_.ForgetRevisions();
   selector_.OnNewHistory(now);
@@ -239,7 +240,7 @@
 }
 
 void RegistryClient::HandleWatchProgress(Micros now, WatchProgress progress) {
-  // An endpoint whose store is older than what was seen cannot have all changes after it.
+  // An endpoint whose store is older than the newest revision seen may lack changes.
   if (progress.store_revision != 0 && progress.store_revision < selector_.revision()) {
     ResetConnection();
     Warn(RegistryWarning::Code::kWatchBehind, progress.store_revision);
@@ -249,12 +250,13 @@
   if (progress.is_fragment) return;
   std::uint64_t newest = selector_.revision();
   for (const KeyChange& change : progress.changes) newest = std::max(newest, change.revision);
-  // The store may be ahead of the changes of a message; one without changes is a progress notice.
+  // The store's revision may be ahead of the changes in a message. A message without changes is a progress
+  // notice: it confirms that there are none up to the store's revision.
   const bool is_notice = progress.changes.empty() && !progress.is_created;
   if (is_notice) newest = std::max(newest, progress.store_revision);
   selector_.OnProgress(now, newest);
-  // Danger: a watch that resumes is created first, and only then sends what was missed. Until that is here
-  // the view is as old as it was.
+  // Note: a resumed watch first confirms its creation and sends the missed changes only afterwards. The list
+  // is confirmed only when these changes have arrived.
   if (progress.is_created) watch_created_revision_ = progress.store_revision;
   if (selector_.revision() >= watch_created_revision_) confirmed_at_ = now;
   if (!progress.changes.empty()) MergeChanges(state_.Apply(std::move(progress.changes)));
@@ -282,13 +284,13 @@
   ReplaceState(now, std::move(read));
 }
 
-// ---- What is known ----
+// ---- Known state ----
 
 void RegistryClient::ReplaceState(Micros now, FullRead read) {
-  const auto [changes, is_emptied] = state_.Replace(read.revision, std::move(read.pairs));
-  if (is_emptied) {
+  const auto [changes, lacks_most_entries] = state_.Replace(read.revision, std::move(read.pairs));
+  if (lacks_most_entries) {
     ++status_.emptied;
-    Warn(RegistryWarning::Code::kMostEntriesGone, read.revision);
+    Warn(RegistryWarning::Code::kMostEntriesRemoved, read.revision);
   }
   confirmed_at_ = now;
   coalescer_.OnFullRead();
--- a/src/discovery/client.hpp
+++ b/src/discovery/client.hpp
@@ -1,11 +1,20 @@
-// A registry client: one truthful, dated view of the node list out of a Consul or an etcd registry. Free of
-// I/O and clock: bytes in, actions for the connection out. EndpointSelector decides what to read next from
-// where; a RegistryProtocol speaks to the registry; RegistryState merges keys by revision; NodeListCoalescer
-// turns them into events. This class owns the connection and passes results from one to the next.
+// A client that follows the node list in a Consul or etcd registry. It performs no I/O and reads no clock:
+// the caller passes in the time and the received bytes, and carries out the returned actions on the
+// connection.
 //
-// Bounds: one connection at a time; replies of `max_reply_bytes`, messages of a watch of `max_message_bytes`,
-// `max_keys` keys (beyond: the endpoint is left with a warning); values of kMaxEntryBytes (beyond: skipped
-// with one warning for each of their revisions); kMaxWarnings warnings until they are taken.
+// RegistryClient manages the connection and connects these parts:
+//   - EndpointSelector decides which endpoint to read next, and how.
+//   - RegistryProtocol encodes requests and decodes replies.
+//   - RegistryState merges keys by revision.
+//   - NodeListCoalescer turns changes of keys into node list events.
+//
+// Limits:
+//   - There is at most one connection at a time.
+//   - A reply has at most `max_reply_bytes`. A longer one is handled as a connection failure.
+//   - A list has at most `max_keys` keys, and a watch message at most `max_message_bytes`. If an endpoint
+//     exceeds one of these limits, the client warns and moves on to the next endpoint.
+//   - A value has at most kMaxEntryBytes. A longer value is skipped, with one warning per revision.
+//   - At most kMaxWarnings warnings are stored until the caller takes them.
 #ifndef MOUNTFLOW_DISCOVERY_CLIENT_HPP_
 #define MOUNTFLOW_DISCOVERY_CLIENT_HPP_
 
@@ -28,53 +37,60 @@
 
 namespace mountflow::discovery {
 
+// A request to open a connection to `address`, in place of any earlier one.
 struct OpenConnection {
   std::string address;
 };
+// A request to send `bytes` over the connection.
 struct SendBytes {
   std::string bytes;
 };
+// A request to close the connection.
 struct CloseConnection {};
 using ClientAction = std::variant<OpenConnection, SendBytes, CloseConnection>;
 
+// State and counters of a registry client. The counters start at 0 when the client is constructed.
 struct NodeListStatus {
-  bool known = false;    // something was read since the start
-  bool current = false;  // changes are being followed now
+  bool known = false;    // a node list has been published since the start
+  bool current = false;  // the client is following changes now
   std::string endpoint;
   std::uint64_t revision = 0;
-  Micros age = 0;  // since the registry last confirmed the view
+  Micros age = 0;  // microseconds since the registry last confirmed the list; 0 if it never did
   std::size_t nodes = 0;
-  std::uint64_t rereads = 0;        // full reads
+  std::uint64_t rereads = 0;        // completed full reads
   std::uint64_t breaks = 0;         // reads that failed
-  std::uint64_t compactions = 0;    // reads whose revisions were compacted away
-  std::uint64_t new_histories = 0;  // restores and other clusters
-  std::uint64_t skipped = 0;        // values that are no entries
-  std::uint64_t emptied = 0;        // full reads that lacked more than half of the entries known
+  std::uint64_t compactions = 0;    // reads that failed because their revisions were compacted
+  std::uint64_t new_histories = 0;  // restores from a backup and changes of cluster
+  std::uint64_t skipped = 0;        // values that are not valid node entries
+  std::uint64_t emptied = 0;        // full reads that lacked more than half of the known entries
 };
 
-// Not thread-safe.
+// Maintains a copy of the registry's node list and reports its changes as events. Not thread-safe.
 class RegistryClient {
  public:
   RegistryClient(ClientOptions options, std::uint64_t seed);
 
-  // Events of the connection. There is at most one; OpenConnection asks for a new one.
+  // Events of the connection that the last OpenConnection action requested.
   void Connected(Micros now);
   void Received(Micros now, std::string_view bytes);
   void Closed(Micros now, const std::string& reason);
+  // Handles timeouts, and starts reads and publishes events that are due.
   void Tick(Micros now);
+  // Returns the time at which Tick must be called next.
   [[nodiscard]] Micros NextTimer() const;
-  // Makes the next read a full one, and starts it.
+  // Ends a follow in progress and makes the next read a full one. Starts it if it is due.
   void ReadAnew(Micros now);
 
-  // What the caller has to do, in order; the caller takes them.
+  // Returns the actions for the caller to carry out, in order. The caller clears them.
   [[nodiscard]] std::vector<ClientAction>& actions() { return actions_; }
+  // Returns the events published since the last call.
   std::vector<job_manager::NodeListEvent> TakeEvents();
   [[nodiscard]] std::vector<RegistryWarning> TakeWarnings();
   [[nodiscard]] NodeListStatus Status(Micros now) const;
   [[nodiscard]] const RegistryState& state() const { return state_; }
 
  private:
-  // Handles the events of the protocol, one overload each.
+  // Handles protocol events, with one overload for each type.
   struct EventHandler;
 
   void StartNextRead(Micros now);
@@ -91,9 +107,10 @@
   void ReplaceState(Micros now, FullRead read);
   void MergeChanges(const std::vector<KeyChange>& changes);
   void PublishEvent(Micros now);
-  // Ends the read and closes the connection.
+  // Ends the current read and closes the connection.
   void ResetConnection();
-  // Consul sends the whole list with each change: a flood there is coalesced by reading it less often.
+  // Reports whether `min_interval` applies to reads. Consul sends the whole list after each change, so
+  // frequent changes are coalesced by reading less often.
   [[nodiscard]] bool IsRateLimited() const;
   [[nodiscard]] bool IsFollowing() const;
   void Warn(RegistryWarning warning);
@@ -105,20 +122,20 @@
   RegistryState state_;
   NodeListCoalescer coalescer_;
 
-  // The read under way, or the last one:
+  // The read in progress, or the last one.
   ReadStep step_;
   bool is_reading_ = false;
-  Micros read_sent_at_ = 0;  // 0: never
+  Micros read_sent_at_ = 0;  // 0 if no read was sent yet
 
-  // The connection:
+  // State of the connection.
   bool is_open_ = false;
   bool is_connected_ = false;
   std::size_t open_endpoint_ = 0;
   std::unique_ptr<http::Reader> reader_;
 
-  std::uint64_t watch_created_revision_ = 0;  // the registry's when the last watch was created
-  Micros confirmed_at_ = 0;                   // when the registry last confirmed the view; 0: never
-  NodeListStatus status_;                     // counters; the rest is filled in by Status
+  std::uint64_t watch_created_revision_ = 0;  // revision of the store when the last watch was created
+  Micros confirmed_at_ = 0;                   // when the registry last confirmed the list; 0 if it never did
+  NodeListStatus status_;                     // only the counters; Status() fills in the other fields
   std::vector<job_manager::NodeListEvent> events_;
   std::vector<ClientAction> actions_;
   std::vector<RegistryWarning> warnings_;
--- a/src/discovery/consul_protocol.cpp
+++ b/src/discovery/consul_protocol.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kMaxReasonBytes = 200;
 constexpr Micros kMicrosPerMillisecond = 1000;
 
-// The value of a header that is a number; 0 where it is absent or none.
+// Returns the value of a numeric header, or 0 if it is absent or not a number.
 std::uint64_t HeaderNumber(const http::Message& reply, const char* name) {
   const std::string text = reply.Header(name);
   std::uint64_t value = 0;
@@ -41,19 +41,20 @@
   if (step.kind == ReadKind::kFollow) {
     const Micros longest = step.is_brief ? std::min(options_.brief_wait, options_.wait) : options_.wait;
     target += "&index=" + std::to_string(step.after_revision) +
-              "&wait=" + std::to_string(DrawWait(longest) / kMicrosPerMillisecond) + "ms";
+              "&wait=" + std::to_string(RandomizeWait(longest) / kMicrosPerMillisecond) + "ms";
   }
   return target;
 }
 
-// Many daemons start together; without the draw their reads would end together for ever.
-Micros ConsulProtocol::DrawWait(Micros longest) {
+// Many daemons start at the same time. Without randomized waits their blocking reads would always end
+// together.
+Micros ConsulProtocol::RandomizeWait(Micros longest) {
   constexpr std::uint64_t kMultiplier = 6364136223846793005U;  // Knuth's MMIX generator
   constexpr std::uint64_t kIncrement = 1442695040888963407U;
-  constexpr unsigned kWeakBits = 33;
-  constexpr Micros kMaxShare = 8;
+  constexpr unsigned kDiscardedLowBits = 33;
+  constexpr Micros kMaxReductionDivisor = 8;
   random_ = random_ * kMultiplier + kIncrement;
-  return longest - (random_ >> kWeakBits) % (longest / kMaxShare + 1);
+  return longest - (random_ >> kDiscardedLowBits) % (longest / kMaxReductionDivisor + 1);
 }
 
 void ConsulProtocol::ReceiveReply(const http::Message& reply) { event_ = DecodeReply(reply); }
--- a/src/discovery/consul_protocol.hpp
+++ b/src/discovery/consul_protocol.hpp
@@ -1,5 +1,6 @@
-// Consul's interface: full and blocking reads of keys (/v1/kv) or of the instances of a service (/v1/health).
-// A change is told by the whole list, so that following is a full read that waits.
+// Reads keys (/v1/kv) or the instances of a service (/v1/health) through Consul's HTTP interface. Consul
+// answers each blocking read with the whole list, so following changes is a full read that blocks until the
+// list changes.
 #ifndef MOUNTFLOW_DISCOVERY_CONSUL_PROTOCOL_HPP_
 #define MOUNTFLOW_DISCOVERY_CONSUL_PROTOCOL_HPP_
 
@@ -13,6 +14,7 @@
 
 namespace mountflow::discovery {
 
+// The RegistryProtocol of Consul.
 class ConsulProtocol : public RegistryProtocol {
  public:
   ConsulProtocol(const ClientOptions& options, std::uint64_t seed) : options_(options), random_(seed) {}
@@ -25,9 +27,10 @@
   [[nodiscard]] bool IsAuthenticating() const override { return false; }
 
  private:
+  // Returns the request target: path and query.
   [[nodiscard]] std::string Target(const ReadStep& step);
-  // At most `longest`, and an eighth less at the least.
-  [[nodiscard]] Micros DrawWait(Micros longest);
+  // Returns `longest`, shortened by a random amount of up to an eighth.
+  [[nodiscard]] Micros RandomizeWait(Micros longest);
   [[nodiscard]] ProtocolEvent DecodeReply(const http::Message& reply) const;
 
   const ClientOptions options_;
--- a/src/discovery/decode_error.hpp
+++ b/src/discovery/decode_error.hpp
@@ -1,4 +1,4 @@
-// Why bytes of a registry, or of a saved node list, cannot be decoded.
+// Errors from decoding a registry's replies or a saved node list.
 #ifndef MOUNTFLOW_DISCOVERY_DECODE_ERROR_HPP_
 #define MOUNTFLOW_DISCOVERY_DECODE_ERROR_HPP_
 
@@ -10,45 +10,46 @@
 
 namespace mountflow::discovery {
 
+// The reason why bytes could not be decoded. A comment after a code names the other fields that it sets.
 struct DecodeError {
   enum class Code {
-    // A node's entry:
+    // Codes of a node entry.
     kEntryTooLong,  // limit
-    kNoObject,
-    kNoString,  // field, limit
-    kNoNumber,  // field
+    kNotAnObject,
+    kInvalidString,  // field, limit
+    kInvalidNumber,  // field
     kInvalidStart,
     kInvalidState,
-    // Consul:
-    kNoKeyList,
+    // Codes of a Consul reply.
+    kNotAKeyList,
     kNoKey,
-    kNoBase64Value,
-    kNoInstanceList,
-    kNoServiceId,
-    // etcd:
-    kNoRange,
-    kNoPairList,
-    kNoBase64Pair,
-    kNoWatchMessage,  // detail: the error that came in its place
-    kNoEventList,
-    kNoBase64Event,
-    // A saved node list:
-    kOtherVersion,
-    kOtherLength,
-    kOtherChecksum,
-    kNoNodeList,
+    kInvalidBase64Value,
+    kNotAnInstanceList,
+    kMissingServiceId,
+    // Codes of an etcd reply.
+    kInvalidRange,
+    kInvalidPairList,
+    kInvalidBase64Pair,
+    kInvalidWatchMessage,  // detail: the text of the error object received instead
+    kInvalidEventList,
+    kInvalidBase64Event,
+    // Codes of a saved node list.
+    kUnsupportedVersion,
+    kLengthMismatch,
+    kChecksumMismatch,
+    kInvalidNodeList,
   };
 
-  Code code = Code::kNoObject;
+  Code code = Code::kNotAnObject;
   std::string field;
   std::size_t limit = 0;  // bytes
   std::optional<std::string> detail;
 };
 
-// What was expected, as the end of a sentence "expected ...".
+// Returns what was expected, worded to follow "expected ".
 [[nodiscard]] std::string Describe(const DecodeError& error);
 
-// The error value for a function that returns tl::expected.
+// Returns an error for a function whose return type is tl::expected<..., DecodeError>.
 [[nodiscard]] inline tl::unexpected<DecodeError> Expected(DecodeError::Code code, std::string field = "",
                                                           std::size_t limit = 0) {
   return tl::unexpected(DecodeError{code, std::move(field), limit, {}});
--- a/src/discovery/endpoint_selector.cpp
+++ b/src/discovery/endpoint_selector.cpp
@@ -25,9 +25,11 @@
 void EndpointSelector::EndWithFailure(Micros now, bool advance) {
   current_read_ = ReadKind::kNone;
   is_revision_confirmed_ = false;
-  // The first failure of a row resumes immediately at the same endpoint: most are of the connection alone.
+  // The first failure is retried at once at the same endpoint, because usually only the connection has
+  // failed.
   const bool resume = backoff_.failures() == 0 && !advance;
-  const Micros delay = backoff_.NextDelay();  // drawn in either case, so that the draws do not depend on it
+  // Computed in either case, so that the random sequence does not depend on `resume`.
+  const Micros delay = backoff_.NextDelay();
   next_read_at_ = resume ? now : now + delay;
   if (!resume) endpoint_ = (endpoint_ + 1) % std::max<std::size_t>(options_.endpoint_count, 1);
 }
@@ -42,7 +44,7 @@
       return ReadVerdict::kBehind;
     }
   }
-  // A full read ends at once, and a pause may follow it; only a read that blocked confirms.
+  // A full read does not block, and a pause may follow it. Only a blocking read confirms the revision.
   is_revision_confirmed_ = current_read_ == ReadKind::kFollow && revision == revision_;
   current_read_ = ReadKind::kNone;
   full_read_needed_ = false;
--- a/src/discovery/entry.cpp
+++ b/src/discovery/entry.cpp
@@ -11,28 +11,28 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMaxTextBytes = 200;  // of a name, an address or a label
+constexpr std::size_t kMaxTextBytes = 200;  // maximum size of a name, an address or a label
 constexpr std::size_t kMaxStateBytes = 20;
 constexpr double kMaxNumber = 1e18;
-constexpr char kAlphabet[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+constexpr char kBase64Alphabet[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
-const char* NameOf(NodeState state) {
+const char* StateName(NodeState state) {
   return state == NodeState::kReady ? "ready" : state == NodeState::kDraining ? "draining" : "gone";
 }
 
-std::optional<NodeState> StateOf(std::string_view name) {
+std::optional<NodeState> ParseState(std::string_view name) {
   if (name == "ready") return NodeState::kReady;
   if (name == "draining") return NodeState::kDraining;
   if (name == "gone") return NodeState::kGone;
   return std::nullopt;
 }
 
-// Reads members of an object one after another; after the first error it reads nothing more.
+// Reads members of an object one by one. After the first error it reads no further members.
 class FieldReader {
  public:
   explicit FieldReader(const json& object) : object_(object) {}
 
-  // A text that must be there and not be empty.
+  // Reads a string that must be present and not empty.
   void ReadRequired(const char* name, std::string* text) { ReadText(name, text, kMaxTextBytes, true); }
   void ReadOptional(const char* name, std::string* text, std::size_t max_bytes) {
     ReadText(name, text, max_bytes, false);
@@ -43,7 +43,7 @@
     const bool is_valid =
         it->is_number() && std::isfinite(it->get<double>()) && std::fabs(it->get<double>()) <= kMaxNumber;
     if (!is_valid) {
-      error_ = DecodeError{DecodeError::Code::kNoNumber, name, 0, {}};
+      error_ = DecodeError{DecodeError::Code::kInvalidNumber, name, 0, {}};
       return;
     }
     *number = it->get<double>();
@@ -57,7 +57,7 @@
     const bool is_text = it != object_.end() && it->is_string();
     const std::size_t size = is_text ? it->get_ref<const std::string&>().size() : 0;
     if (!is_text || size > max_bytes || (is_required && size == 0)) {
-      error_ = DecodeError{DecodeError::Code::kNoString, name, max_bytes, {}};
+      error_ = DecodeError{DecodeError::Code::kInvalidString, name, max_bytes, {}};
       return;
     }
     *text = it->get<std::string>();
@@ -67,8 +67,8 @@
   std::optional<DecodeError> error_;
 };
 
-// A member that is an index of Consul; 0 where it is absent.
-std::uint64_t IndexOf(const json& object, const char* name) {
+// Returns the member `name`, a Consul index, or 0 if it is absent or invalid.
+std::uint64_t ReadIndex(const json& object, const char* name) {
   const auto it = object.find(name);
   return it != object.end() && it->is_number_unsigned() ? it->get<std::uint64_t>() : 0;
 }
@@ -87,11 +87,11 @@
       return i + offset < bytes.size() ? static_cast<unsigned>(static_cast<unsigned char>(bytes[i + offset]))
                                        : 0u;
     };
-    const unsigned three = at(0) << 16 | at(1) << 8 | at(2);
-    text += kAlphabet[three >> 18 & 63];
-    text += kAlphabet[three >> 12 & 63];
-    text += i + 1 < bytes.size() ? kAlphabet[three >> 6 & 63] : '=';
-    text += i + 2 < bytes.size() ? kAlphabet[three & 63] : '=';
+    const unsigned group = at(0) << 16 | at(1) << 8 | at(2);
+    text += kBase64Alphabet[group >> 18 & 63];
+    text += kBase64Alphabet[group >> 12 & 63];
+    text += i + 1 < bytes.size() ? kBase64Alphabet[group >> 6 & 63] : '=';
+    text += i + 2 < bytes.size() ? kBase64Alphabet[group & 63] : '=';
   }
   return text;
 }
@@ -100,21 +100,21 @@
   bytes->clear();
   if (text.size() % 4 != 0) return false;
   for (std::size_t i = 0; i < text.size(); i += 4) {
-    unsigned four = 0;
+    unsigned group = 0;
     int pad = 0;
     for (std::size_t j = 0; j < 4; ++j) {
       const char symbol = text[i + j];
-      const std::size_t at = std::string_view(kAlphabet, 64).find(symbol);
+      const std::size_t at = std::string_view(kBase64Alphabet, 64).find(symbol);
       if (symbol == '=' && i + 4 == text.size() && j >= 2) {
         ++pad;
       } else if (at == std::string_view::npos || pad > 0) {
         return false;
       }
-      four = four << 6 | (symbol == '=' ? 0u : static_cast<unsigned>(at));
+      group = group << 6 | (symbol == '=' ? 0u : static_cast<unsigned>(at));
     }
-    bytes->push_back(static_cast<char>(four >> 16 & 255));
-    if (pad < 2) bytes->push_back(static_cast<char>(four >> 8 & 255));
-    if (pad < 1) bytes->push_back(static_cast<char>(four & 255));
+    bytes->push_back(static_cast<char>(group >> 16 & 255));
+    if (pad < 2) bytes->push_back(static_cast<char>(group >> 8 & 255));
+    if (pad < 1) bytes->push_back(static_cast<char>(group & 255));
   }
   return true;
 }
@@ -126,7 +126,7 @@
               {"room", node.room},
               {"kind", node.kind},
               {"started", node.started},
-              {"state", NameOf(node.state)},
+              {"state", StateName(node.state)},
               {"free_cores", node.free_cores},
               {"free_memory", node.free_memory}}
       .dump();
@@ -136,11 +136,11 @@
   using Code = DecodeError::Code;
   if (text.size() > kMaxEntryBytes) return Expected(Code::kEntryTooLong, "", kMaxEntryBytes);
   const json object = json::parse(text, nullptr, false);
-  if (!object.is_object()) return Expected(Code::kNoObject);
+  if (!object.is_object()) return Expected(Code::kNotAnObject);
   job_manager::ListedNode node;
   std::string state = "ready";
   double started = 0.0;
-  // The first field that is wrong is the one that is told.
+  // Only the first invalid field is reported.
   FieldReader fields(object);
   fields.ReadRequired("name", &node.name);
   fields.ReadRequired("address", &node.address);
@@ -153,9 +153,9 @@
   fields.ReadNumber("free_memory", &node.free_memory);
   if (fields.error()) return tl::unexpected(*fields.error());
   if (started < 0.0) return Expected(Code::kInvalidStart);
-  // Not by way of the double, which has too few digits for microseconds.
+  // Read as an integer again, because a double has too few digits for microseconds since the epoch.
   if (const auto it = object.find("started"); it != object.end()) node.started = it->get<std::uint64_t>();
-  const auto known_state = StateOf(state);
+  const auto known_state = ParseState(state);
   if (!known_state) return Expected(Code::kInvalidState);
   node.state = *known_state;
   return node;
@@ -181,7 +181,7 @@
 tl::expected<std::vector<KeyValue>, DecodeError> DecodeKeyValues(std::string_view text) {
   using Code = DecodeError::Code;
   const json list = json::parse(text, nullptr, false);
-  if (!list.is_array()) return Expected(Code::kNoKeyList);
+  if (!list.is_array()) return Expected(Code::kNotAKeyList);
   std::vector<KeyValue> pairs;
   for (const json& item : list) {
     if (!item.is_object() || !item.contains("Key") || !item["Key"].is_string()) return Expected(Code::kNoKey);
@@ -190,10 +190,10 @@
     const auto value = item.find("Value");
     if (value != item.end() && value->is_string() &&
         !FromBase64(value->get_ref<const std::string&>(), &pair.value)) {
-      return Expected(Code::kNoBase64Value);
+      return Expected(Code::kInvalidBase64Value);
     }
-    pair.create_index = IndexOf(item, "CreateIndex");
-    pair.modify_index = IndexOf(item, "ModifyIndex");
+    pair.create_index = ReadIndex(item, "CreateIndex");
+    pair.modify_index = ReadIndex(item, "ModifyIndex");
     pairs.push_back(std::move(pair));
   }
   return pairs;
--- a/src/discovery/etcd.cpp
+++ b/src/discovery/etcd.cpp
@@ -9,8 +9,8 @@
 
 using nlohmann::json;
 
-// A 64-bit number as the gateway writes it: a string, or a plain number; absent means 0.
-std::uint64_t Number(const json& object, const char* name) {
+// Returns a 64-bit number, which the gateway writes as a string or a plain number, or 0 if it is absent.
+std::uint64_t ReadNumber(const json& object, const char* name) {
   const auto it = object.find(name);
   if (it == object.end()) return 0;
   if (it->is_number_unsigned()) return it->get<std::uint64_t>();
@@ -21,21 +21,24 @@
   return value;
 }
 
-bool Flag(const json& object, const char* name) {
+// Returns a boolean member, or false if it is absent.
+bool ReadFlag(const json& object, const char* name) {
   const auto it = object.find(name);
   return it != object.end() && it->is_boolean() && it->get<bool>();
 }
 
-bool Bytes(const json& object, const char* name, std::string* bytes) {
+// Decodes a base64 member; an absent one is empty. Returns false if it is not base64.
+bool ReadBytes(const json& object, const char* name, std::string* bytes) {
   const auto it = object.find(name);
   bytes->clear();
   if (it == object.end()) return true;
   return it->is_string() && FromBase64(it->get_ref<const std::string&>(), bytes);
 }
 
-std::uint64_t Header(const json& object, const char* name = "revision") {
+// Returns a number from the reply's header, or 0 if it is absent.
+std::uint64_t ReadHeader(const json& object, const char* name = "revision") {
   const auto it = object.find("header");
-  return it != object.end() && it->is_object() ? Number(*it, name) : 0;
+  return it != object.end() && it->is_object() ? ReadNumber(*it, name) : 0;
 }
 
 }  // namespace
@@ -62,21 +65,21 @@
 tl::expected<EtcdRange, DecodeError> DecodeRange(std::string_view body) {
   using Code = DecodeError::Code;
   const json object = json::parse(body, nullptr, false);
-  if (!object.is_object() || Header(object) == 0) return Expected(Code::kNoRange);
+  if (!object.is_object() || ReadHeader(object) == 0) return Expected(Code::kInvalidRange);
   EtcdRange range;
-  range.revision = Header(object);
-  range.cluster = Header(object, "cluster_id");
-  range.more = Flag(object, "more");
+  range.revision = ReadHeader(object);
+  range.cluster = ReadHeader(object, "cluster_id");
+  range.more = ReadFlag(object, "more");
   const auto pairs = object.find("kvs");
   if (pairs == object.end()) return range;
-  if (!pairs->is_array()) return Expected(Code::kNoPairList);
+  if (!pairs->is_array()) return Expected(Code::kInvalidPairList);
   for (const json& item : *pairs) {
     KeyValue pair;
-    if (!item.is_object() || !Bytes(item, "key", &pair.key) || !Bytes(item, "value", &pair.value)) {
-      return Expected(Code::kNoBase64Pair);
+    if (!item.is_object() || !ReadBytes(item, "key", &pair.key) || !ReadBytes(item, "value", &pair.value)) {
+      return Expected(Code::kInvalidBase64Pair);
     }
-    pair.create_index = Number(item, "create_revision");
-    pair.modify_index = Number(item, "mod_revision");
+    pair.create_index = ReadNumber(item, "create_revision");
+    pair.modify_index = ReadNumber(item, "mod_revision");
     range.pairs.push_back(std::move(pair));
   }
   return range;
@@ -94,9 +97,9 @@
 
 namespace {
 
-// An error object, or anything else, in place of a watch message.
-tl::unexpected<DecodeError> NoWatchMessage(std::string_view message) {
-  DecodeError failure{DecodeError::Code::kNoWatchMessage, "", 0, {}};
+// Returns the error for anything but a watch message. If it is an error object, the error includes its text.
+tl::unexpected<DecodeError> InvalidWatchMessage(std::string_view message) {
+  DecodeError failure{DecodeError::Code::kInvalidWatchMessage, "", 0, {}};
   EtcdError error;
   if (ReadError(message, &error)) failure.detail = error.text;
   return tl::unexpected(std::move(failure));
@@ -105,13 +108,13 @@
 tl::expected<KeyChange, DecodeError> DecodeChange(const json& event) {
   const auto pair = event.is_object() ? event.find("kv") : event.end();
   KeyChange change;
-  if (!event.is_object() || pair == event.end() || !pair->is_object() || !Bytes(*pair, "key", &change.key) ||
-      !Bytes(*pair, "value", &change.value)) {
-    return Expected(DecodeError::Code::kNoBase64Event);
+  if (!event.is_object() || pair == event.end() || !pair->is_object() ||
+      !ReadBytes(*pair, "key", &change.key) || !ReadBytes(*pair, "value", &change.value)) {
+    return Expected(DecodeError::Code::kInvalidBase64Event);
   }
   const auto type = event.find("type");
   change.removed = type != event.end() && (*type == "DELETE" || *type == 1);
-  change.revision = Number(*pair, "mod_revision");
+  change.revision = ReadNumber(*pair, "mod_revision");
   return change;
 }
 
@@ -120,18 +123,19 @@
 tl::expected<EtcdWatch, DecodeError> DecodeWatch(std::string_view message) {
   const json object = json::parse(message, nullptr, false);
   const auto result = object.is_object() ? object.find("result") : object.end();
-  if (!object.is_object() || result == object.end() || !result->is_object()) return NoWatchMessage(message);
+  if (!object.is_object() || result == object.end() || !result->is_object())
+    return InvalidWatchMessage(message);
   EtcdWatch watch;
-  watch.header_revision = Header(*result);
-  watch.cluster = Header(*result, "cluster_id");
-  watch.created = Flag(*result, "created");
-  watch.canceled = Flag(*result, "canceled");
-  watch.fragment = Flag(*result, "fragment");
-  watch.compact_revision = Number(*result, "compact_revision");
+  watch.header_revision = ReadHeader(*result);
+  watch.cluster = ReadHeader(*result, "cluster_id");
+  watch.created = ReadFlag(*result, "created");
+  watch.canceled = ReadFlag(*result, "canceled");
+  watch.fragment = ReadFlag(*result, "fragment");
+  watch.compact_revision = ReadNumber(*result, "compact_revision");
   watch.reason = TextOf(*result, "cancel_reason");
   const auto events = result->find("events");
   if (events == result->end()) return watch;
-  if (!events->is_array()) return Expected(DecodeError::Code::kNoEventList);
+  if (!events->is_array()) return Expected(DecodeError::Code::kInvalidEventList);
   for (const json& event : *events) {
     auto change = DecodeChange(event);
     if (!change) return tl::unexpected(change.error());
@@ -140,16 +144,16 @@
   return watch;
 }
 
-bool EtcdError::compacted() const { return text.find("compacted") != std::string::npos; }
-bool EtcdError::token() const { return code == 16 || text.find("auth token") != std::string::npos; }
+bool EtcdError::IsCompacted() const { return text.find("compacted") != std::string::npos; }
+bool EtcdError::IsTokenInvalid() const { return code == 16 || text.find("auth token") != std::string::npos; }
 
 bool ReadError(std::string_view body, EtcdError* error) {
   const json object = json::parse(body, nullptr, false);
   if (!object.is_object()) return false;
   const json* from = &object;
   const auto inner = object.find("error");
-  if (inner != object.end() && inner->is_object()) from = &*inner;  // in a stream
-  error->code = static_cast<int>(Number(*from, "code") | Number(*from, "grpc_code"));
+  if (inner != object.end() && inner->is_object()) from = &*inner;  // errors in a stream are nested
+  error->code = static_cast<int>(ReadNumber(*from, "code") | ReadNumber(*from, "grpc_code"));
   for (const char* name : {"message", "error"}) {
     const auto it = from->find(name);
     if (it != from->end() && it->is_string()) {
@@ -184,8 +188,8 @@
   const json* from = &object;
   const auto result = object.find("result");
   if (result != object.end() && result->is_object()) from = &*result;
-  *id = Number(*from, "ID");
-  *ttl_s = static_cast<std::int64_t>(Number(*from, "TTL"));
+  *id = ReadNumber(*from, "ID");
+  *ttl_s = static_cast<std::int64_t>(ReadNumber(*from, "TTL"));
   return *id != 0;
 }
 
--- a/src/discovery/etcd_protocol.cpp
+++ b/src/discovery/etcd_protocol.cpp
@@ -56,7 +56,7 @@
 }
 
 void EtcdProtocol::ReceiveReply(const http::Message& reply) {
-  // The reply of a watch does not end by itself: here it did, or the watch was rejected.
+  // The reply to a watch is an endless stream. A complete reply means that the watch ended or was rejected.
   const bool is_watch_end = step_.kind == ReadKind::kFollow && !is_authenticating_;
   if (reply.status != kStatusOk || is_watch_end) return ReceiveFailure(reply);
   if (is_authenticating_) return ReceiveToken(reply);
@@ -66,11 +66,11 @@
 void EtcdProtocol::ReceiveFailure(const http::Message& reply) {
   EtcdError error;
   const bool has_error = ReadError(reply.body, &error);
-  if (reply.status != kStatusOk && has_error && error.compacted()) {
+  if (reply.status != kStatusOk && has_error && error.IsCompacted()) {
     events_.emplace_back(ReadCompacted{});
     return;
   }
-  if (has_error && error.token()) token_.clear();  // requested again with the next read
+  if (has_error && error.IsTokenInvalid()) token_.clear();  // the next read requests a new one
   if (reply.status == kStatusOk) {
     events_.emplace_back(ReadFailed{"the watch ended", false});
     return;
@@ -132,8 +132,8 @@
 void EtcdProtocol::DecodeWatchMessage(std::string_view message) {
   auto watch = DecodeWatch(message);
   if (!watch) return Fail("expected " + Describe(watch.error()));
-  // Danger: a restored registry counts up again and soon has the revisions that were seen, of other changes.
-  // Only its cluster id tells.
+  // Note: a restored registry counts up again and soon reuses the revisions seen before for different
+  // changes. Only its cluster ID reveals the restore.
   if (IsOtherCluster(watch->cluster)) {
     events_.emplace_back(ClusterChanged{true});
     return;
@@ -146,7 +146,8 @@
   AddFragment(std::move(*watch));
 }
 
-// Parts of one revision are held until the last one is here: a failure before it must resume before them.
+// Stores the fragments of a revision until the last one has arrived. If the connection fails before that, the
+// watch must resume before this revision.
 void EtcdProtocol::AddFragment(EtcdWatch watch) {
   fragments_.insert(fragments_.end(), std::move_iterator(watch.events.begin()),
                     std::move_iterator(watch.events.end()));
--- a/src/discovery/etcd_protocol.hpp
+++ b/src/discovery/etcd_protocol.hpp
@@ -1,5 +1,5 @@
-// etcd's interface through its JSON gateway: a range read in pages, then a watch, both after an exchange of
-// user and password for a token where these are set.
+// Reads keys through etcd's JSON gateway: a full read is a range read in pages, and following is a watch. If
+// a user is configured, the protocol first exchanges user and password for a token.
 #ifndef MOUNTFLOW_DISCOVERY_ETCD_PROTOCOL_HPP_
 #define MOUNTFLOW_DISCOVERY_ETCD_PROTOCOL_HPP_
 
@@ -17,6 +17,7 @@
 
 namespace mountflow::discovery {
 
+// The RegistryProtocol of etcd.
 class EtcdProtocol : public RegistryProtocol {
  public:
   explicit EtcdProtocol(const ClientOptions& options) : options_(options) {}
@@ -39,24 +40,26 @@
   void DecodeWatchMessage(std::string_view message);
   void AddFragment(EtcdWatch watch);
   void ClearRead();
-  // Notes the cluster of a reply; true when it is another one than before.
+  // Records the cluster ID of a reply. Reports whether it differs from the one recorded before; an ID of 0 is
+  // ignored.
   [[nodiscard]] bool IsOtherCluster(std::uint64_t cluster);
 
   const ClientOptions options_;
   ReadStep step_;
   bool is_authenticating_ = false;
-  std::string token_;          // empty: to be requested, where a user is set
-  std::uint64_t cluster_ = 0;  // 0: not known yet
+  std::string token_;          // empty: must be requested before the next read if a user is configured
+  std::uint64_t cluster_ = 0;  // 0: unknown
   std::deque<ProtocolEvent> events_;
 
-  // Of a full read: all pages are of the first one's revision; changes between them come by the watch.
+  // State of a full read. All pages are read at the revision of the first one; the watch that follows
+  // delivers later changes.
   std::vector<KeyValue> pages_;
-  std::uint64_t pages_revision_ = 0;  // 0: no page yet
+  std::uint64_t pages_revision_ = 0;  // 0: no page received yet
 
-  // Of a watch:
-  std::string stream_;                // one JSON object a line
-  std::size_t decoded_bytes_ = 0;     // of stream_
-  std::vector<KeyChange> fragments_;  // of a revision whose last part has not arrived
+  // State of a watch.
+  std::string stream_;                // received bytes; one JSON object per line
+  std::size_t decoded_bytes_ = 0;     // length of the part of stream_ that is decoded already
+  std::vector<KeyChange> fragments_;  // changes of a revision whose last fragment has not arrived
 };
 
 }  // namespace mountflow::discovery
--- a/src/discovery/health.cpp
+++ b/src/discovery/health.cpp
@@ -9,10 +9,10 @@
 
 using nlohmann::json;
 
-enum class Health { kGood, kMaintained, kCritical };
+enum class Health { kPassing, kMaintenance, kCritical };
 
 Health HealthOf(const json& instance) {
-  Health health = Health::kGood;
+  Health health = Health::kPassing;
   const auto checks = instance.find("Checks");
   if (checks == instance.end() || !checks->is_array()) return health;
   for (const json& check : *checks) {
@@ -21,24 +21,24 @@
     const bool maintenance =
         id.rfind("_service_maintenance", 0) == 0 || id.rfind("_node_maintenance", 0) == 0;
     if (!maintenance) return Health::kCritical;
-    health = Health::kMaintained;
+    health = Health::kMaintenance;
   }
   return health;
 }
 
-// Puts a tag or a member of Meta into the entry; keys that no entry has are ignored.
+// Adds a tag or a member of Meta to the entry. Ignores keys that are not fields of an entry.
 void AddField(const std::string& key, const std::string& value, json* entry) {
   if (key == "started" || key == "free_cores" || key == "free_memory") {
     char* end = nullptr;
     const double number = std::strtod(value.c_str(), &end);
     const bool is_number = end != value.c_str() && *end == '\0';
-    (*entry)[key] = is_number ? json(number) : json(value);  // what is no number leads to a warning
+    (*entry)[key] = is_number ? json(number) : json(value);  // an invalid number causes a warning later
   } else if (key == "rack" || key == "room" || key == "kind" || key == "state") {
     (*entry)[key] = value;
   }
 }
 
-// Tags of the form KEY=VALUE.
+// Adds the tags of the form KEY=VALUE.
 void AddTags(const json& service, json* entry) {
   const auto tags = service.find("Tags");
   if (tags == service.end() || !tags->is_array()) return;
@@ -58,12 +58,12 @@
   }
 }
 
-// Members of Meta win over tags.
+// Returns the node entry of a service instance. Members of Meta override tags.
 std::string EntryOf(const json& service, Health health) {
   json entry = {{"name", TextOf(service, "ID")}};
   AddTags(service, &entry);
   AddMeta(service, &entry);
-  if (health == Health::kMaintained) entry["state"] = "draining";
+  if (health == Health::kMaintenance) entry["state"] = "draining";
   const auto port = service.find("Port");
   entry["address"] =
       TextOf(service, "Address") + ":" +
@@ -74,7 +74,7 @@
 KeyValue ToKeyValue(const json& instance, const json& service, Health health) {
   KeyValue pair;
   pair.key = TextOf(service, "ID");
-  // Agents register without an address where theirs is the service's.
+  // A service without an address has the address of its agent.
   json full = service;
   if (TextOf(full, "Address").empty() && instance.contains("Node") && instance["Node"].is_object()) {
     full["Address"] = TextOf(instance["Node"], "Address");
@@ -93,13 +93,13 @@
 
 tl::expected<std::vector<KeyValue>, DecodeError> DecodeHealth(std::string_view body) {
   const json list = json::parse(body, nullptr, false);
-  if (!list.is_array()) return Expected(DecodeError::Code::kNoInstanceList);
+  if (!list.is_array()) return Expected(DecodeError::Code::kNotAnInstanceList);
   std::vector<KeyValue> pairs;
   for (const json& instance : list) {
     const auto service = instance.is_object() ? instance.find("Service") : instance.end();
     if (!instance.is_object() || service == instance.end() || !service->is_object() ||
         TextOf(*service, "ID").empty()) {
-      return Expected(DecodeError::Code::kNoServiceId);
+      return Expected(DecodeError::Code::kMissingServiceId);
     }
     const Health health = HealthOf(instance);
     if (health != Health::kCritical) pairs.push_back(ToKeyValue(instance, *service, health));
--- a/src/discovery/lease_protocol.cpp
+++ b/src/discovery/lease_protocol.cpp
@@ -21,10 +21,10 @@
   return tl::unexpected(LeaseError{std::move(reason), is_lease_lost});
 }
 
-// A rejection with a status. `detail` is the registry's own text.
+// Handles a reply whose status is an error. `detail` is the registry's error text.
 tl::expected<LeaseReply, LeaseError> Reject(LeaseStep step, int status, bool is_lease_unknown,
                                             const std::string& detail) {
-  // An entry that is to be removed and is gone already.
+  // The entry to remove does not exist.
   if (step == LeaseStep::kRemove && status == kStatusNotFound) return LeaseReply{true, false, false};
   const bool uses_lease = step == LeaseStep::kRenew || step == LeaseStep::kWrite;
   const bool is_lease_lost = uses_lease && (is_lease_unknown || status == kStatusNotFound);
@@ -35,8 +35,9 @@
   return reply.body.find("nknown check") != std::string::npos;
 }
 
-// ---- etcd: a key under a lease ----
+// ---- etcd ----
 
+// Stores the entry as a key under a lease.
 class EtcdLeaseProtocol : public LeaseProtocol {
  public:
   explicit EtcdLeaseProtocol(const RegistrarOptions& options) : options_(options) {}
@@ -101,7 +102,7 @@
   tl::expected<LeaseReply, LeaseError> ReceiveRejection(LeaseStep step, const http::Message& reply) {
     EtcdError error;
     const bool has_error = ReadError(reply.body, &error);
-    if (has_error && error.token()) token_.clear();
+    if (has_error && error.IsTokenInvalid()) token_.clear();
     const bool is_lease_unknown =
         MentionsUnknownCheck(reply) || (has_error && error.text.find("lease not found") != std::string::npos);
     return Reject(step, reply.status, is_lease_unknown,
@@ -115,6 +116,7 @@
 
 // ---- Consul ----
 
+// Base class of the protocols for Consul.
 class ConsulLeaseProtocol : public LeaseProtocol {
  public:
   explicit ConsulLeaseProtocol(const RegistrarOptions& options) : options_(options) {}
@@ -140,7 +142,7 @@
   const RegistrarOptions options_;
 };
 
-// A key that a session holds.
+// Stores the entry as a key that is held by a session.
 class ConsulSessionProtocol : public ConsulLeaseProtocol {
  public:
   using ConsulLeaseProtocol::ConsulLeaseProtocol;
@@ -172,7 +174,8 @@
     if (step == LeaseStep::kOpen) return ReceiveSession(reply);
     if (step == LeaseStep::kRenew) return LeaseReply{false, true, false};
     if (step != LeaseStep::kWrite) return LeaseReply{};
-    // Consul answers false when another session holds the key: an earlier incarnation's, until it ends.
+    // Consul answers false if another session holds the key, for example that of an earlier process of this
+    // node that has not expired yet.
     if (reply.body.find("true") == std::string::npos) return Fail("the key is held by another session");
     return LeaseReply{false, false, true};
   }
@@ -196,7 +199,8 @@
   std::string session_;  // empty: none
 };
 
-// An instance of a service with a TTL check; registering it opens the lease and writes the entry in one.
+// Stores the entry as an instance of a service with a TTL check. One registration request opens the lease and
+// writes the entry.
 class ConsulServiceProtocol : public ConsulLeaseProtocol {
  public:
   using ConsulLeaseProtocol::ConsulLeaseProtocol;
--- a/src/discovery/lease_protocol.hpp
+++ b/src/discovery/lease_protocol.hpp
@@ -1,6 +1,6 @@
-// The requests by which a registrar holds its own entry in a registry, and their replies: an etcd key under a
-// lease, a Consul key under a session, or a Consul service with a TTL check. "Lease" stands for all three.
-// Free of I/O and clock.
+// Requests and replies that store a registrar's entry in a registry under a lease. The entry is an etcd key
+// with a lease, a Consul key with a session, or an instance of a Consul service with a TTL check; "lease"
+// means any of the three here. Performs no I/O and reads no clock.
 #ifndef MOUNTFLOW_DISCOVERY_LEASE_PROTOCOL_HPP_
 #define MOUNTFLOW_DISCOVERY_LEASE_PROTOCOL_HPP_
 
@@ -17,37 +17,42 @@
 
 namespace mountflow::discovery {
 
+// Options of a registrar. Durations are in microseconds.
 struct RegistrarOptions {
   RegistryKind kind = RegistryKind::kConsul;
   std::vector<std::string> endpoints = {"127.0.0.1:8500"};
-  std::string key;
-  // Consul: the entry is an instance of this service with a TTL check, in place of a key with a session.
+  std::string key;  // key of the entry; the last part of the path is the node's name
+  // Consul: name of the service of which the entry is an instance. Empty: the entry is a key with a session.
   std::string service;
   std::string token;                 // Consul: X-Consul-Token
-  std::string user;                  // etcd: exchanged, with the password, for a token
+  std::string user;                  // etcd: exchanged for a token, together with the password
   std::string password;              // etcd
-  Micros time_to_live = 10'000'000;  // Consul demands 10 s at the least
-  Micros min_interval = 200'000;  // between writes of a changed value; a change of state is written at once
-  Micros reassert = 60'000'000;   // stretched by up to a quarter
-  Micros timeout = 2'000'000;     // of one request
+  Micros time_to_live = 10'000'000;  // of the lease; Consul requires at least 10 s
+  Micros min_interval = 200'000;     // between writes of changed values, except urgent ones (Registrar::Want)
+  Micros reassert = 60'000'000;  // interval of writes of an unchanged value, plus a jitter of up to a quarter
+  Micros timeout = 2'000'000;    // for the reply to a request
   Micros initial_backoff = 200'000;
   Micros max_backoff = 3'000'000;
 };
 
+// The kinds of requests: get a token, open the lease, renew it, write the entry and remove it.
 enum class LeaseStep { kNone, kAuthenticate, kOpen, kRenew, kWrite, kRemove };
 
-// What a reply that is a success means.
+// Result of a reply without an error.
 struct LeaseReply {
-  bool is_lease_lost = false;      // the registry answers that the lease has run out
-  bool is_lease_extended = false;  // by the time to live, from when the request was sent
+  bool is_lease_lost = false;      // the lease has expired or does not exist
+  bool is_lease_extended = false;  // by the time to live, counted from when the request was sent
   bool is_entry_written = false;
 };
 
+// The reason why a request failed.
 struct LeaseError {
   std::string reason;
   bool is_lease_lost = false;  // the registry does not know the lease
 };
 
+// Encodes requests and decodes replies for one kind of registry. It stores the ID of the lease and the token,
+// if any.
 class LeaseProtocol {
  public:
   LeaseProtocol() = default;
@@ -55,15 +60,19 @@
   LeaseProtocol& operator=(const LeaseProtocol&) = delete;
   virtual ~LeaseProtocol() = default;
 
-  // The bytes of a request. `value` is the entry.
+  // Returns the bytes of a request. `value` is the entry.
   [[nodiscard]] virtual std::string WriteRequest(LeaseStep step, const std::string& value) const = 0;
+  // Handles the reply to the request of `step`.
   [[nodiscard]] virtual tl::expected<LeaseReply, LeaseError> ReceiveReply(LeaseStep step,
                                                                           const http::Message& reply) = 0;
   [[nodiscard]] virtual bool HasLease() const = 0;
+  // Forgets the lease without a request to the registry.
   virtual void DropLease() = 0;
+  // Reports whether a token must be requested before any other request.
   [[nodiscard]] virtual bool NeedsAuthentication() const { return false; }
 };
 
+// Returns the protocol for the kind of registry in `options`.
 [[nodiscard]] std::unique_ptr<LeaseProtocol> MakeLeaseProtocol(const RegistrarOptions& options);
 
 }  // namespace mountflow::discovery
--- a/src/discovery/registrar.cpp
+++ b/src/discovery/registrar.cpp
@@ -9,10 +9,10 @@
 namespace mountflow::discovery {
 namespace {
 
-constexpr std::size_t kMaxWarnings = 64;   // held until they are taken
-constexpr Micros kMaxViewLag = 1'000'000;  // a view of the registry may be behind a write by this much
+constexpr std::size_t kMaxWarnings = 64;          // stored until TakeWarnings() is called
+constexpr Micros kMaxObservationLag = 1'000'000;  // of reads from the registry behind a write
 constexpr Micros kRenewalsInTimeToLive = 3;
-constexpr Micros kMaxStretchShare = 4;  // draws stretch times by up to a quarter
+constexpr Micros kMaxJitterDivisor = 4;  // jitter is at most a quarter
 
 }  // namespace
 
@@ -27,9 +27,10 @@
   if (immediately) write_at_ = std::min(write_at_, now);
 }
 
-// Danger: a lease is renewed though its key is gone; without this the entry would stay absent for ever.
+// Note: renewals succeed even if the key was removed, so without this function the entry would stay absent
+// until the next write.
 void Registrar::Missed(Micros at) {
-  if (written_.empty() || at <= written_at_ + kMaxViewLag) return;
+  if (written_.empty() || at <= written_at_ + kMaxObservationLag) return;
   written_.clear();
   write_at_ = std::min(write_at_, at);
   ++incarnations_;
@@ -37,7 +38,7 @@
 
 // ---- Requests ----
 
-std::optional<Registrar::Request> Registrar::Next(Micros now) {
+std::optional<Registrar::Request> Registrar::NextRequest(Micros now) {
   if (in_flight_ != LeaseStep::kNone || now < next_at_) return std::nullopt;
   const LeaseStep step = DueStep(now);
   if (step == LeaseStep::kNone) return std::nullopt;
@@ -47,8 +48,8 @@
   return Request{options_.endpoints[endpoint_], protocol_->WriteRequest(step, wanted_)};
 }
 
-// In this order: credentials, the lease, its renewal, then the entry. A lease that runs out takes the entry
-// with it, so that a renewal goes before a write.
+// Returns the most urgent step that is due: authentication, opening the lease, renewing it, then writing the
+// entry. A renewal precedes a write because an expired lease removes the entry.
 LeaseStep Registrar::DueStep(Micros now) const {
   const bool is_wanted = !wanted_.empty();
   const bool has_lease = protocol_->HasLease();
@@ -107,17 +108,18 @@
 void Registrar::NoteWritten(Micros now) {
   written_ = sending_;
   written_at_ = now;
-  reassert_at_ = now + options_.reassert + Draw() % (options_.reassert / kMaxStretchShare + 1);
+  reassert_at_ = now + options_.reassert + NextRandom() % (options_.reassert / kMaxJitterDivisor + 1);
   write_at_ = now + options_.min_interval;
 }
 
-// The registry counts from when the request arrives; only the time before it was sent is sure.
+// The registry counts the time to live from when it received the request. That time is unknown but not
+// earlier than when the request was sent, so counting from there never overestimates the lease.
 void Registrar::NoteExtended() {
   held_until_ = sent_at_ + options_.time_to_live;
   renew_at_ = sent_at_ + options_.time_to_live / kRenewalsInTimeToLive;
 }
 
-// The entry is gone with the lease.
+// The registry removes the entry together with the lease.
 void Registrar::NoteLeaseLost() {
   protocol_->DropLease();
   written_.clear();
@@ -129,23 +131,23 @@
   const Micros delay = ExponentialDelay(options_.initial_backoff, options_.max_backoff, failures_);
   ++failures_;
   endpoint_ = (endpoint_ + 1) % options_.endpoints.size();
-  next_at_ = now + delay + Draw() % (delay / kMaxStretchShare + 1);
+  next_at_ = now + delay + NextRandom() % (delay / kMaxJitterDivisor + 1);
   if (warnings_.size() < kMaxWarnings) {
     RegistryWarning warning;
     warning.code = RegistryWarning::Code::kOwnEntryNotStored;
     warning.reason = reason;
     warnings_.push_back(std::move(warning));
   }
-  // A lease that ran out meanwhile is gone, even if the registry did not say so.
+  // A lease that has expired in the meantime is lost, even without a reply from the registry.
   if (held_until_ != 0 && now >= held_until_) NoteLeaseLost();
 }
 
-std::uint64_t Registrar::Draw() {
+std::uint64_t Registrar::NextRandom() {
   constexpr std::uint64_t kMultiplier = 6364136223846793005U;  // Knuth's MMIX generator
   constexpr std::uint64_t kIncrement = 1442695040888963407U;
-  constexpr unsigned kWeakBits = 33;
+  constexpr unsigned kDiscardedLowBits = 33;
   random_ = random_ * kMultiplier + kIncrement;
-  return random_ >> kWeakBits;
+  return random_ >> kDiscardedLowBits;
 }
 
 }  // namespace mountflow::discovery
--- a/src/discovery/registrar.hpp
+++ b/src/discovery/registrar.hpp
@@ -1,11 +1,11 @@
-// Keeps one's own entry in a registry under a lease: decides when to open the lease, write, renew and start
-// over. Free of I/O and clock. An entry whose process stops renewing is removed by the registry.
+// Maintains this process's entry in a registry under a lease: decides when to open the lease, renew it and
+// write the entry. Performs no I/O and reads no clock. If the process stops renewing the lease, the registry
+// removes the entry.
 //
-// Renewals are due at a third of the time to live, so that two may fail. A lease that the registry does not
-// know any more is opened again and the entry written again. `HeldUntil` is the time until which the registry
-// surely still shows the entry, counted from before the last successful renewal was sent. Others may remove
-// an entry (somebody empties the registry): it is written again every `reassert`, and immediately when the
-// registry was seen without it.
+//   - A renewal is due after a third of the time to live, so that two renewals may fail.
+//   - If the registry no longer knows the lease, the registrar opens a new one and writes the entry again.
+//   - Other clients may remove the entry, for example an operator who empties the registry. Therefore the
+//     entry is written again every `reassert`, and immediately if the registry was observed without it.
 #ifndef MOUNTFLOW_DISCOVERY_REGISTRAR_HPP_
 #define MOUNTFLOW_DISCOVERY_REGISTRAR_HPP_
 
@@ -22,38 +22,42 @@
 
 namespace mountflow::discovery {
 
-// Not thread-safe.
+// Schedules the requests that maintain one entry. Not thread-safe.
 class Registrar {
  public:
   Registrar(RegistrarOptions options, std::uint64_t seed);
 
-  // Sets what the entry has to be; empty: it has to be absent. `immediately`: without waiting for
-  // min_interval.
+  // Sets the value that the entry must have; empty removes the entry. `immediately`: writes the value without
+  // waiting for min_interval.
   void Want(Micros now, std::string value, bool immediately);
 
-  // The registry was seen without the entry, as of `at`.
+  // Reports that the registry did not contain the entry at time `at`.
   void Missed(Micros at);
 
-  // At most one request is in flight. Next returns it, with the endpoint to send it to; OnReply or OnFailure
-  // ends it.
+  // A request and the endpoint to send it to. At most one request is in flight.
   struct Request {
     std::string endpoint;
     std::string bytes;
   };
-  [[nodiscard]] std::optional<Request> Next(Micros now);
+  // Returns the request to send now, if one is due and none is in flight. OnReply or OnFailure ends it.
+  [[nodiscard]] std::optional<Request> NextRequest(Micros now);
   void OnReply(Micros now, const http::Message& reply);
+  // Ends the request in flight without a reply. The next request goes to the next endpoint after a backoff.
   void OnFailure(Micros now, const std::string& reason);
-  // The request in flight has had no reply in time; the caller calls OnFailure.
-  [[nodiscard]] bool Overdue(Micros now) const {
+  // Reports whether the request in flight has timed out. The caller then calls OnFailure.
+  [[nodiscard]] bool IsOverdue(Micros now) const {
     return in_flight_ != LeaseStep::kNone && now >= sent_at_ + options_.timeout;
   }
+  // Returns when the next request is due or, with a request in flight, when it times out.
   [[nodiscard]] Micros NextTimer() const;
 
-  // 0 while the entry is not written under the lease that is held.
+  // Returns the time until which the lease is guaranteed to protect the entry. It is counted from when the
+  // last successful renewal was sent. Returns 0 while the entry is not written under the current lease.
   [[nodiscard]] Micros HeldUntil() const { return written_.empty() ? 0 : held_until_; }
-  // Grows with every lease that is opened: the entry may have been absent before.
+  // Returns a number that increases whenever the entry may have been absent: with each lease that is opened,
+  // and when the registry was observed without the entry.
   [[nodiscard]] std::uint64_t incarnations() const { return incarnations_; }
-  // Nothing is in flight, and the registry has what is wanted.
+  // Reports whether no request is in flight and the registry has the value set with Want.
   [[nodiscard]] bool Quiet() const { return in_flight_ == LeaseStep::kNone && written_ == wanted_; }
   [[nodiscard]] std::vector<RegistryWarning> TakeWarnings();
 
@@ -64,28 +68,28 @@
   void NoteLeaseLost();
   void NoteWritten(Micros now);
   void NoteExtended();
-  [[nodiscard]] std::uint64_t Draw();
+  [[nodiscard]] std::uint64_t NextRandom();
 
   RegistrarOptions options_;
   std::unique_ptr<LeaseProtocol> protocol_;
   std::uint64_t random_;
   std::size_t endpoint_ = 0;
-  unsigned failures_ = 0;  // in a row
+  unsigned failures_ = 0;  // consecutive
 
   LeaseStep in_flight_ = LeaseStep::kNone;
-  Micros sent_at_ = 0;   // of the request in flight or the last one
-  std::string sending_;  // the entry of that request
+  Micros sent_at_ = 0;   // when the request in flight, or the last one, was sent
+  std::string sending_;  // value of the entry in that request
 
-  std::string wanted_;   // empty: no entry
-  std::string written_;  // empty: none under the lease that is held
+  std::string wanted_;   // required value; empty: no entry
+  std::string written_;  // value written under the current lease; empty: none
   Micros written_at_ = 0;
   Micros held_until_ = 0;
   std::uint64_t incarnations_ = 0;
 
   Micros renew_at_ = 0;
-  Micros write_at_ = 0;     // a changed value, at the earliest
-  Micros reassert_at_ = 0;  // an unchanged value
-  Micros next_at_ = 0;      // any request, at the earliest
+  Micros write_at_ = 0;     // earliest time to write a changed value
+  Micros reassert_at_ = 0;  // when to write an unchanged value again
+  Micros next_at_ = 0;      // earliest time for any request
   std::vector<RegistryWarning> warnings_;
 };
 
--- a/src/discovery/registrar_connection.cpp
+++ b/src/discovery/registrar_connection.cpp
@@ -22,8 +22,8 @@
 
 void RegistrarConnection::Poll() {
   const Micros now = loop_->Now();
-  if (registrar_->Overdue(now)) Fail("no answer in time");
-  const auto request = registrar_->Next(now);
+  if (registrar_->IsOverdue(now)) Fail("no answer in time");
+  const auto request = registrar_->NextRequest(now);
   if (!request) return;
   if (connection_ == 0 || request->endpoint != endpoint_) Connect(request->endpoint);
   loop_->Send(connection_, request->bytes);
--- a/src/discovery/registrar_connection.hpp
+++ b/src/discovery/registrar_connection.hpp
@@ -1,5 +1,4 @@
-// Carries the requests of a Registrar over one connection of the event loop, which stays open between
-// requests.
+// Sends the requests of a Registrar over a connection of the event loop.
 #ifndef MOUNTFLOW_DISCOVERY_REGISTRAR_CONNECTION_HPP_
 #define MOUNTFLOW_DISCOVERY_REGISTRAR_CONNECTION_HPP_
 
@@ -14,7 +13,8 @@
 
 namespace mountflow::discovery {
 
-// The loop, the registrar and the keys outlive it.
+// Owns at most one connection, which stays open between requests. The loop, the registrar and the keys must
+// outlive this object.
 class RegistrarConnection : public event_loop::ConnectionHandler {
  public:
   RegistrarConnection(event_loop::EventLoop* loop, Registrar* registrar, tls::Keys* keys)
@@ -23,7 +23,8 @@
   RegistrarConnection& operator=(const RegistrarConnection&) = delete;
   ~RegistrarConnection() override;
 
-  // Sends what is due; to be called in each turn of the loop.
+  // Handles a request timeout and sends the request that is due. Must be called in each iteration of the
+  // loop.
   void Poll();
 
   void OnReceived(event_loop::ConnId connection, std::string_view bytes) override;
--- a/src/discovery/registry_warning.cpp
+++ b/src/discovery/registry_warning.cpp
@@ -12,7 +12,7 @@
              " in " + std::to_string(warning.delay / kMicrosPerMillisecond) + " ms";
     case Code::kCompacted:
       return "registry: what came since was compacted away, all is read anew";
-    case Code::kOtherCluster:
+    case Code::kClusterChanged:
       return "registry: it is another cluster now, all is read anew";
     case Code::kWatchBehind:
       return "registry " + warning.endpoint + ": it is behind at revision " +
@@ -22,7 +22,7 @@
              std::to_string(warning.revision) + ", not taken";
     case Code::kHistoryRestarted:
       return "registry: its history began anew at revision " + std::to_string(warning.revision);
-    case Code::kMostEntriesGone:
+    case Code::kMostEntriesRemoved:
       return "registry: more than half of the entries are gone at once, at revision " +
              std::to_string(warning.revision);
     case Code::kEntrySkipped:
--- a/src/discovery/snapshot.cpp
+++ b/src/discovery/snapshot.cpp
@@ -20,7 +20,7 @@
 
 using nlohmann::json;
 
-constexpr std::string_view kHead = "mountflow-view 1 ";
+constexpr std::string_view kHeader = "mountflow-view 1 ";
 constexpr std::size_t kChecksumDigits = 16;
 constexpr mode_t kFileMode = 0644;
 
@@ -36,22 +36,22 @@
   return tl::unexpected(SnapshotError{code, file, {errno, std::system_category()}, {}});
 }
 
-// The JSON after the head line, once its length and checksum are found right.
-tl::expected<std::string_view, DecodeError> CheckedBody(std::string_view bytes) {
+// Returns the JSON after the header line if its length and checksum match.
+tl::expected<std::string_view, DecodeError> VerifiedBody(std::string_view bytes) {
   using Code = DecodeError::Code;
-  constexpr std::size_t kChecksumAt = kHead.size();
+  constexpr std::size_t kChecksumAt = kHeader.size();
   constexpr std::size_t kLengthAt = kChecksumAt + kChecksumDigits + 1;
   const std::size_t end = bytes.find('\n');
-  const bool has_head = bytes.substr(0, kHead.size()) == kHead && end != std::string_view::npos &&
-                        end > kLengthAt && bytes[kLengthAt - 1] == ' ';
-  if (!has_head) return Expected(Code::kOtherVersion);
+  const bool has_header = bytes.substr(0, kHeader.size()) == kHeader && end != std::string_view::npos &&
+                          end > kLengthAt && bytes[kLengthAt - 1] == ' ';
+  if (!has_header) return Expected(Code::kUnsupportedVersion);
   const std::string_view length = bytes.substr(kLengthAt, end - kLengthAt);
   const std::string_view body = bytes.substr(end + 1);
   std::size_t size = 0;
   const auto read = std::from_chars(length.data(), length.data() + length.size(), size);
   const bool is_number = read.ec == std::errc() && read.ptr == length.data() + length.size();
-  if (!is_number || body.size() != size) return Expected(Code::kOtherLength);
-  if (Checksum(body) != bytes.substr(kChecksumAt, kChecksumDigits)) return Expected(Code::kOtherChecksum);
+  if (!is_number || body.size() != size) return Expected(Code::kLengthMismatch);
+  if (Checksum(body) != bytes.substr(kChecksumAt, kChecksumDigits)) return Expected(Code::kChecksumMismatch);
   return body;
 }
 
@@ -65,7 +65,7 @@
   return true;
 }
 
-// Writes and syncs a new file; removes it again where that fails.
+// Writes and syncs a new file. Removes it if that fails.
 tl::expected<void, SnapshotError> WriteNewFile(const std::string& file, std::string_view bytes) {
   using Code = SnapshotError::Code;
   const int descriptor = open(file.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode);
@@ -82,11 +82,12 @@
   return {};
 }
 
-// Makes the rename of a file last; what fails here is lost with a crash only.
-void SyncFolderOf(const std::string& file) {
+// Syncs the directory of a file to make its rename durable. Errors are ignored: without the sync only a crash
+// of the host can undo the rename.
+void SyncDirectoryOf(const std::string& file) {
   const std::size_t slash = file.rfind('/');
-  const std::string folder = slash == std::string::npos ? "." : file.substr(0, slash + 1);
-  const int descriptor = open(folder.c_str(), O_RDONLY | O_CLOEXEC);
+  const std::string directory = slash == std::string::npos ? "." : file.substr(0, slash + 1);
+  const int descriptor = open(directory.c_str(), O_RDONLY | O_CLOEXEC);
   if (descriptor < 0) return;
   fsync(descriptor);
   close(descriptor);
@@ -117,20 +118,20 @@
   json nodes = json::array();
   for (const job_manager::ListedNode& node : snapshot.nodes) nodes.push_back(EncodeNodeEntry(node));
   const std::string body = json{{"taken_at", snapshot.taken_at}, {"nodes", std::move(nodes)}}.dump();
-  return std::string(kHead) + Checksum(body) + " " + std::to_string(body.size()) + "\n" + body;
+  return std::string(kHeader) + Checksum(body) + " " + std::to_string(body.size()) + "\n" + body;
 }
 
 tl::expected<Snapshot, DecodeError> DecodeSnapshot(std::string_view bytes) {
-  const auto body = CheckedBody(bytes);
+  const auto body = VerifiedBody(bytes);
   if (!body) return tl::unexpected(body.error());
   const json object = json::parse(*body, nullptr, false);
   if (!object.is_object() || !object.contains("nodes") || !object["nodes"].is_array()) {
-    return Expected(DecodeError::Code::kNoNodeList);
+    return Expected(DecodeError::Code::kInvalidNodeList);
   }
   Snapshot snapshot;
   snapshot.taken_at = object.value("taken_at", Micros{0});
   for (const json& item : object["nodes"]) {
-    if (!item.is_string()) return Expected(DecodeError::Code::kNoNodeList);
+    if (!item.is_string()) return Expected(DecodeError::Code::kInvalidNodeList);
     auto node = DecodeNodeEntry(item.get_ref<const std::string&>());
     if (!node) return tl::unexpected(node.error());
     snapshot.nodes.push_back(std::move(*node));
@@ -139,10 +140,11 @@
 }
 
 tl::expected<void, SnapshotError> SaveSnapshot(const std::string& file, const Snapshot& snapshot) {
-  const std::string aside = file + ".new";
-  if (auto written = WriteNewFile(aside, EncodeSnapshot(snapshot)); !written) return written;
-  if (rename(aside.c_str(), file.c_str()) != 0) return SystemError(SnapshotError::Code::kRename, file);
-  SyncFolderOf(file);
+  const std::string temporary_file = file + ".new";
+  if (auto written = WriteNewFile(temporary_file, EncodeSnapshot(snapshot)); !written) return written;
+  if (rename(temporary_file.c_str(), file.c_str()) != 0)
+    return SystemError(SnapshotError::Code::kRename, file);
+  SyncDirectoryOf(file);
   return {};
 }
 
--- a/src/discovery/state.cpp
+++ b/src/discovery/state.cpp
@@ -27,7 +27,8 @@
     std::string key = pair.key;
     entries[std::move(key)] = std::move(pair);
   }
-  // Between two full reads a key may have gone and come again: only an unmoved revision says that none did.
+  // Between two full reads a key may have been removed and added again. Only an unchanged revision rules this
+  // out.
   if (revision != revision_) ++incarnations_;
   Replacement replacement;
   std::size_t removed = 0;
@@ -41,7 +42,7 @@
     if (known != entries_.end() && known->second.value == pair.value) continue;
     replacement.changes.push_back({key, pair.value, pair.modify_index, false});
   }
-  replacement.is_emptied = entries_.size() > 1 && removed * 2 > entries_.size();
+  replacement.lacks_most_entries = entries_.size() > 1 && removed * 2 > entries_.size();
   entries_ = std::move(entries);
   removals_.clear();
   removal_order_.clear();
@@ -51,24 +52,24 @@
 }
 
 std::vector<KeyChange> RegistryState::Apply(std::vector<KeyChange> changes) {
-  // Within one message too, only the order of revisions counts.
+  // Changes must be applied in the order of their revisions, also within one message.
   std::stable_sort(changes.begin(), changes.end(), [](const KeyChange& left, const KeyChange& right) {
     return left.revision < right.revision;
   });
-  std::vector<KeyChange> counted;
+  std::vector<KeyChange> applied;
   for (KeyChange& change : changes) {
     if (IsOutdated(change)) continue;
     revision_ = std::max(revision_, change.revision);
     const bool is_known = entries_.count(change.key) > 0;
     if (change.removed) {
       Remove(change);
-      if (!is_known) continue;  // nobody knew of it
+      if (!is_known) continue;  // the key was not known
     } else {
       Store(change);
     }
-    counted.push_back(std::move(change));
+    applied.push_back(std::move(change));
   }
-  return counted;
+  return applied;
 }
 
 bool RegistryState::IsOutdated(const KeyChange& change) const {
--- a/src/discovery/state.hpp
+++ b/src/discovery/state.hpp
@@ -1,9 +1,9 @@
-// What a key-value registry is known to hold under a prefix: full reads and changes merged by revision,
-// nothing guessed, nothing resurrected.
+// The known keys of a registry under a prefix, merged by revision from full reads and changes.
 //
-// A change counts only if its revision is above the last full read's and above that key's own, removals
-// included; so messages that come twice or out of order do no harm. A full read replaces all: keys that it
-// lacks are reported as removed.
+// A change is applied only if its revision is greater than that of the last full read and than that of the
+// key's last change, including its removal. Therefore repeated and reordered messages have no effect, and a
+// removed key never comes back through an older change. A full read replaces all keys; keys that it lacks are
+// reported as removed.
 #ifndef MOUNTFLOW_DISCOVERY_STATE_HPP_
 #define MOUNTFLOW_DISCOVERY_STATE_HPP_
 
@@ -19,10 +19,11 @@
 
 namespace mountflow::discovery {
 
-// Removals that are remembered, so that an older change cannot bring their key back; the oldest is forgotten
-// first.
+// Maximum number of removals to remember. An older change cannot restore a key whose removal is remembered.
+// The oldest removal is forgotten first.
 inline constexpr std::size_t kMaxRemovals = 65'536;
 
+// A new value of a key, or its removal.
 struct KeyChange {
   std::string key;
   std::string value;
@@ -30,22 +31,24 @@
   bool removed = false;
 };
 
-// Not thread-safe.
+// Stores the known keys and the revisions of their last changes. Not thread-safe.
 class RegistryState {
  public:
-  // What a full read changed.
+  // Differences between a full read and the keys known before.
   struct Replacement {
     std::vector<KeyChange> changes;
-    bool is_emptied = false;  // more than half of the entries known before are gone
+    bool lacks_most_entries = false;  // more than half of the entries known before were removed
   };
+  // Replaces all keys with the result of a full read.
   [[nodiscard]] Replacement Replace(std::uint64_t revision, std::vector<KeyValue> pairs);
-  // Returns the changes that counted, by revision.
+  // Applies changes that are not outdated. Returns those that had an effect, ordered by revision.
   std::vector<KeyChange> Apply(std::vector<KeyChange> changes);
-  // The registry was restored, or is another one: the revisions known so far mean nothing.
+  // Discards the known revisions because the registry was restored from a backup or is a different cluster.
   void ForgetRevisions();
 
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
-  // Grows whenever a key came or went, and whenever one may have done so unseen.
+  // Returns a number that increases whenever a key was added or removed, or may have been without an observed
+  // change.
   [[nodiscard]] std::uint64_t incarnations() const { return incarnations_; }
   [[nodiscard]] const std::map<std::string, KeyValue>& entries() const { return entries_; }
 
--- a/tests/discovery/endpoint_selector_test.cpp
+++ b/tests/discovery/endpoint_selector_test.cpp
@@ -11,7 +11,7 @@
 EndpointSelector MakeSelector(std::size_t endpoints) {
   EndpointSelectorOptions options;
   options.endpoint_count = endpoints;
-  options.backoff.spread = 0.0;
+  options.backoff.jitter = 0.0;
   return {options, 1};
 }
 
--- a/tests/discovery/node_list_coalescer_test.cpp
+++ b/tests/discovery/node_list_coalescer_test.cpp
@@ -113,11 +113,11 @@
   };
   EXPECT_EQ(describe(Code::kReadFailed), "registry e0: a reason; next at e1 in 250 ms");
   EXPECT_EQ(describe(Code::kCompacted), "registry: what came since was compacted away, all is read anew");
-  EXPECT_EQ(describe(Code::kOtherCluster), "registry: it is another cluster now, all is read anew");
+  EXPECT_EQ(describe(Code::kClusterChanged), "registry: it is another cluster now, all is read anew");
   EXPECT_EQ(describe(Code::kWatchBehind), "registry e0: it is behind at revision 7");
   EXPECT_EQ(describe(Code::kFullReadBehind), "registry e0: it is behind at revision 7, not taken");
   EXPECT_EQ(describe(Code::kHistoryRestarted), "registry: its history began anew at revision 7");
-  EXPECT_EQ(describe(Code::kMostEntriesGone),
+  EXPECT_EQ(describe(Code::kMostEntriesRemoved),
             "registry: more than half of the entries are gone at once, at revision 7");
   EXPECT_EQ(describe(Code::kEntrySkipped), "entry " + std::string(200, 'k') + " skipped: expected a reason");
   EXPECT_EQ(describe(Code::kOwnEntryNotStored), "own entry: a reason");
--- a/tests/discovery/recorded_runs_test.cpp
+++ b/tests/discovery/recorded_runs_test.cpp
@@ -302,9 +302,9 @@
       now_ += Draw(5) == 0 ? Draw(3 * kSecond) : Draw(150 * kMs);
       if (Chance(8)) registrar_.Want(now_, DrawnEntry(), Chance(50));
       if (Chance(6)) registrar_.Missed(now_ - Draw(3 * kSecond));
-      if (registrar_.Overdue(now_)) registrar_.OnFailure(now_, "no answer in time");
+      if (registrar_.IsOverdue(now_)) registrar_.OnFailure(now_, "no answer in time");
       Collect();
-      if (const auto request = registrar_.Next(now_)) {
+      if (const auto request = registrar_.NextRequest(now_)) {
         out_ = true;
         ++requests;
         digest.Add(std::string_view(request->endpoint));
--- a/tests/discovery/registrar_test.cpp
+++ b/tests/discovery/registrar_test.cpp
@@ -28,11 +28,11 @@
   std::size_t requests = 0;
 
   void Step() {
-    if (registrar->Overdue(now)) registrar->OnFailure(now, "no answer");
+    if (registrar->IsOverdue(now)) registrar->OnFailure(now, "no answer");
     etcd.Tick(now);
     consul.Tick(now);
     for (int i = 0; i < 10; ++i) {
-      const auto request = registrar->Next(now);
+      const auto request = registrar->NextRequest(now);
       if (!request) return;
       ++requests;
       if (!up) {
--- a/tests/discovery/service_health_test.cpp
+++ b/tests/discovery/service_health_test.cpp
@@ -77,7 +77,7 @@
   const auto run = [&](Micros length, bool up, bool check_entry = true) {
     for (const Micros to = now + length; now < to; now += 100'000) {
       catalog.Tick(now);
-      while (const auto request = registrar.Next(now)) {
+      while (const auto request = registrar.NextRequest(now)) {
         ++requests;
         if (!up) {
           registrar.OnFailure(now, "refused");
