--- a/tests/discovery/endpoint_selector_test.cpp
+++ b/tests/discovery/endpoint_selector_test.cpp
@@ -1,4 +1,4 @@
-// Which endpoint is read next, when, and how; and the delays between failures.
+// Tests of the selection of the next read and of the delays after failures.
 #include "discovery/endpoint_selector.hpp"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
   return {options, 1};
 }
 
-// A selector that follows endpoint 0 from revision 10.
+// Returns a selector that is following endpoint 0 from revision 10.
 EndpointSelector MakeFollower(std::size_t endpoints) {
   EndpointSelector selector = MakeSelector(endpoints);
   EXPECT_EQ(selector.StartNextRead(kStart).kind, ReadKind::kFull);
@@ -32,7 +32,7 @@
   EXPECT_EQ(ExponentialDelay(200, 5'000, 4'000'000'000), 5'000u);
 }
 
-TEST(Backoff, StretchesEachDelayByAtMostItsSpread) {
+TEST(Backoff, AddsAtMostTheConfiguredJitterToEachDelay) {
   Backoff backoff({1'000, 1'000, 0.25}, 7);
   Micros shortest = ~Micros{0}, longest = 0;
   for (int i = 0; i < 1'000; ++i) {
@@ -77,7 +77,7 @@
   EXPECT_EQ(resumed.after_revision, 12u);
 }
 
-TEST(EndpointSelector, WaitsAndGoesOnToTheNextEndpointAfterASecondFailure) {
+TEST(EndpointSelector, WaitsAndMovesOnToTheNextEndpointAfterASecondFailure) {
   EndpointSelector selector = MakeFollower(2);
   selector.OnConnectionFailure(kStart);
   EXPECT_EQ(selector.StartNextRead(kStart).endpoint, 0u);
@@ -95,7 +95,7 @@
   EXPECT_EQ(selector.StartNextRead(kStart + 200'000).endpoint, 1u);
 }
 
-TEST(EndpointSelector, TakesSilenceBeyondTheTimeoutForAFailure) {
+TEST(EndpointSelector, TreatsSilenceBeyondTheTimeoutAsAFailure) {
   EndpointSelector selector = MakeFollower(1);
   const Micros timeout = EndpointSelectorOptions{}.follow_timeout;
   EXPECT_FALSE(selector.IsOverdue(kStart + timeout - 1));
@@ -108,7 +108,7 @@
   EndpointSelector selector = MakeFollower(1);
   selector.OnCompaction(kStart);
   EXPECT_EQ(selector.StartNextRead(kStart).kind, ReadKind::kFull);
-  EXPECT_EQ(selector.revision(), 10u);  // an older one would still be noticed
+  EXPECT_EQ(selector.revision(), 10u);  // an older revision is still detected
 }
 
 TEST(EndpointSelector, RejectsTheFullReadOfAnEndpointThatIsBehind) {
@@ -145,7 +145,7 @@
   EXPECT_EQ(selector.OnFullRead(now, 6), ReadVerdict::kNewHistory);
 }
 
-// Guards against a restore between two reads that a long blocking read hides.
+// Guards against a restore between two reads that goes unnoticed during a long blocking read.
 TEST(EndpointSelector, ABlockingReadIsBriefUntilOneConfirmedTheRevision) {
   EndpointSelector selector = MakeSelector(1);
   EXPECT_FALSE(selector.StartNextRead(kStart).is_brief) << "a full read does not block";
--- a/tests/discovery/entry_test.cpp
+++ b/tests/discovery/entry_test.cpp
@@ -1,4 +1,4 @@
-// Node entries in the registry, and the base64 that Consul wraps them in.
+// Tests of node entries and of the base64 encoding that Consul applies to them.
 #include "discovery/entry.hpp"
 
 #include <gtest/gtest.h>
@@ -8,10 +8,11 @@
 namespace mountflow {
 namespace {
 
-TEST(NodeEntry, IsReadAsItWasWrittenAlsoWithATimeOfToday) {
+TEST(NodeEntry, RoundTripsWithAPresentDayStartTime) {
   job_manager::ListedNode n;
   n.name = "n1", n.address = "127.0.0.1:7", n.rack = "r", n.room = "x", n.kind = "small";
-  n.started = 1'796'129'091'196'621;  // microseconds of 2026; a bound of 1e15 once kept such nodes out
+  // Microseconds since the epoch, in 2026. Guards against a limit of 1e15, which rejected such entries.
+  n.started = 1'796'129'091'196'621;
   n.state = NodeState::kDraining;
   n.free_cores = -0.5;
   const auto read = discovery::DecodeNodeEntry(discovery::EncodeNodeEntry(n));
--- a/tests/discovery/node_list_coalescer_test.cpp
+++ b/tests/discovery/node_list_coalescer_test.cpp
@@ -1,4 +1,4 @@
-// How changes of keys become node list events, and how floods of them are coalesced.
+// Tests of how changes of keys become node list events and how frequent changes are coalesced.
 #include "discovery/node_list_coalescer.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 }
 KeyChange Removed(const std::string& key) { return {key, "", 1, true}; }
 
-// A coalescer that has published node "a".
+// Returns a coalescer that has published node "a".
 NodeListCoalescer MakePublished() {
   NodeListCoalescer coalescer(kInterval);
   EXPECT_TRUE(coalescer.Merge({Changed("a", 1)}).empty());
@@ -74,7 +74,7 @@
   EXPECT_TRUE(coalescer.Merge({Changed("a", 1, NodeState::kDraining)}).empty());
   EXPECT_EQ(coalescer.NextTimer(), 0u);
   EXPECT_TRUE(coalescer.TakeEvent(kStart + 1));
-  EXPECT_TRUE(coalescer.Merge({Changed("a", 2, NodeState::kDraining)}).empty());  // drains as before
+  EXPECT_TRUE(coalescer.Merge({Changed("a", 2, NodeState::kDraining)}).empty());  // already draining
   EXPECT_FALSE(coalescer.TakeEvent(kStart + 2));
 }
 
@@ -98,7 +98,7 @@
   EXPECT_EQ(warnings[0].reason, "a JSON object");
   EXPECT_TRUE(coalescer.Merge({{"a", "{", 7, false}}).empty());
   EXPECT_EQ(coalescer.Merge({{"a", "[", 8, false}}).size(), 1u);
-  EXPECT_EQ(coalescer.node_count(), 1u);  // what was known stays
+  EXPECT_EQ(coalescer.node_count(), 1u);  // the last valid state is retained
   EXPECT_FALSE(coalescer.NextTimer());
 }
 
--- a/tests/discovery/recorded_runs_test.cpp
+++ b/tests/discovery/recorded_runs_test.cpp
@@ -1,7 +1,7 @@
-// Guard of the registry client and the registrar: digests of everything that they put out (bytes sent, node
-// list events, warnings, statuses, timers) over runs drawn from seeds, in which registries and connections
-// do anything. A change of names or structure must leave them; a change of what is done renews them and says
-// why.
+// Guards the registry client and the registrar against unintended changes of behaviour. Each test compares a
+// digest of all outputs (bytes sent, node list events, warnings, statuses, timers) of random runs, in which
+// registries and connections misbehave, with a recorded value. A change of names or structure must not change
+// the digests. A change of behaviour records new digests and explains why.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -31,9 +31,9 @@
 
 // ---- The registry client ----
 
-class DrawnClientRun {
+class RandomClientRun {
  public:
-  DrawnClientRun(RegistryProtocol protocol, std::uint64_t seed)
+  RandomClientRun(RegistryProtocol protocol, std::uint64_t seed)
       : random_(seed), protocol_(protocol), registry_(protocol, &random_) {
     discovery::ClientOptions options;
     options.kind = protocol == RegistryProtocol::kEtcd ? discovery::RegistryKind::kEtcd
@@ -54,12 +54,12 @@
     client_ = std::make_unique<discovery::RegistryClient>(options, seed);
   }
 
-  void Play() {
+  void Run() {
     for (int step = 0; step < 1500; ++step) {
-      DrawStep();
-      now_ += Draw(4) == 0 ? Draw(400 * kMs) : Draw(20 * kMs);
+      RandomStep();
+      now_ += RandomBelow(4) == 0 ? RandomBelow(400 * kMs) : RandomBelow(20 * kMs);
       client_->Tick(now_);
-      Collect();
+      HandleOutput();
     }
   }
 
@@ -68,38 +68,38 @@
   discovery::NodeListStatus last;
 
  private:
-  std::uint64_t Draw(std::uint64_t below) { return random_() % below; }
-  bool Chance(unsigned percent) { return Draw(100) < percent; }
+  std::uint64_t RandomBelow(std::uint64_t below) { return random_() % below; }
+  bool Chance(unsigned percent) { return RandomBelow(100) < percent; }
 
-  void DrawStep() {
+  void RandomStep() {
     if (Chance(40)) return Deliver();
-    if (Chance(40)) return DrawChange();
-    switch (Draw(24)) {
+    if (Chance(40)) return RandomChange();
+    switch (RandomBelow(24)) {
       case 0:
         return Close("connection reset");
       case 1:
-        registry_.history.compacted = registry_.history.revision - Draw(registry_.history.revision);
+        registry_.history.compacted = registry_.history.revision - RandomBelow(registry_.history.revision);
         return;
       case 2:
         if (Chance(30)) Restore();
         return;
       case 3:
-        registry_.behind[Draw(3)] = Chance(60) ? 0 : Draw(6);
+        registry_.behind[RandomBelow(3)] = Chance(60) ? 0 : RandomBelow(6);
         return;
       case 4:
-        registry_.token = "token-" + std::to_string(Draw(100));
+        registry_.token = "token-" + std::to_string(RandomBelow(100));
         return;
       case 5:
         client_->ReadAnew(now_);
-        return Collect();
+        return HandleOutput();
       case 6:
         reachable_ = Chance(80);
         return;
       case 7:
-        silent_ = Chance(20);
+        drops_replies_ = Chance(20);
         return;
       case 8:
-        now_ += Draw(3) == 0 ? Draw(20 * kSecond) : Draw(2 * kSecond);
+        now_ += RandomBelow(3) == 0 ? RandomBelow(20 * kSecond) : RandomBelow(2 * kSecond);
         return;
       case 9:
         if (Chance(30)) Flood();
@@ -108,28 +108,28 @@
         return ContinueWatch();
     }
   }
-  void DrawChange() {
-    const std::string name = "n" + std::to_string(Draw(14));
+  void RandomChange() {
+    const std::string name = "n" + std::to_string(RandomBelow(14));
     const std::string state = Chance(85) ? "ready" : Chance(60) ? "draining" : "gone";
-    std::string value = EntryJson(name, state, Draw(20));
+    std::string value = EntryJson(name, state, RandomBelow(20));
     if (Chance(4)) value = Chance(50) ? "{" : R"({"name": "n", "address": 7})";
     if (Chance(1)) value = std::string(20'000, 'x');
     registry_.history.Add(prefix_ + name, value, Chance(15));
   }
   void Restore() {
-    const std::uint64_t lost_revisions = Draw(4);
+    const std::uint64_t lost_revisions = RandomBelow(4);
     registry_.history.Restore(registry_.history.revision - lost_revisions, Chance(70));
   }
   void Flood() {
     const bool removed = Chance(30);
     for (int i = 0; i < 14; ++i) {
       const std::string name = "n" + std::to_string(i);
-      registry_.history.Add(prefix_ + name, EntryJson(name, "ready", Draw(20)), removed);
+      registry_.history.Add(prefix_ + name, EntryJson(name, "ready", RandomBelow(20)), removed);
     }
   }
 
-  // Carries out what the client wants; replies wait until Deliver.
-  void Collect() {
+  // Carries out the client's actions and records its output. Replies are delivered by Deliver().
+  void HandleOutput() {
     for (bool more = true; more;) {
       more = false;
       for (const discovery::ClientAction& action : std::exchange(client_->actions(), {})) {
@@ -170,23 +170,23 @@
       watching_ = blocked_->path == "/v3/watch";
     }
   }
-  // Bytes arrive whole, in pieces at any boundary, or the connection ends within them.
+  // Delivers all or some of the bytes of a reply. Sometimes the connection closes afterwards.
   void Deliver() {
-    if (!open_ || silent_) return;
+    if (!open_ || drops_replies_) return;
     if (blocked_ && (!registry_.Blocks(*blocked_) || Chance(5))) {
       const http::Message request = *std::exchange(blocked_, std::nullopt);
       incoming_ += registry_.Answer(endpoint_, request);
     }
     if (incoming_.empty()) return;
-    const std::size_t size = Chance(70) ? incoming_.size() : 1 + Draw(incoming_.size());
+    const std::size_t size = Chance(70) ? incoming_.size() : 1 + RandomBelow(incoming_.size());
     const std::string part = incoming_.substr(0, size);
     incoming_.erase(0, size);
     client_->Received(now_, part);
-    Collect();
+    HandleOutput();
     if (Chance(2)) Close("broken in the middle");
   }
   void ContinueWatch() {
-    if (!open_ || !watching_ || blocked_ || silent_) return;
+    if (!open_ || !watching_ || blocked_ || drops_replies_) return;
     incoming_ += registry_.ContinueWatch(endpoint_);
     Deliver();
   }
@@ -194,7 +194,7 @@
     if (!open_) return;
     Reset();
     client_->Closed(now_, reason);
-    Collect();
+    HandleOutput();
   }
   void Reset() {
     open_ = watching_ = false;
@@ -244,21 +244,21 @@
   std::unique_ptr<discovery::RegistryClient> client_;
   Micros now_ = 1000 * kSecond;
   std::size_t endpoint_ = 0;
-  bool open_ = false, watching_ = false, reachable_ = true, silent_ = false;
+  bool open_ = false, watching_ = false, reachable_ = true, drops_replies_ = false;
   std::unique_ptr<http::Reader> reader_;
-  std::optional<http::Message> blocked_;  // the request that is not answered yet
+  std::optional<http::Message> blocked_;  // the request that has no reply yet
   std::string incoming_;                  // bytes of replies that have not arrived yet
 };
 
-// Digest over all seeds of one protocol, and that each kind of event was met.
-std::uint64_t PlayClients(RegistryProtocol protocol) {
+// Returns the digest over all seeds of one protocol. Checks that the runs include enough events of each kind.
+std::uint64_t RunClients(RegistryProtocol protocol) {
   constexpr std::uint64_t kSeeds = 24;
   Digest all;
   discovery::NodeListStatus sum;
   std::size_t events = 0, warnings = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    DrawnClientRun run(protocol, seed);
-    run.Play();
+    RandomClientRun run(protocol, seed);
+    run.Run();
     all.Add(run.digest.Value());
     events += run.events, warnings += run.warnings;
     sum.rereads += run.last.rereads, sum.breaks += run.last.breaks;
@@ -278,41 +278,41 @@
   return all.Value();
 }
 
-TEST(RecordedRegistryRuns, EtcdClientPutsOutWhatWasRecorded) {
-  EXPECT_EQ(PlayClients(RegistryProtocol::kEtcd), 4067701216816373699u);
+TEST(RecordedRegistryRuns, EtcdClientOutputMatchesTheRecording) {
+  EXPECT_EQ(RunClients(RegistryProtocol::kEtcd), 4067701216816373699u);
 }
 
-TEST(RecordedRegistryRuns, ConsulKeysClientPutsOutWhatWasRecorded) {
-  EXPECT_EQ(PlayClients(RegistryProtocol::kConsulKeys), 16281103094635008492u);
+TEST(RecordedRegistryRuns, ConsulKeysClientOutputMatchesTheRecording) {
+  EXPECT_EQ(RunClients(RegistryProtocol::kConsulKeys), 16281103094635008492u);
 }
 
-TEST(RecordedRegistryRuns, ConsulHealthClientPutsOutWhatWasRecorded) {
-  EXPECT_EQ(PlayClients(RegistryProtocol::kConsulHealth), 16947526276678746312u);
+TEST(RecordedRegistryRuns, ConsulHealthClientOutputMatchesTheRecording) {
+  EXPECT_EQ(RunClients(RegistryProtocol::kConsulHealth), 16947526276678746312u);
 }
 
 // ---- The registrar ----
 
-class DrawnRegistrarRun {
+class RandomRegistrarRun {
  public:
-  DrawnRegistrarRun(RegistryProtocol protocol, std::uint64_t seed)
+  RandomRegistrarRun(RegistryProtocol protocol, std::uint64_t seed)
       : random_(seed), registrar_(Options(protocol, seed), seed) {}
 
-  void Play() {
+  void Run() {
     for (int step = 0; step < 2000; ++step) {
-      now_ += Draw(5) == 0 ? Draw(3 * kSecond) : Draw(150 * kMs);
-      if (Chance(8)) registrar_.Want(now_, DrawnEntry(), Chance(50));
-      if (Chance(6)) registrar_.Missed(now_ - Draw(3 * kSecond));
+      now_ += RandomBelow(5) == 0 ? RandomBelow(3 * kSecond) : RandomBelow(150 * kMs);
+      if (Chance(8)) registrar_.Want(now_, RandomEntry(), Chance(50));
+      if (Chance(6)) registrar_.Missed(now_ - RandomBelow(3 * kSecond));
       if (registrar_.IsOverdue(now_)) registrar_.OnFailure(now_, "no answer in time");
-      Collect();
+      HandleOutput();
       if (const auto request = registrar_.NextRequest(now_)) {
-        out_ = true;
+        in_flight_ = true;
         ++requests;
         digest.Add(std::string_view(request->endpoint));
         digest.Add(std::string_view(request->bytes));
         AddState();
       }
-      if (out_ && Chance(80)) Answer();
-      Collect();
+      if (in_flight_ && Chance(80)) Answer();
+      HandleOutput();
     }
   }
 
@@ -331,43 +331,45 @@
     if (seed % 2 == 0) options.user = "mountflow", options.password = "secret", options.token = "t";
     return options;
   }
-  std::uint64_t Draw(std::uint64_t below) { return random_() % below; }
-  bool Chance(unsigned percent) { return Draw(100) < percent; }
-  std::string DrawnEntry() {
+  std::uint64_t RandomBelow(std::uint64_t below) { return random_() % below; }
+  bool Chance(unsigned percent) { return RandomBelow(100) < percent; }
+  std::string RandomEntry() {
     if (Chance(15)) return "";
     job_manager::ListedNode node;
     node.name = "a b", node.address = "10.0.0.1:15002", node.rack = "r1";
-    node.free_cores = static_cast<double>(Draw(8));
+    node.free_cores = static_cast<double>(RandomBelow(8));
     return discovery::EncodeNodeEntry(node);
   }
-  // A reply of any kind; the registrar takes what fits its request.
+  // Delivers a random reply, which may or may not match the request.
   void Answer() {
-    out_ = false;
+    in_flight_ = false;
     if (Chance(6)) return registrar_.OnFailure(now_, "connection reset");
     http::Message reply;
     reply.status = 200;
-    const Json good = {{"ID", "session-" + std::to_string(Draw(50))}, {"token", "token"}, {"TTL", "10"}};
-    const Json lease = {{"result", {{"ID", std::to_string(1 + Draw(90))}, {"TTL", Chance(90) ? "10" : "0"}}},
-                        {"ID", "session-5"},
-                        {"token", "token-" + std::to_string(Draw(9))}};
+    const Json good = {
+        {"ID", "session-" + std::to_string(RandomBelow(50))}, {"token", "token"}, {"TTL", "10"}};
+    const Json lease = {
+        {"result", {{"ID", std::to_string(1 + RandomBelow(90))}, {"TTL", Chance(90) ? "10" : "0"}}},
+        {"ID", "session-5"},
+        {"token", "token-" + std::to_string(RandomBelow(9))}};
     const bool is_lease = Chance(80);
     reply.body = (is_lease ? lease : good).dump();
-    if (Chance(10)) reply.body += "x";  // no JSON any more
+    if (Chance(10)) reply.body += "x";  // no longer valid JSON
     if (Chance(5)) reply.body = "false";
     if (Chance(30)) reply.body = "true";
-    if (Chance(10)) DrawRejection(&reply);
+    if (Chance(10)) RandomRejection(&reply);
     registrar_.OnReply(now_, reply);
   }
-  void DrawRejection(http::Message* reply) {
+  void RandomRejection(http::Message* reply) {
     reply->status = Chance(50) ? 404 : 500;
-    const std::uint64_t kind = Draw(4);
+    const std::uint64_t kind = RandomBelow(4);
     if (kind == 0) reply->body = "Unknown check ID";
     if (kind == 1)
       reply->body = Json{{"code", 5}, {"message", "etcdserver: requested lease not found"}}.dump();
     if (kind == 2) reply->body = Json{{"code", 16}, {"message", "etcdserver: invalid auth token"}}.dump();
     if (kind == 3) reply->body = std::string(150, 'y');
   }
-  void Collect() {
+  void HandleOutput() {
     for (const auto& warning : registrar_.TakeWarnings()) {
       digest.Add(std::string_view(Describe(warning)));
       ++warnings;
@@ -385,16 +387,16 @@
   std::mt19937_64 random_;
   discovery::Registrar registrar_;
   Micros now_ = 1000 * kSecond;
-  bool out_ = false;
+  bool in_flight_ = false;
 };
 
-std::uint64_t PlayRegistrars(RegistryProtocol protocol) {
+std::uint64_t RunRegistrars(RegistryProtocol protocol) {
   constexpr std::uint64_t kSeeds = 16;
   Digest all;
   std::size_t requests = 0, warnings = 0, leases = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    DrawnRegistrarRun run(protocol, seed);
-    run.Play();
+    RandomRegistrarRun run(protocol, seed);
+    run.Run();
     all.Add(run.digest.Value());
     requests += run.requests, warnings += run.warnings, leases += run.leases;
   }
@@ -404,16 +406,16 @@
   return all.Value();
 }
 
-TEST(RecordedRegistrarRuns, EtcdRegistrarPutsOutWhatWasRecorded) {
-  EXPECT_EQ(PlayRegistrars(RegistryProtocol::kEtcd), 11615342418467660389u);
+TEST(RecordedRegistrarRuns, EtcdRegistrarOutputMatchesTheRecording) {
+  EXPECT_EQ(RunRegistrars(RegistryProtocol::kEtcd), 11615342418467660389u);
 }
 
-TEST(RecordedRegistrarRuns, ConsulKeysRegistrarPutsOutWhatWasRecorded) {
-  EXPECT_EQ(PlayRegistrars(RegistryProtocol::kConsulKeys), 6537882882369136244u);
+TEST(RecordedRegistrarRuns, ConsulKeysRegistrarOutputMatchesTheRecording) {
+  EXPECT_EQ(RunRegistrars(RegistryProtocol::kConsulKeys), 6537882882369136244u);
 }
 
-TEST(RecordedRegistrarRuns, ConsulServiceRegistrarPutsOutWhatWasRecorded) {
-  EXPECT_EQ(PlayRegistrars(RegistryProtocol::kConsulHealth), 5513731444025614748u);
+TEST(RecordedRegistrarRuns, ConsulServiceRegistrarOutputMatchesTheRecording) {
+  EXPECT_EQ(RunRegistrars(RegistryProtocol::kConsulHealth), 5513731444025614748u);
 }
 
 }  // namespace
--- a/tests/discovery/registrar_test.cpp
+++ b/tests/discovery/registrar_test.cpp
@@ -1,4 +1,4 @@
-// One's own entry under an etcd lease or a Consul session.
+// Tests of the registrar with an etcd lease and with a Consul session.
 #include "discovery/registrar.hpp"
 
 #include <gtest/gtest.h>
@@ -12,6 +12,7 @@
 
 constexpr Micros kSecond = 1'000'000;
 
+// A registrar and the registries that it can write to, of which it uses one.
 class RegistrarFixture {
  public:
   explicit RegistrarFixture(RegistryKind kind) : kind_(kind) {
@@ -56,9 +57,9 @@
     }
   }
   void Remove() {
-    http::Message gone;
-    gone.method = "DELETE", gone.path = "/v1/kv/nodes/a";
-    kind_ == RegistryKind::kEtcd ? void(etcd.Delete(now, "nodes/a")) : consul.Handle(now, 9, gone);
+    http::Message request;
+    request.method = "DELETE", request.path = "/v1/kv/nodes/a";
+    kind_ == RegistryKind::kEtcd ? void(etcd.Delete(now, "nodes/a")) : consul.Handle(now, 9, request);
     consul.Take();
   }
   std::string Value() {
@@ -82,7 +83,7 @@
 
 class RegistrarOfEitherKind : public ::testing::TestWithParam<RegistryKind> {};
 
-TEST_P(RegistrarOfEitherKind, KeepsItsEntryWhileItIsRenewed) {
+TEST_P(RegistrarOfEitherKind, KeepsItsEntryWhileTheLeaseIsRenewed) {
   RegistrarFixture fixture(GetParam());
   fixture.registrar->Want(fixture.now, "one", true);
   fixture.Run(kSecond);
@@ -90,15 +91,15 @@
   fixture.Run(60 * kSecond);
   EXPECT_EQ(fixture.Value(), "one");
   EXPECT_GT(fixture.registrar->HeldUntil(), fixture.now);
-  EXPECT_LT(fixture.requests, 40u);  // a renewal each third of its time to live
+  EXPECT_LT(fixture.requests, 40u);  // one renewal per third of the time to live
   fixture.up = false;
   fixture.Run(9 * kSecond);
   fixture.Run(15 * kSecond);
   EXPECT_EQ(fixture.Value(), "");
-  EXPECT_LE(fixture.registrar->HeldUntil(), fixture.now);  // it knows that nobody sees its entry
+  EXPECT_LE(fixture.registrar->HeldUntil(), fixture.now);  // the registrar knows that its entry has expired
   fixture.up = true;
   fixture.Run(10 * kSecond);
-  EXPECT_EQ(fixture.Value(), "one");  // opened and written anew
+  EXPECT_EQ(fixture.Value(), "one");  // a new lease was opened and the entry written again
   EXPECT_EQ(fixture.registrar->incarnations(), 2u);
 }
 
@@ -114,7 +115,7 @@
   }
 }
 
-// Somebody empties the registry; the lease is still renewed.
+// Guards against an entry that stays absent after another client removed it while the lease is still renewed.
 TEST_P(RegistrarOfEitherKind, WritesAnEntryAgainThatOthersRemoved) {
   RegistrarFixture fixture(GetParam());
   fixture.registrar->Want(fixture.now, "one", true);
@@ -126,9 +127,9 @@
   fixture.Step();
   EXPECT_EQ(fixture.Value(), "one");
   EXPECT_GT(fixture.registrar->incarnations(), incarnations);
-  fixture.registrar->Missed(fixture.now);  // a view from before the write
+  fixture.registrar->Missed(fixture.now);  // an observation from before the write
   EXPECT_GT(fixture.registrar->HeldUntil(), fixture.now);
-  fixture.Remove();  // and the registrar is not told
+  fixture.Remove();  // Missed is not called
   fixture.Run(80 * kSecond);
   EXPECT_EQ(fixture.Value(), "one");
 }
--- a/tests/discovery/registry_client_test.cpp
+++ b/tests/discovery/registry_client_test.cpp
@@ -1,4 +1,4 @@
-// The registry client against stand-in stores: its list is what the registry held, after whatever failure.
+// Tests of the registry client against in-memory registries. After any failure its list equals the registry.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -17,18 +17,18 @@
     RegistryFixture fixture(kind);
     for (int i = 0; i < 10; ++i) fixture.Put("n" + std::to_string(i), i);
     fixture.Run(kSecond);
-    EXPECT_EQ(fixture.full_views, 1u);
-    EXPECT_EQ(fixture.Seen(), fixture.Truth());
-    EXPECT_EQ(fixture.view.size(), 10u);
+    EXPECT_EQ(fixture.snapshots, 1u);
+    EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
+    EXPECT_EQ(fixture.nodes.size(), 10u);
     const auto rereads = fixture.client->Status(fixture.now).rereads;
     fixture.Put("n3", 33);
     fixture.Delete("n4");
     fixture.Put("new", 1);
     fixture.Run(kSecond);
-    EXPECT_EQ(fixture.Seen(), fixture.Truth());
-    EXPECT_EQ(fixture.view.at("n3").free_cores, 33.0);
+    EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
+    EXPECT_EQ(fixture.nodes.at("n3").free_cores, 33.0);
     EXPECT_EQ(fixture.client->Status(fixture.now).rereads, rereads);
-    EXPECT_EQ(fixture.full_views, 1u);
+    EXPECT_EQ(fixture.snapshots, 1u);
     EXPECT_TRUE(fixture.warnings.empty()) << fixture.warnings[0];
   }
 }
@@ -37,7 +37,7 @@
   RegistryFixture fixture(RegistryKind::kEtcd);
   fixture.Put("a", 1);
   fixture.Run(kSecond);
-  fixture.Cut();
+  fixture.CloseConnection();
   fixture.up[0] = false;
   fixture.Put("a", 2);
   fixture.Put("b", 1);
@@ -45,7 +45,7 @@
   fixture.Run(2 * kSecond);
   fixture.up[0] = true;
   fixture.Run(10 * kSecond);
-  EXPECT_EQ(fixture.Seen(), fixture.Truth());
+  EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
   EXPECT_EQ(fixture.client->Status(fixture.now).rereads, 1u);
   EXPECT_EQ(fixture.client->Status(fixture.now).compactions, 0u);
 }
@@ -54,7 +54,7 @@
   RegistryFixture fixture(RegistryKind::kEtcd);
   for (int i = 0; i < 8; ++i) fixture.Put("n" + std::to_string(i), i);
   fixture.Run(kSecond);
-  fixture.Cut();
+  fixture.CloseConnection();
   fixture.up[0] = false;
   fixture.Delete("n2");
   fixture.Put("n3", 30);
@@ -63,73 +63,73 @@
   fixture.Run(kSecond);
   fixture.up[0] = true;
   fixture.Run(10 * kSecond);
-  EXPECT_EQ(fixture.Seen(), fixture.Truth());
-  EXPECT_EQ(fixture.view.count("n2"), 0u);
+  EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
+  EXPECT_EQ(fixture.nodes.count("n2"), 0u);
   EXPECT_EQ(fixture.client->Status(fixture.now).compactions, 1u);
   EXPECT_EQ(fixture.client->Status(fixture.now).rereads, 2u);
-  EXPECT_EQ(fixture.full_views, 1u);  // the reread is told as changes
+  EXPECT_EQ(fixture.snapshots, 1u);  // the second full read is published as changes
 }
 
 TEST(RegistryClient, StartsAFullReadOverWhenItsRevisionIsCompacted) {
   RegistryFixture fixture(RegistryKind::kEtcd);
   for (int i = 0; i < 10; ++i) fixture.Put("n" + std::to_string(i), i);
   fixture.Etcd().faults.compact_at_page = 0;
-  // The second page is asked for at the first one's revision, which is compacted away by then.
+  // The second page is requested at the revision of the first one, which has been compacted by then.
   fixture.Etcd().faults.compact_at_page = 1000;
   fixture.Put("n0", 5);
-  // Compact() is bounded by the newest revision; one more change makes the first page's revision too old.
+  // Compact() stops at the newest revision, so another change must make the first page's revision older.
   bool changed = false;
   for (int i = 0; i < 200; ++i) {
-    fixture.Settle();
+    fixture.RunUntilIdle();
     if (!changed && fixture.Etcd().faults.compact_at_page != 0) {
       fixture.Put("n1", 6);
       changed = true;
     }
     fixture.now += 10 * kMs;
   }
-  EXPECT_EQ(fixture.Seen(), fixture.Truth());
-  EXPECT_EQ(fixture.view.size(), 10u);
+  EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
+  EXPECT_EQ(fixture.nodes.size(), 10u);
 }
 
 TEST(RegistryClient, CoalescesAFloodWithoutDelayingADrainInIt) {
   RegistryFixture fixture(RegistryKind::kEtcd);
   for (int i = 0; i < 50; ++i) fixture.Put("n" + std::to_string(i), 0);
   fixture.Run(kSecond);
-  const std::size_t before = fixture.views;
+  const std::size_t before = fixture.events;
   const Micros from = fixture.now;
   Micros drained_at = 0;
   for (int i = 0; i < 10'000; ++i) {
     fixture.Put("n" + std::to_string(i % 50), i);
     if (i == 4321) {
       fixture.Put("n7", 1, NodeState::kDraining);
-      fixture.Settle();
+      fixture.RunUntilIdle();
       drained_at = fixture.now;
     }
     if (i % 10 == 0) {
       fixture.now += kMs;
-      fixture.Settle();
+      fixture.RunUntilIdle();
     }
   }
   fixture.Run(kSecond);
-  EXPECT_EQ(fixture.Seen(), fixture.Truth());
+  EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
   ASSERT_FALSE(fixture.drains.empty());
   EXPECT_EQ(fixture.drains[0].second, "n7");
   EXPECT_EQ(fixture.drains[0].first, drained_at);
   const double seconds = static_cast<double>(fixture.now - from) * 1e-6;
-  EXPECT_LE(static_cast<double>(fixture.views - before),
-            seconds * 10.0 + 3.0);  // ten a second, and the drain's
+  EXPECT_LE(static_cast<double>(fixture.events - before),
+            seconds * 10.0 + 3.0);  // ten per second, and the event of the drain
 }
 
 TEST(RegistryClient, PublishesTenThousandChangesOfAResumptionAsOneEvent) {
   RegistryFixture fixture(RegistryKind::kEtcd);
   fixture.Put("a", 1);
   fixture.Run(kSecond);
-  fixture.Cut();
+  fixture.CloseConnection();
   for (int i = 0; i < 10'000; ++i) fixture.Put("n" + std::to_string(i % 100), i);
-  const std::size_t before = fixture.views;
-  fixture.Settle();
-  EXPECT_EQ(fixture.Seen(), fixture.Truth());
-  EXPECT_LE(fixture.views - before, 2u);
+  const std::size_t before = fixture.events;
+  fixture.RunUntilIdle();
+  EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
+  EXPECT_LE(fixture.events - before, 2u);
   EXPECT_EQ(fixture.client->Status(fixture.now).rereads, 1u);
 }
 
@@ -143,11 +143,11 @@
     const std::string name = "n" + std::to_string(i);
     pairs.emplace_back(fixture.options.prefix + name, NodeValue(name));
   }
-  fixture.deliver = 1200;  // some fragments, and not the last
+  fixture.bytes_until_close = 1200;  // some fragments, but not the last one
   fixture.Etcd().PutAll(fixture.now, pairs);
   fixture.Run(5 * kSecond);
-  EXPECT_EQ(fixture.Seen(), fixture.Truth());
-  EXPECT_EQ(fixture.view.size(), 10u);
+  EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
+  EXPECT_EQ(fixture.nodes.size(), 10u);
   EXPECT_EQ(fixture.client->Status(fixture.now).rereads, 1u);
   EXPECT_GE(fixture.client->Status(fixture.now).breaks, 1u);
 }
@@ -156,58 +156,60 @@
   RegistryFixture fixture(RegistryKind::kEtcd, 2);
   for (int i = 0; i < 5; ++i) fixture.Put("n" + std::to_string(i), i);
   fixture.Run(kSecond);
-  // The second member falls behind; the first goes away.
+  // The second member falls behind, then the first one fails.
   for (int i = 0; i < 5; ++i)
     fixture.etcd[0]->Put(fixture.now, fixture.options.prefix + "n" + std::to_string(i),
                          NodeValue("n" + std::to_string(i), 50 + i));
   fixture.etcd[0]->Delete(fixture.now, fixture.options.prefix + "n0");
   fixture.Run(kSecond);
-  EXPECT_EQ(fixture.view.count("n0"), 0u);
+  EXPECT_EQ(fixture.nodes.count("n0"), 0u);
   fixture.up[0] = false;
-  fixture.Cut();
+  fixture.CloseConnection();
   fixture.Run(20 * kSecond);
-  EXPECT_EQ(fixture.view.count("n0"), 0u);  // not resurrected
-  EXPECT_EQ(fixture.view.at("n1").free_cores, 51.0);
+  EXPECT_EQ(fixture.nodes.count("n0"), 0u);  // not resurrected
+  EXPECT_EQ(fixture.nodes.at("n1").free_cores, 51.0);
   EXPECT_FALSE(fixture.warnings.empty());
   fixture.up[0] = true;
   fixture.Run(20 * kSecond);
-  EXPECT_EQ(fixture.Seen(), fixture.Truth());
+  EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
 }
 
 TEST(RegistryClient, ReadsAllOfARestoredRegistry) {
   RegistryFixture fixture(RegistryKind::kEtcd);
   for (int i = 0; i < 5; ++i) fixture.Put("n" + std::to_string(i), i);
   fixture.Run(kSecond);
-  const auto kept = fixture.Etcd().revision();
+  const auto backup_revision = fixture.Etcd().revision();
   for (int i = 0; i < 5; ++i) fixture.Put("later" + std::to_string(i), i);
   fixture.Run(kSecond);
-  fixture.Etcd().Restore(kept);
+  fixture.Etcd().Restore(backup_revision);
   fixture.Run(30 * kSecond);
-  EXPECT_EQ(fixture.Seen(), fixture.Truth());
-  EXPECT_EQ(fixture.view.size(), 5u);
+  EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
+  EXPECT_EQ(fixture.nodes.size(), 5u);
   EXPECT_EQ(fixture.client->Status(fixture.now).new_histories, 1u);
-  fixture.Put("n0", 99);  // changes count again, though their revisions are lower than what was once seen
+  // Applied, although its revision is lower than the newest one seen before the restore.
+  fixture.Put("n0", 99);
   fixture.Run(kSecond);
-  EXPECT_EQ(fixture.Seen(), fixture.Truth());
+  EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
 }
 
-// Shrunk from a random script: after a restore the counter comes back to the revision last seen, with other
-// changes.
+// Guards against a restore that goes unnoticed because the revision counts up to the last one seen again,
+// with different changes. A random script found this case.
 TEST(RegistryClient, NoticesARestoreThatCountsUpToTheRevisionSeen) {
   RegistryFixture fixture(RegistryKind::kEtcd);
   fixture.Put("n0", 0);
   fixture.Put("n0", 0);
   fixture.Put("n0", 0);
   fixture.Run(kSecond);
-  fixture.Cut();
+  fixture.CloseConnection();
   fixture.Etcd().Restore(fixture.Etcd().revision() - 1);
   fixture.Put("n1", 1);
   fixture.Run(10 * kSecond);
-  EXPECT_EQ(fixture.Seen(), fixture.Truth());
+  EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
   EXPECT_EQ(fixture.client->Status(fixture.now).new_histories, 1u);
 }
 
-// A Consul registry whose index goes back between two blocking reads, and a node that drains right after.
+// Restores a Consul registry between two blocking reads, so that its index decreases, and drains a node right
+// after.
 class ConsulRestoreBetweenReads : public ::testing::Test {
  protected:
   ConsulRestoreBetweenReads() : fixture_(RegistryKind::kConsul) {
@@ -215,15 +217,15 @@
     fixture_.Run(20 * kSecond);
   }
   registry_standin::ConsulRegistry& Registry() { return *fixture_.consul[0]; }
-  // Two changes in a row: the second one's read is answered, and the next is not sent before min_interval.
+  // Changes a node twice. The read of the second change is answered, and the next one waits for min_interval.
   void BeginPause() {
     for (const int cores : {50, 51}) {
       fixture_.Put("n1", cores);
-      fixture_.Settle();
+      fixture_.RunUntilIdle();
     }
   }
-  // How long the client takes to list the drain; the check fails where it takes over a minute. `is_busy`:
-  // another node changes every 0.1 s meanwhile.
+  // Drains a node and returns how long the client takes to publish this. Fails the test if it takes longer
+  // than a minute. `is_busy`: another node changes every 0.1 s in the meantime.
   Micros TimeUntilDrainIsListed(bool is_busy = false) {
     const Micros drained_at = fixture_.now;
     fixture_.Put("n0", 0, NodeState::kDraining);
@@ -232,15 +234,16 @@
       fixture_.Run(20 * kMs);
     }
     EXPECT_FALSE(fixture_.drains.empty());
-    EXPECT_EQ(fixture_.Seen(), fixture_.Truth());
+    EXPECT_EQ(fixture_.PublishedEntries(), fixture_.StoredEntries());
     return fixture_.now - drained_at;
   }
 
-  static constexpr Micros kMaxDelay = 1'200'000;  // a brief read and the pause before it
+  static constexpr Micros kMaxDelay = 1'200'000;  // duration of a brief read and of the pause before it
   RegistryFixture fixture_;
 };
 
-// Guards against a list that stays old for a whole blocking read after a restore in the pause before it.
+// Guards against a list that stays outdated for a whole blocking read because the registry was restored in
+// the pause before the read.
 TEST_F(ConsulRestoreBetweenReads, InThePauseAfterAChangeADrainIsListedWithinABriefRead) {
   BeginPause();
   Registry().RestoreIndex(5);
@@ -259,7 +262,7 @@
 
 TEST_F(ConsulRestoreBetweenReads, DuringAnOutageADrainIsListedWithinABriefRead) {
   fixture_.up[0] = false;
-  fixture_.Cut();
+  fixture_.CloseConnection();
   Registry().RestoreIndex(5);
   fixture_.Run(3 * kSecond);
   fixture_.up[0] = true;
@@ -288,14 +291,14 @@
   fixture.Etcd().watch_faults().reverse_events = true;
   fixture.Put("a", 1);
   fixture.Run(kSecond);
-  fixture.Cut();
+  fixture.CloseConnection();
   fixture.Put("a", 2);
   fixture.Delete("a");
   fixture.Put("b", 1);
   fixture.Put("a", 3);
   fixture.Delete("b");
   fixture.Run(5 * kSecond);
-  EXPECT_EQ(fixture.Seen(), fixture.Truth());
+  EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
 }
 
 TEST(RegistryClient, RequestsAnotherTokenWhenItsTokenHasExpired) {
@@ -305,12 +308,12 @@
   fixture.client = std::make_unique<discovery::RegistryClient>(fixture.options, 5);
   fixture.Put("a", 1);
   fixture.Run(kSecond);
-  EXPECT_EQ(fixture.Seen(), fixture.Truth());
+  EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
   fixture.Etcd().RevokeTokens();
-  fixture.Cut();
+  fixture.CloseConnection();
   fixture.Put("a", 2);
   fixture.Run(10 * kSecond);
-  EXPECT_EQ(fixture.Seen(), fixture.Truth());
+  EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
 }
 
 TEST(RegistryClient, PublishesAndCountsARegistryThatEmptiesSuddenly) {
@@ -318,14 +321,14 @@
     RegistryFixture fixture(kind);
     for (int i = 0; i < 6; ++i) fixture.Put("n" + std::to_string(i), i);
     fixture.Run(kSecond);
-    fixture.Cut();
+    fixture.CloseConnection();
     fixture.up[0] = false;
     for (int i = 0; i < 6; ++i) fixture.Delete("n" + std::to_string(i));
     fixture.Etcd().Compact(fixture.Etcd().revision());
     fixture.Run(kSecond);
     fixture.up[0] = true;
     fixture.Run(10 * kSecond);
-    EXPECT_TRUE(fixture.view.empty());
+    EXPECT_TRUE(fixture.nodes.empty());
     EXPECT_EQ(fixture.client->Status(fixture.now).emptied, 1u);
   }
 }
@@ -334,39 +337,40 @@
   RegistryFixture fixture(RegistryKind::kEtcd, 2);
   fixture.Put("a", 1);
   fixture.Run(kSecond);
-  fixture.deaf = true;  // the connection stays, nothing comes
+  fixture.drops_replies = true;  // the connection stays open without receiving bytes
   fixture.Put("a", 2);
   fixture.Run(10 * kSecond);
   EXPECT_GT(fixture.client->Status(fixture.now).age, 8 * kSecond);
-  EXPECT_EQ(fixture.view.at("a").free_cores, 1.0);  // the last view is kept
+  EXPECT_EQ(fixture.nodes.at("a").free_cores, 1.0);  // the last known state is retained
   fixture.Run(20 * kSecond);
-  EXPECT_GE(fixture.client->Status(fixture.now).breaks, 1u);  // left by itself
-  fixture.Hear();
+  EXPECT_GE(fixture.client->Status(fixture.now).breaks, 1u);  // the client has left the endpoint
+  fixture.StopDroppingReplies();
   fixture.Run(40 * kSecond);
-  EXPECT_EQ(fixture.Seen(), fixture.Truth());
+  EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
   EXPECT_LT(fixture.client->Status(fixture.now).age, 3 * kSecond);
 }
 
-// Danger: a resumed watch is created before what was missed is here; the list is as old as before until then.
-TEST(RegistryClient, ConfirmsAResumedWatchOnlyWhenTheMissedChangesAreHere) {
+// Guards against a list that counts as current too early: a resumed watch is created before the missed
+// changes arrive.
+TEST(RegistryClient, ConfirmsAResumedWatchOnlyWhenTheMissedChangesHaveArrived) {
   RegistryFixture fixture(RegistryKind::kEtcd);
   fixture.Put("a", 1);
   fixture.Run(kSecond);
   const std::uint64_t incarnations = fixture.client->state().incarnations();
   fixture.up[0] = false;
-  fixture.Cut();
+  fixture.CloseConnection();
   fixture.Put("b", 1);
   fixture.Run(10 * kSecond);
   fixture.up[0] = true;
-  // Only the reply's head and the message that the watch is created get through.
-  fixture.deliver = 400;
+  // Only the header of the reply and the message that the watch was created are delivered.
+  fixture.bytes_until_close = 400;
   for (int i = 0; i < 500 && fixture.client->Status(fixture.now).age > 9 * kSecond; ++i) {
-    if (fixture.view.count("b") == 0) {
+    if (fixture.nodes.count("b") == 0) {
       EXPECT_GT(fixture.client->Status(fixture.now).age, 9 * kSecond);
     }
     fixture.Run(20'000);
   }
-  EXPECT_EQ(fixture.Seen(), fixture.Truth());
+  EXPECT_EQ(fixture.PublishedEntries(), fixture.StoredEntries());
   EXPECT_GT(fixture.client->state().incarnations(), incarnations);
 }
 
@@ -379,15 +383,16 @@
   fixture.Etcd().Put(fixture.now, fixture.options.prefix + "huge", std::string(100'000, 'x'));
   fixture.Etcd().Put(fixture.now, fixture.options.prefix + "turns", "[]");
   fixture.Run(kSecond);
-  EXPECT_EQ(fixture.view.size(), 2u);  // what was known of the one that became invalid stays
+  EXPECT_EQ(fixture.nodes.size(), 2u);  // the node whose entry became invalid retains its last valid state
   EXPECT_EQ(fixture.warnings.size(), 3u);
   fixture.Run(5 * kSecond);
   EXPECT_EQ(fixture.warnings.size(), 3u);
 }
 
-// A random script of changes and breaks. While it is followed, the state is the registry's of that revision;
-// after healing, the view is the registry's.
-void PlayScript(RegistryKind kind, const std::vector<std::pair<int, int>>& script) {
+// Runs a random script of changes and faults. Checks that, after the faults have ended, the published list
+// equals the registry. For etcd without a restore it also checks after each step that the client's state
+// equals the registry at the state's revision.
+void RunScript(RegistryKind kind, const std::vector<std::pair<int, int>>& script) {
   RegistryFixture fixture(kind);
   bool restored = false;
   for (const auto& [what, value] : script) {
@@ -396,8 +401,8 @@
     if (w < 6) fixture.Put(name, value % 100);
     if (w == 6 || w == 7) fixture.Delete(name);
     if (w == 8) fixture.Put(name, 1, NodeState::kDraining);
-    if (w == 9) fixture.Cut();
-    if (w == 10) fixture.deliver = static_cast<std::size_t>(std::abs(value) % 3000);
+    if (w == 9) fixture.CloseConnection();
+    if (w == 10) fixture.bytes_until_close = static_cast<std::size_t>(std::abs(value) % 3000);
     if (w == 11) fixture.up[0] = !fixture.up[0];
     if (w == 12)
       fixture.Etcd().Compact(fixture.Etcd().revision() -
@@ -406,17 +411,17 @@
     if (w == 14) fixture.Etcd().watch_faults().reverse_events = v % 2 == 0;
     if (w == 15) fixture.Etcd().watch_faults().max_events = static_cast<std::size_t>(v % 4);
     if (w == 16) fixture.Run(static_cast<Micros>(v) * 300 * kMs);
-    if (w == 17 && fixture.deaf)
-      fixture.Hear();
+    if (w == 17 && fixture.drops_replies)
+      fixture.StopDroppingReplies();
     else if (w == 17)
-      fixture.deaf = true;
+      fixture.drops_replies = true;
     if (w == 18 && kind == RegistryKind::kEtcd && v == 0 && fixture.Etcd().revision() > 4) {
       fixture.Etcd().Restore(fixture.Etcd().revision() - 2);
       restored = true;
     }
     if (w == 19) fixture.client->ReadAnew(fixture.now);
     fixture.now += 5 * kMs;
-    fixture.Settle();
+    fixture.RunUntilIdle();
     if (kind == RegistryKind::kEtcd && !restored) {
       std::map<std::string, std::string> known;
       for (const auto& [key, kv] : fixture.client->state().entries()) known[key] = kv.value;
@@ -426,20 +431,20 @@
     }
   }
   fixture.up[0] = true;
-  if (fixture.deaf) fixture.Hear();
-  fixture.deliver = ~std::size_t{0};
+  if (fixture.drops_replies) fixture.StopDroppingReplies();
+  fixture.bytes_until_close = ~std::size_t{0};
   fixture.Run(60 * kSecond, 100 * kMs);
-  RC_ASSERT(fixture.Seen() == fixture.Truth());
+  RC_ASSERT(fixture.PublishedEntries() == fixture.StoredEntries());
 }
 
 TEST(RegistryProperty, EtcdListEqualsTheRegistryAfterAnyScript) {
   EXPECT_TRUE(rc::check(
-      [](const std::vector<std::pair<int, int>>& script) { PlayScript(RegistryKind::kEtcd, script); }));
+      [](const std::vector<std::pair<int, int>>& script) { RunScript(RegistryKind::kEtcd, script); }));
 }
 
 TEST(RegistryProperty, ConsulListEqualsTheRegistryAfterAnyScript) {
   EXPECT_TRUE(rc::check(
-      [](const std::vector<std::pair<int, int>>& script) { PlayScript(RegistryKind::kConsul, script); }));
+      [](const std::vector<std::pair<int, int>>& script) { RunScript(RegistryKind::kConsul, script); }));
 }
 
 }  // namespace
--- a/tests/discovery/registry_protocol_test.cpp
+++ b/tests/discovery/registry_protocol_test.cpp
@@ -1,4 +1,5 @@
-// What each protocol sends, and what it makes of replies: of reads of the node list, and of one's own entry.
+// Tests of the requests that each protocol sends and of how it handles replies, for reads of the node list
+// and for the registrar's entry.
 #include "discovery/registry_protocol.hpp"
 
 #include <gtest/gtest.h>
@@ -30,7 +31,7 @@
   return reply;
 }
 
-// The request that a protocol sends next.
+// Returns the next request that a protocol sends.
 http::Message NextRequest(RegistryProtocol* protocol) {
   const auto event = protocol->NextEvent();
   if (!event || !std::holds_alternative<SendRequest>(*event)) {
@@ -42,6 +43,7 @@
   return reader.messages().front();
 }
 
+// Returns the next event, which must be of type T.
 template <typename T>
 T NextEventOf(RegistryProtocol* protocol) {
   const auto event = protocol->NextEvent();
@@ -123,7 +125,7 @@
   EXPECT_FALSE(protocol.NextEvent());
 }
 
-TEST(EtcdProtocol, TellsOfACompactedRevisionInEitherKindOfRead) {
+TEST(EtcdProtocol, ReportsACompactedRevisionInEitherKindOfRead) {
   EtcdProtocol protocol(ClientOptions{});
   protocol.StartRead(kFullStep);
   NextRequest(&protocol);
@@ -137,7 +139,7 @@
   EXPECT_FALSE(protocol.NextEvent());
 }
 
-TEST(EtcdProtocol, HoldsTheFragmentsOfARevisionUntilTheLastIsHere) {
+TEST(EtcdProtocol, StoresTheFragmentsOfARevisionUntilTheLastArrives) {
   EtcdProtocol protocol(ClientOptions{});
   protocol.StartRead(kFollowStep);
   NextRequest(&protocol);
@@ -151,7 +153,8 @@
   EXPECT_EQ(NextEventOf<WatchProgress>(&protocol).changes.size(), 2u);
 }
 
-// The invariant of RegistryClient::ProcessEvents: what was not handled yet is not remembered either.
+// Checks the invariant of RegistryClient::ProcessEvents: messages that were not handled yet do not change the
+// protocol's state.
 TEST(EtcdProtocol, DecodesOneMessageOfAWatchAtATime) {
   EtcdProtocol protocol(ClientOptions{});
   protocol.StartRead(kFollowStep);
@@ -215,7 +218,7 @@
   }
 }
 
-TEST(ConsulProtocol, TakesAMissingPrefixForAnEmptyListButNotAMissingService) {
+TEST(ConsulProtocol, TreatsAMissingPrefixAsAnEmptyListButNotAMissingService) {
   ClientOptions options;
   ConsulProtocol keys(options, 1);
   keys.ReceiveReply(ConsulReply(404, ""));
@@ -246,7 +249,7 @@
   EXPECT_EQ(reason_of(reply), "it knows no leader");
 }
 
-TEST(LeaseProtocol, TellsAnUnknownLeaseFromOtherRejections) {
+TEST(LeaseProtocol, DistinguishesAnUnknownLeaseFromOtherRejections) {
   RegistrarOptions options;
   options.kind = RegistryKind::kEtcd;
   const auto protocol = MakeLeaseProtocol(options);
@@ -260,7 +263,7 @@
   EXPECT_FALSE(rejected.error().is_lease_lost);
 }
 
-TEST(LeaseProtocol, TakesAnEtcdLeaseWithoutTimeLeftForLost) {
+TEST(LeaseProtocol, TreatsAnEtcdLeaseWithoutTimeLeftAsLost) {
   RegistrarOptions options;
   options.kind = RegistryKind::kEtcd;
   const auto protocol = MakeLeaseProtocol(options);
@@ -285,7 +288,7 @@
   EXPECT_FALSE(written->is_lease_extended);
 }
 
-TEST(LeaseProtocol, OpensTheLeaseAndWritesTheEntryOfAServiceInOne) {
+TEST(LeaseProtocol, OpensTheLeaseAndWritesTheEntryOfAServiceInOneRequest) {
   RegistrarOptions options;
   options.service = "nodes";
   const auto protocol = MakeLeaseProtocol(options);
--- a/tests/discovery/registry_state_test.cpp
+++ b/tests/discovery/registry_state_test.cpp
@@ -1,4 +1,4 @@
-// What is known of a registry's keys: full reads and changes merged by revision.
+// Tests of RegistryState, which merges full reads and changes by revision.
 #include <gtest/gtest.h>
 
 #include "discovery/state.hpp"
@@ -6,8 +6,8 @@
 namespace mountflow::discovery {
 namespace {
 
-// A key that came or went is counted, even where the keys look the same again; a changed value is not.
-TEST(RegistryState, CountsKeysThatCameOrWentSeenAndUnseen) {
+// An added or removed key counts, even if the set of keys is the same afterwards. A changed value does not.
+TEST(RegistryState, CountsObservedAndPossibleAdditionsAndRemovals) {
   RegistryState state;
   const auto kv = [](const char* key, std::uint64_t at) { return KeyValue{key, "v", at, at}; };
   EXPECT_FALSE(state.Replace(10, {kv("a", 5)}).lacks_most_entries);
@@ -18,8 +18,8 @@
   state.Apply({{"b", "v", 12, false}, {"b", "", 13, true}});
   const std::uint64_t second = state.incarnations();
   EXPECT_GT(second, first);
-  EXPECT_FALSE(
-      state.Replace(20, {kv("a", 11)}).lacks_most_entries);  // between 13 and 20 any key may have come and gone
+  // A key may have been added and removed between 13 and 20.
+  EXPECT_FALSE(state.Replace(20, {kv("a", 11)}).lacks_most_entries);
   EXPECT_GT(state.incarnations(), second);
 }
 
--- a/tests/discovery/scripted_registry.hpp
+++ b/tests/discovery/scripted_registry.hpp
@@ -1,5 +1,6 @@
-// Replies of an etcd or Consul registry drawn from a seed, for recorded runs of the registry client. It is
-// written on its own, without the stand-ins, so that a recorded run depends on the client alone.
+// Random replies of an etcd or Consul registry, generated from a seed, for recorded runs of the registry
+// client. They do not use the registries of tools/registry_standin, so that a recorded run depends only on
+// the client.
 #ifndef MOUNTFLOW_TESTS_DISCOVERY_SCRIPTED_REGISTRY_HPP_
 #define MOUNTFLOW_TESTS_DISCOVERY_SCRIPTED_REGISTRY_HPP_
 
@@ -54,7 +55,7 @@
   return bytes;
 }
 
-// The history of a registry: revisions of keys, from which any member's state is made.
+// The history of a registry: all changes of keys, from which the state of any member can be computed.
 struct RegistryHistory {
   struct Change {
     std::uint64_t revision = 0;
@@ -69,6 +70,7 @@
   void Add(const std::string& key, const std::string& value, bool removed) {
     changes.push_back({++revision, key, value, removed});
   }
+  // Returns the entries as of revision `at`.
   [[nodiscard]] std::map<std::string, Entry> At(std::uint64_t at) const {
     std::map<std::string, Entry> entries;
     for (const Change& change : changes) {
@@ -84,7 +86,7 @@
     }
     return entries;
   }
-  // A restore from a backup: the counter goes back, and etcd gets a new cluster id.
+  // Restores the registry from a backup: the revision is reset to `to`, and etcd may get a new cluster ID.
   void Restore(std::uint64_t to, bool new_cluster) {
     revision = std::min(revision, std::max<std::uint64_t>(to, 1));
     std::erase_if(changes, [this](const Change& change) { return change.revision > revision; });
@@ -98,17 +100,18 @@
 
 enum class RegistryProtocol { kEtcd, kConsulKeys, kConsulHealth };
 
+// The members of one registry. Replies depend on the history and on random numbers.
 class ScriptedRegistry {
  public:
   ScriptedRegistry(RegistryProtocol protocol, std::mt19937_64* random)
       : protocol_(protocol), random_(random) {}
 
   RegistryHistory history;
-  std::array<std::uint64_t, 3> behind{};  // how many revisions each endpoint lacks
+  std::array<std::uint64_t, 3> behind{};  // number of revisions that each endpoint lacks
   bool needs_token = false;
   std::string token = "token-1";
 
-  // The reply to one request; empty where a Consul read blocks or the endpoint does not answer.
+  // Returns the reply to one request.
   std::string Answer(std::size_t endpoint, const http::Message& request) {
     endpoint_ = endpoint;
     if (Chance(3)) return http::WriteReply(503, {}, "no leader here", Chance(50));
@@ -116,17 +119,17 @@
     if (Chance(1)) return http::WriteReply(200, {{"X-Consul-Index", "9"}}, "[not json", true);
     return protocol_ == RegistryProtocol::kEtcd ? AnswerEtcd(request) : AnswerConsul();
   }
-  // What a watch that is open sends next; empty: nothing.
+  // Returns the next bytes of an open watch; empty if there are none.
   std::string ContinueWatch(std::size_t endpoint) {
     endpoint_ = endpoint;
     if (Chance(1)) return Chunk(Json{{"error", {{"grpc_code", 14}, {"message", "lost its leader"}}}}.dump());
     if (Chance(1)) return Chunk(WatchResult({{"canceled", true}, {"cancel_reason", "members change"}}));
     if (Chance(1)) return Chunk(WatchResult({{"canceled", true}, {"compact_revision", "99"}}));
     if (Chance(1)) return "0\r\n\r\n";
-    if (next_ > Revision()) return Chance(5) ? Chunk(WatchResult(Json::object())) : "";
+    if (next_revision_ > Revision()) return Chance(5) ? Chunk(WatchResult(Json::object())) : "";
     return Events();
   }
-  // True while a blocking Consul read would still wait.
+  // Reports whether a blocking Consul read still waits.
   [[nodiscard]] bool Blocks(const http::Message& request) const {
     return request.query.count("index") > 0 && request.query.at("index") == std::to_string(Revision());
   }
@@ -164,16 +167,16 @@
     return request.path == "/v3/watch" ? StartWatch(body["create_request"]) : AnswerRange(body);
   }
   std::string AnswerRange(const Json& body) {
-    const std::uint64_t asked =
+    const std::uint64_t requested_revision =
         body.contains("revision") ? std::stoull(body["revision"].get<std::string>()) : 0;
-    if (asked != 0 && (asked <= history.compacted || Chance(5))) {
+    if (requested_revision != 0 && (requested_revision <= history.compacted || Chance(5))) {
       return EtcdFailure(400, 11, "etcdserver: mvcc: required revision has been compacted");
     }
     const std::string from = FromBase64Text(body["key"]);
     const std::size_t limit = std::stoul(body["limit"].get<std::string>());
     Json pairs = Json::array();
     bool more = false;
-    for (const auto& [key, entry] : history.At(asked == 0 ? Revision() : asked)) {
+    for (const auto& [key, entry] : history.At(requested_revision == 0 ? Revision() : requested_revision)) {
       if (key < from) continue;
       if (pairs.size() == limit) {
         more = true;
@@ -189,20 +192,20 @@
     return http::WriteReply(200, {}, reply.dump(), !Chance(5));
   }
   std::string StartWatch(const Json& request) {
-    next_ = std::stoull(request["start_revision"].get<std::string>());
+    next_revision_ = std::stoull(request["start_revision"].get<std::string>());
     std::string reply = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     reply += Chunk(WatchResult({{"created", true}}));
-    if (next_ <= history.compacted) {
+    if (next_revision_ <= history.compacted) {
       reply +=
           Chunk(WatchResult({{"canceled", true}, {"compact_revision", std::to_string(history.compacted)}}));
     }
     return reply;
   }
-  // All changes from next_ on: in one message, in fragments, twice or reversed.
+  // Returns all changes from next_revision_ on: in one message or in fragments, reversed or sent twice.
   std::string Events() {
     Json events = Json::array();
     for (const RegistryHistory::Change& change : history.changes) {
-      if (change.revision < next_ || change.revision > Revision()) continue;
+      if (change.revision < next_revision_ || change.revision > Revision()) continue;
       Json event = {{"kv",
                      {{"key", ToBase64(change.key)},
                       {"value", ToBase64(change.value)},
@@ -210,7 +213,7 @@
       if (change.removed) event["type"] = "DELETE";
       events.push_back(std::move(event));
     }
-    next_ = Revision() + 1;
+    next_revision_ = Revision() + 1;
     if (Chance(10)) std::reverse(events.begin(), events.end());
     if (events.size() > 1 && Chance(30)) {
       Json first = Json::array({events[0]});
@@ -240,7 +243,7 @@
             {"CreateIndex", entry.created},
             {"ModifyIndex", entry.modified}};
   }
-  // Health and fields of an instance follow from its key and value, so that both vary.
+  // Returns an instance whose health and fields are derived from its key and value, so that they vary.
   static Json Instance(const std::string& key, const RegistryHistory::Entry& entry) {
     const std::size_t shape = entry.value.size() + entry.modified;
     Json service = {{"ID", key},
@@ -258,7 +261,7 @@
   RegistryProtocol protocol_;
   std::mt19937_64* random_;
   std::size_t endpoint_ = 0;
-  std::uint64_t next_ = 0;  // of the watch: first revision not sent
+  std::uint64_t next_revision_ = 0;  // first revision that the watch has not sent
 };
 
 }  // namespace mountflow::testing
--- a/tests/discovery/service_health_test.cpp
+++ b/tests/discovery/service_health_test.cpp
@@ -1,4 +1,4 @@
-// Nodes as instances of a Consul service: their health, and a registrar that keeps one's own.
+// Tests of nodes that are registered as instances of a Consul service: their health and the registrar.
 #include <gtest/gtest.h>
 
 #include "discovery/health.hpp"
@@ -11,6 +11,7 @@
 
 constexpr Micros kSecond = 1'000'000;
 
+// Returns the nodes in a reply of /v1/health, by key.
 std::map<std::string, job_manager::ListedNode> Instances(registry_standin::ConsulCatalog* catalog,
                                                          Micros now) {
   http::Message get;
@@ -30,6 +31,7 @@
   return all;
 }
 
+// Sends a PUT request to the catalog.
 void Put(registry_standin::ConsulCatalog* catalog, Micros now, const std::string& path,
          const std::string& body = "", const std::string& query = "") {
   http::Message put;
@@ -39,7 +41,7 @@
   catalog->Take();
 }
 
-TEST(ServiceHealth, HasTheNodesWhoseChecksPassAndMaintenanceAsDraining) {
+TEST(ServiceHealth, ListsNodesWithPassingChecksAndMaintenanceAsDraining) {
   registry_standin::ConsulCatalog catalog;
   Micros now = 1000 * kSecond;
   job_manager::ListedNode n;
@@ -51,12 +53,12 @@
   auto all = Instances(&catalog, now);
   ASSERT_EQ(all.size(), 2u);
   EXPECT_EQ(EncodeNodeEntry(all["a"]), EncodeNodeEntry(n));
-  EXPECT_EQ(all["tagged"].address, "127.0.0.1:7");  // its agent's
+  EXPECT_EQ(all["tagged"].address, "127.0.0.1:7");  // the address of its agent
   EXPECT_EQ(all["tagged"].rack, "r2");
   EXPECT_EQ(all["tagged"].free_cores, 3.0);
   Put(&catalog, now, "/v1/agent/service/maintenance/a", "", "enable");
   EXPECT_EQ(Instances(&catalog, now)["a"].state, NodeState::kDraining);
-  now += 11 * kSecond;  // nobody made its check pass
+  now += 11 * kSecond;  // the check has expired
   all = Instances(&catalog, now);
   EXPECT_EQ(all.count("a"), 0u);
   EXPECT_EQ(all.count("tagged"), 1u);
@@ -103,7 +105,7 @@
   EXPECT_EQ(Instances(&catalog, now).count("a"), 0u);
   run(5 * kSecond, true);
   EXPECT_EQ(Instances(&catalog, now).count("a"), 1u);
-  catalog = registry_standin::ConsulCatalog();  // the agent lost its data; a renewal is rejected
+  catalog = registry_standin::ConsulCatalog();  // the agent has lost its data and rejects renewals
   run(10 * kSecond, true, false);
   EXPECT_EQ(Instances(&catalog, now).count("a"), 1u);
   n.state = NodeState::kDraining;
@@ -122,7 +124,7 @@
   const auto no_service = DecodeHealth(R"([{"Node": {}}])");
   ASSERT_FALSE(no_service);
   EXPECT_EQ(Describe(no_service.error()), "instances with a Service and its ID");
-  // A field that should be a number and is none is an error of the entry.
+  // A field with an invalid number is an error of the entry.
   const auto pairs = DecodeHealth(
       R"([{"Service": {"ID": "a", "Address": "h", "Port": 1, "Meta": {"free_cores": "many"}}}])");
   ASSERT_TRUE(pairs);
--- a/tests/discovery/snapshot_test.cpp
+++ b/tests/discovery/snapshot_test.cpp
@@ -1,4 +1,4 @@
-// The saved node list.
+// Tests of the saved node list.
 #include "discovery/snapshot.hpp"
 
 #include <gtest/gtest.h>
@@ -32,7 +32,7 @@
   }
 }
 
-TEST(Snapshot, IsWrittenAsideAndRenamed) {
+TEST(Snapshot, IsWrittenToATemporaryFileAndRenamed) {
   char made[] = "/tmp/mountflow-view-XXXXXX";
   ASSERT_NE(mkdtemp(made), nullptr);
   const std::string file = std::string(made) + "/view";
--- a/tests/support/registry_fixture.hpp
+++ b/tests/support/registry_fixture.hpp
@@ -1,4 +1,4 @@
-// A registry client wired to stand-in stores in memory, under a simulated clock, with injected faults.
+// Connects a registry client to in-memory registries, with a simulated clock and injected faults.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_REGISTRY_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_REGISTRY_FIXTURE_HPP_
 
@@ -13,14 +13,17 @@
 
 namespace mountflow::testing {
 
-inline std::string NodeValue(const std::string& name, double room = 1.0,
+// Returns the entry of a node.
+inline std::string NodeValue(const std::string& name, double free_cores = 1.0,
                              NodeState state = NodeState::kReady) {
   job_manager::ListedNode n;
   n.name = name, n.address = "127.0.0.1:1", n.rack = "r", n.room = "x", n.kind = "k";
-  n.free_cores = room, n.state = state;
+  n.free_cores = free_cores, n.state = state;
   return discovery::EncodeNodeEntry(n);
 }
 
+// A registry client and the registries behind its endpoints, named "e0", "e1" and so on. Each endpoint has an
+// etcd and a Consul registry, of which the client uses one kind.
 class RegistryFixture {
  public:
   RegistryFixture(discovery::RegistryKind kind, std::size_t endpoints = 1, unsigned page = 3) {
@@ -43,19 +46,20 @@
   std::vector<bool> up;
   std::unique_ptr<discovery::RegistryClient> client;
   Micros now = 1'000'000'000;
-  std::size_t deliver =
-      ~std::size_t{0};  // bytes of replies that still get through; then the connection is cut
-  bool deaf = false;    // replies are lost, and the connection stays
-  std::map<std::string, job_manager::ListedNode> view;
-  std::size_t views = 0, full_views = 0;
-  std::vector<std::pair<Micros, std::string>> drains;  // when a node was first told as leaving
+  // Bytes of replies that are still delivered. After that many the connection is closed.
+  std::size_t bytes_until_close = ~std::size_t{0};
+  bool drops_replies = false;  // all replies are lost, but the connection stays open
+  std::map<std::string, job_manager::ListedNode> nodes;  // the node list, merged from all events
+  std::size_t events = 0, snapshots = 0;                 // number of events and of snapshots among them
+  // Time and node name of each published state other than ready.
+  std::vector<std::pair<Micros, std::string>> drains;
   std::vector<std::string> warnings;
 
   bool IsEtcd() const { return options.kind == discovery::RegistryKind::kEtcd; }
   registry_standin::EtcdRegistry& Etcd() { return *etcd[0]; }
-  // Writes to all etcd members, or the one consul store, alike.
-  void Put(const std::string& name, double room, NodeState state = NodeState::kReady) {
-    const std::string key = options.prefix + name, value = NodeValue(name, room, state);
+  // Writes the entry of a node to the registries of all endpoints.
+  void Put(const std::string& name, double free_cores, NodeState state = NodeState::kReady) {
+    const std::string key = options.prefix + name, value = NodeValue(name, free_cores, state);
     if (IsEtcd()) {
       for (auto& e : etcd) e->Put(now, key, value);
     } else {
@@ -64,37 +68,39 @@
       for (auto& c : consul) c->Handle(now, 0, put);
     }
   }
+  // Removes the entry of a node from the registries of all endpoints.
   void Delete(const std::string& name) {
     const std::string key = options.prefix + name;
     if (IsEtcd()) {
       for (auto& e : etcd) e->Delete(now, key);
     } else {
-      http::Message gone;
-      gone.method = "DELETE", gone.path = "/v1/kv/" + key;
-      for (auto& c : consul) c->Handle(now, 0, gone);
+      http::Message request;
+      request.method = "DELETE", request.path = "/v1/kv/" + key;
+      for (auto& c : consul) c->Handle(now, 0, request);
     }
   }
-  void Cut() {
+  // Closes the connection from the side of the registry.
+  void CloseConnection() {
     if (!conn_) return;
-    Forget();
+    ForgetConnection();
     client->Closed(now, "cut");
   }
-  // A stream never goes on after bytes of it were lost: the connection that was deaf is cut.
-  void Hear() {
-    deaf = false;
-    Cut();
+  // Stops dropping replies. The connection is closed, because a stream cannot continue after lost bytes.
+  void StopDroppingReplies() {
+    drops_replies = false;
+    CloseConnection();
   }
-  // Carries everything until it is quiet.
-  void Settle() {
+  // Carries out the client's actions and delivers replies until there is nothing left to do.
+  void RunUntilIdle() {
     for (int i = 0; i < 10'000; ++i) {
       bool quiet = true;
       client->Tick(now);
       for (auto& a : std::exchange(client->actions(), {})) {
         quiet = false;
         if (const auto* open = std::get_if<discovery::OpenConnection>(&a)) {
-          Forget();
-          at_ = static_cast<std::size_t>(std::stoul(open->address.substr(1)));
-          if (!up[at_]) {
+          ForgetConnection();
+          endpoint_ = static_cast<std::size_t>(std::stoul(open->address.substr(1)));
+          if (!up[endpoint_]) {
             client->Closed(now, "refused");
             continue;
           }
@@ -107,10 +113,10 @@
           while (!reader_->messages().empty()) {
             const http::Message m = reader_->messages().front();
             reader_->messages().pop_front();
-            IsEtcd() ? etcd[at_]->Handle(now, conn_, m) : consul[at_]->Handle(now, conn_, m);
+            IsEtcd() ? etcd[endpoint_]->Handle(now, conn_, m) : consul[endpoint_]->Handle(now, conn_, m);
           }
         } else {
-          Forget();
+          ForgetConnection();
         }
       }
       for (auto& e : etcd) e->Tick(now);
@@ -127,16 +133,18 @@
       for (const auto& warning : client->TakeWarnings()) warnings.push_back(Describe(warning));
       if (quiet) return;
     }
-    ADD_FAILURE() << "never quiet";
+    ADD_FAILURE() << "the client did not become idle";
   }
+  // Advances the clock by `length` in steps.
   void Run(Micros length, Micros step = 20'000) {
     const Micros to = now + length;
     while (now < to) {
       now = std::min(to, now + step);
-      Settle();
+      RunUntilIdle();
     }
   }
-  std::map<std::string, std::string> Truth() {
+  // Returns the entries that the registry of the first endpoint holds, by key.
+  std::map<std::string, std::string> StoredEntries() {
     if (IsEtcd()) return etcd[0]->Now();
     std::map<std::string, std::string> truth;
     consul[0]->Handle(now, 9999, Get(options.prefix));
@@ -149,10 +157,10 @@
     }
     return truth;
   }
-  // The view, as its nodes' entries.
-  std::map<std::string, std::string> Seen() const {
+  // Returns the entries of the published node list, by key.
+  std::map<std::string, std::string> PublishedEntries() const {
     std::map<std::string, std::string> seen;
-    for (const auto& [name, node] : view) seen[options.prefix + name] = discovery::EncodeNodeEntry(node);
+    for (const auto& [name, node] : nodes) seen[options.prefix + name] = discovery::EncodeNodeEntry(node);
     return seen;
   }
 
@@ -162,37 +170,38 @@
     m.method = "GET", m.path = "/v1/kv/" + prefix, m.query = {{"recurse", ""}};
     return m;
   }
-  void Forget() {
+  void ForgetConnection() {
     if (conn_ == 0) return;
     for (auto& e : etcd) e->Forget(conn_);
     for (auto& c : consul) c->Forget(conn_);
     conn_ = 0;
   }
+  // Delivers bytes to the client. Returns false if they belong to a closed connection or are dropped.
   bool Deliver(std::size_t from, std::uint64_t conn, const std::string& bytes, bool close) {
-    if (conn != conn_ || from != at_ || conn == 0) return false;
-    if (deaf) return false;
-    const std::size_t part = std::min(deliver, bytes.size());
-    if (deliver != ~std::size_t{0}) deliver -= part;
+    if (conn != conn_ || from != endpoint_ || conn == 0) return false;
+    if (drops_replies) return false;
+    const std::size_t part = std::min(bytes_until_close, bytes.size());
+    if (bytes_until_close != ~std::size_t{0}) bytes_until_close -= part;
     if (part > 0) client->Received(now, std::string_view(bytes).substr(0, part));
     if (part < bytes.size() || close) {
-      deliver = ~std::size_t{0};
-      Cut();
+      bytes_until_close = ~std::size_t{0};
+      CloseConnection();
     }
     return true;
   }
   void Apply(const job_manager::NodeListEvent& v) {
-    ++views;
-    if (v.kind == NodeListKind::kSnapshot) ++full_views, view.clear();
+    ++events;
+    if (v.kind == NodeListKind::kSnapshot) ++snapshots, nodes.clear();
     for (const auto& n : v.nodes) {
       if (n.state != NodeState::kReady) drains.emplace_back(now, n.name);
       if (n.state == NodeState::kGone) {
-        view.erase(n.name);
+        nodes.erase(n.name);
       } else {
-        view[n.name] = n;
+        nodes[n.name] = n;
       }
     }
   }
-  std::size_t at_ = 0;
+  std::size_t endpoint_ = 0;
   std::uint64_t conn_ = 0, next_conn_ = 0;
   std::unique_ptr<http::Reader> reader_;
 };
