--- a/src/discovery/backoff.hpp
+++ b/src/discovery/backoff.hpp
@@ -29,6 +29,7 @@
   [[nodiscard]] Micros NextDelay();
   // Resets the failure count. Called after an attempt has succeeded.
   void Reset() { failures_ = 0; }
+  // Returns the number of consecutive failures.
   [[nodiscard]] unsigned failures() const { return failures_; }
 
  private:
--- a/src/discovery/client.cpp
+++ b/src/discovery/client.cpp
@@ -36,7 +36,7 @@
       protocol_(MakeProtocol(options_, seed)),
       coalescer_(options_.min_interval) {}
 
-// ---- Results for the caller ----
+// ---- Output ----
 
 std::vector<RegistryWarning> RegistryClient::TakeWarnings() { return std::exchange(warnings_, {}); }
 
@@ -65,7 +65,7 @@
   Warn(std::move(warning));
 }
 
-// ---- Time ----
+// ---- Timers ----
 
 void RegistryClient::Tick(Micros now) {
   if (selector_.IsOverdue(now)) HandleConnectionFailure(now, "no answer in time");
@@ -94,7 +94,7 @@
   return is_reading_ && step_.kind == ReadKind::kFollow && !protocol_->IsAuthenticating();
 }
 
-// ---- Starting a read ----
+// ---- Reads ----
 
 void RegistryClient::StartNextRead(Micros now) {
   if (is_reading_) return;
@@ -123,7 +123,7 @@
   ProcessEvents(now);
 }
 
-// ---- Events of the connection ----
+// ---- Connection events ----
 
 void RegistryClient::Connected(Micros now) {
   is_connected_ = true;
@@ -161,7 +161,7 @@
   protocol_->Reset();
 }
 
-// ---- Events of the protocol ----
+// ---- Protocol events ----
 
 void RegistryClient::HandleReply(Micros now, const http::Message& reply) {
   if (!is_reading_) return HandleConnectionFailure(now, "expected no reply here");
--- a/src/discovery/client.hpp
+++ b/src/discovery/client.hpp
@@ -57,12 +57,12 @@
   std::uint64_t revision = 0;
   Micros age = 0;  // microseconds since the registry last confirmed the list; 0 if it never did
   std::size_t nodes = 0;
-  std::uint64_t rereads = 0;        // completed full reads
+  std::uint64_t rereads = 0;        // full reads that were accepted
   std::uint64_t breaks = 0;         // reads that failed
   std::uint64_t compactions = 0;    // reads that failed because their revisions were compacted
   std::uint64_t new_histories = 0;  // restores from a backup and changes of cluster
   std::uint64_t skipped = 0;        // values that are not valid node entries
-  std::uint64_t emptied = 0;        // full reads that lacked more than half of the known entries
+  std::uint64_t emptied = 0;        // reads of the whole list that lacked more than half of the known entries
 };
 
 // Maintains a copy of the registry's node list and reports its changes as events. Not thread-safe.
@@ -85,6 +85,7 @@
   [[nodiscard]] std::vector<ClientAction>& actions() { return actions_; }
   // Returns the events published since the last call.
   std::vector<job_manager::NodeListEvent> TakeEvents();
+  // Returns the warnings since the last call.
   [[nodiscard]] std::vector<RegistryWarning> TakeWarnings();
   [[nodiscard]] NodeListStatus Status(Micros now) const;
   [[nodiscard]] const RegistryState& state() const { return state_; }
@@ -112,7 +113,9 @@
   // Reports whether `min_interval` applies to reads. Consul sends the whole list after each change, so
   // frequent changes are coalesced by reading less often.
   [[nodiscard]] bool IsRateLimited() const;
+  // Reports whether a follow is in progress and no longer waits for authentication.
   [[nodiscard]] bool IsFollowing() const;
+  // Stores a warning, unless kMaxWarnings are stored already.
   void Warn(RegistryWarning warning);
   void Warn(RegistryWarning::Code code, std::uint64_t revision = 0);
 
@@ -127,7 +130,7 @@
   bool is_reading_ = false;
   Micros read_sent_at_ = 0;  // 0 if no read was sent yet
 
-  // State of the connection.
+  // The state of the connection.
   bool is_open_ = false;
   bool is_connected_ = false;
   std::size_t open_endpoint_ = 0;
--- a/src/discovery/endpoint_selector.hpp
+++ b/src/discovery/endpoint_selector.hpp
@@ -79,14 +79,17 @@
   // Ends the current read because the endpoint answered with unusable data or an error (for example: no
   // leader, not authorised). The next read goes to the next endpoint.
   void OnRejection(Micros now);
-  // Discards the known revisions because the endpoint now belongs to a different cluster.
+  // Discards the known revisions because the endpoint now belongs to a different cluster. Ends a follow, so
+  // that a full read is next; a full read in progress continues.
   void OnNewHistory(Micros now);
   // Makes the next read a full read. If the current read is a follow, the caller has already ended it.
   void RequestFullRead(Micros now);
 
+  // Returns the index of the current endpoint.
   [[nodiscard]] std::size_t endpoint() const { return endpoint_; }
   // Returns the newest revision seen.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
+  // Returns the number of consecutive failures.
   [[nodiscard]] unsigned failures() const { return backoff_.failures(); }
 
  private:
--- a/src/discovery/lease_protocol.hpp
+++ b/src/discovery/lease_protocol.hpp
@@ -21,16 +21,16 @@
 struct RegistrarOptions {
   RegistryKind kind = RegistryKind::kConsul;
   std::vector<std::string> endpoints = {"127.0.0.1:8500"};
-  std::string key;  // key of the entry; the last part of the path is the node's name
+  std::string key;  // key of the entry; its last path component is the name in the entry
   // Consul: name of the service of which the entry is an instance. Empty: the entry is a key with a session.
   std::string service;
   std::string token;                 // Consul: X-Consul-Token
   std::string user;                  // etcd: exchanged for a token, together with the password
   std::string password;              // etcd
   Micros time_to_live = 10'000'000;  // of the lease; Consul requires at least 10 s
-  Micros min_interval = 200'000;     // between writes of changed values, except urgent ones (Registrar::Want)
-  Micros reassert = 60'000'000;  // interval of writes of an unchanged value, plus a jitter of up to a quarter
-  Micros timeout = 2'000'000;    // for the reply to a request
+  Micros min_interval = 200'000;     // between writes of changed values, unless a write is immediate
+  Micros reassert = 60'000'000;      // between writes of an unchanged value, plus up to a quarter of jitter
+  Micros timeout = 2'000'000;        // for the reply to a request
   Micros initial_backoff = 200'000;
   Micros max_backoff = 3'000'000;
 };
--- a/src/discovery/registrar.hpp
+++ b/src/discovery/registrar.hpp
@@ -31,7 +31,8 @@
   // waiting for min_interval.
   void Want(Micros now, std::string value, bool immediately);
 
-  // Reports that the registry did not contain the entry at time `at`.
+  // Handles an observation of the registry at time `at` that lacked the entry: the entry is written again,
+  // unless the last write may be newer than the observation.
   void Missed(Micros at);
 
   // A request and the endpoint to send it to. At most one request is in flight.
@@ -41,6 +42,7 @@
   };
   // Returns the request to send now, if one is due and none is in flight. OnReply or OnFailure ends it.
   [[nodiscard]] std::optional<Request> NextRequest(Micros now);
+  // Ends the request in flight with its reply.
   void OnReply(Micros now, const http::Message& reply);
   // Ends the request in flight without a reply. The next request goes to the next endpoint after a backoff.
   void OnFailure(Micros now, const std::string& reason);
@@ -51,17 +53,20 @@
   // Returns when the next request is due or, with a request in flight, when it times out.
   [[nodiscard]] Micros NextTimer() const;
 
-  // Returns the time until which the lease is guaranteed to protect the entry. It is counted from when the
-  // last successful renewal was sent. Returns 0 while the entry is not written under the current lease.
+  // Returns the time until which the registry is guaranteed not to expire the entry. It is counted from when
+  // the last request that extended the lease was sent. Returns 0 while the entry is not written under the
+  // current lease.
   [[nodiscard]] Micros HeldUntil() const { return written_.empty() ? 0 : held_until_; }
   // Returns a number that increases whenever the entry may have been absent: with each lease that is opened,
   // and when the registry was observed without the entry.
   [[nodiscard]] std::uint64_t incarnations() const { return incarnations_; }
   // Reports whether no request is in flight and the registry has the value set with Want.
   [[nodiscard]] bool Quiet() const { return in_flight_ == LeaseStep::kNone && written_ == wanted_; }
+  // Returns the warnings since the last call.
   [[nodiscard]] std::vector<RegistryWarning> TakeWarnings();
 
  private:
+  // Returns the step that is due now, or kNone.
   [[nodiscard]] LeaseStep DueStep(Micros now) const;
   void HandleSuccess(Micros now, LeaseStep step, const LeaseReply& reply);
   void EndRequest(Micros now);
