--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -204,7 +204,7 @@
   } else if (const auto* ended = std::get_if<job_manager::JobCompleted>(&output)) {
     pbs_server_.HandleJobCompleted(now, *ended);
   } else if (std::holds_alternative<job_manager::ReadNodeList>(output)) {
-    node_list_.ReadAnew();
+    node_list_.StartFullRead();
   } else {
     const ScopedCpuTimer timer(&cpu_profile_, &CpuTimes::node_sessions);
     node_sessions_.Deliver(now, output);
--- a/src/daemon/node_list_source.hpp
+++ b/src/daemon/node_list_source.hpp
@@ -31,7 +31,7 @@
   // Reads on and hands what came to the job manager. Call after each turn of the loop.
   void Poll();
   // The job manager asks for a new read of the whole list.
-  void ReadAnew() { client_.ReadAnew(loop_->Now()); }
+  void StartFullRead() { client_.StartFullRead(loop_->Now()); }
   void SaveIfDue() { file_.SaveIfDue(loop_->Now(), *job_manager_); }
   void SaveIfChanged() { file_.SaveIfChanged(loop_->Now(), *job_manager_); }
 
--- a/src/daemon/registry_group.cpp
+++ b/src/daemon/registry_group.cpp
@@ -48,10 +48,10 @@
   self.name = own_name_;
   self.address = address;
   self.started = loop_->Now();
-  own_entry_.Want(loop_->Now(), discovery::EncodeNodeEntry(self), true);
+  own_entry_.SetEntry(loop_->Now(), discovery::EncodeNodeEntry(self), true);
 }
 
-void RegistryGroup::Leave() { own_entry_.Want(loop_->Now(), "", true); }
+void RegistryGroup::Leave() { own_entry_.SetEntry(loop_->Now(), "", true); }
 
 std::optional<MembershipChange> RegistryGroup::Poll() {
   own_entry_connection_.Poll();
@@ -64,7 +64,7 @@
   const discovery::NodeListStatus status = members_.Status(now);
   const auto& entries = members_.state().entries();
   const bool has_own_entry = entries.count(prefix_ + own_name_) > 0;
-  if (status.known && !has_own_entry) own_entry_.Missed(now - status.age);
+  if (status.known && !has_own_entry) own_entry_.OnEntryMissing(now - status.age);
 
   membership::GroupView view;
   for (const auto& [key, entry] : entries) view.names.push_back(key.substr(prefix_.size()));
--- a/src/discovery/client.cpp
+++ b/src/discovery/client.cpp
@@ -80,7 +80,7 @@
   return next;
 }
 
-void RegistryClient::ReadAnew(Micros now) {
+void RegistryClient::StartFullRead(Micros now) {
   if (IsFollowing()) ResetConnection();
   selector_.RequestFullRead(now);
   Tick(now);
--- a/src/discovery/client.hpp
+++ b/src/discovery/client.hpp
@@ -79,7 +79,7 @@
   // Returns the time at which Tick must be called next.
   [[nodiscard]] Micros NextTimer() const;
   // Ends a follow in progress and makes the next read a full one. Starts it if it is due.
-  void ReadAnew(Micros now);
+  void StartFullRead(Micros now);
 
   // Returns the actions for the caller to carry out, in order. The caller clears them.
   [[nodiscard]] std::vector<ClientAction>& actions() { return actions_; }
--- a/src/discovery/registrar.cpp
+++ b/src/discovery/registrar.cpp
@@ -21,7 +21,7 @@
 
 std::vector<RegistryWarning> Registrar::TakeWarnings() { return std::exchange(warnings_, {}); }
 
-void Registrar::Want(Micros now, std::string value, bool immediately) {
+void Registrar::SetEntry(Micros now, std::string value, bool immediately) {
   if (value == wanted_) return;
   wanted_ = std::move(value);
   if (immediately) write_at_ = std::min(write_at_, now);
@@ -29,7 +29,7 @@
 
 // Note: renewals succeed even if the key was removed, so without this function the entry would stay absent
 // until the next write.
-void Registrar::Missed(Micros at) {
+void Registrar::OnEntryMissing(Micros at) {
   if (written_.empty() || at <= written_at_ + kMaxObservationLag) return;
   written_.clear();
   write_at_ = std::min(write_at_, at);
--- a/src/discovery/registrar.hpp
+++ b/src/discovery/registrar.hpp
@@ -29,11 +29,11 @@
 
   // Sets the value that the entry must have; empty removes the entry. `immediately`: writes the value without
   // waiting for min_interval.
-  void Want(Micros now, std::string value, bool immediately);
+  void SetEntry(Micros now, std::string value, bool immediately);
 
   // Handles an observation of the registry at time `at` that lacked the entry: the entry is written again,
   // unless the last write may be newer than the observation.
-  void Missed(Micros at);
+  void OnEntryMissing(Micros at);
 
   // A request and the endpoint to send it to. At most one request is in flight.
   struct Request {
@@ -60,8 +60,8 @@
   // Returns a number that increases whenever the entry may have been absent: with each lease that is opened,
   // and when the registry was observed without the entry.
   [[nodiscard]] std::uint64_t incarnations() const { return incarnations_; }
-  // Reports whether no request is in flight and the registry has the value set with Want.
-  [[nodiscard]] bool Quiet() const { return in_flight_ == LeaseStep::kNone && written_ == wanted_; }
+  // Reports whether no request is in flight and the registry has the value set with SetEntry.
+  [[nodiscard]] bool IsUpToDate() const { return in_flight_ == LeaseStep::kNone && written_ == wanted_; }
   // Returns the warnings since the last call.
   [[nodiscard]] std::vector<RegistryWarning> TakeWarnings();
 
--- a/src/node_agent/node_registration.cpp
+++ b/src/node_agent/node_registration.cpp
@@ -51,7 +51,7 @@
   if (publisher_) {
     publisher_->SetEntry(node, value, immediately);
   } else if (entry || host_stops) {
-    LeaseOf(node).registrar.Want(loop_->Now(), value, immediately);
+    LeaseOf(node).registrar.SetEntry(loop_->Now(), value, immediately);
   } else {
     leases_.erase(node);  // it died: nobody renews the lease, and nobody removes the entry
   }
@@ -79,8 +79,8 @@
 }
 
 bool NodeRegistration::AllWritten() const {
-  const bool leases_written = std::all_of(leases_.begin(), leases_.end(),
-                                          [](const auto& lease) { return lease.second->registrar.Quiet(); });
+  const bool leases_written = std::all_of(
+      leases_.begin(), leases_.end(), [](const auto& lease) { return lease.second->registrar.IsUpToDate(); });
   return leases_written && (!publisher_ || publisher_->AllWritten());
 }
 
--- a/tests/discovery/recorded_runs_test.cpp
+++ b/tests/discovery/recorded_runs_test.cpp
@@ -90,7 +90,7 @@
         registry_.token = "token-" + std::to_string(RandomBelow(100));
         return;
       case 5:
-        client_->ReadAnew(now_);
+        client_->StartFullRead(now_);
         return HandleOutput();
       case 6:
         reachable_ = Chance(80);
@@ -300,8 +300,8 @@
   void Run() {
     for (int step = 0; step < 2000; ++step) {
       now_ += RandomBelow(5) == 0 ? RandomBelow(3 * kSecond) : RandomBelow(150 * kMs);
-      if (Chance(8)) registrar_.Want(now_, RandomEntry(), Chance(50));
-      if (Chance(6)) registrar_.Missed(now_ - RandomBelow(3 * kSecond));
+      if (Chance(8)) registrar_.SetEntry(now_, RandomEntry(), Chance(50));
+      if (Chance(6)) registrar_.OnEntryMissing(now_ - RandomBelow(3 * kSecond));
       if (registrar_.IsOverdue(now_)) registrar_.OnFailure(now_, "no answer in time");
       HandleOutput();
       if (const auto request = registrar_.NextRequest(now_)) {
@@ -379,7 +379,7 @@
   void AddState() {
     digest.Add(registrar_.HeldUntil());
     digest.Add(registrar_.incarnations());
-    digest.Add(registrar_.Quiet());
+    digest.Add(registrar_.IsUpToDate());
     digest.Add(registrar_.NextTimer());
     leases = registrar_.incarnations();
   }
--- a/tests/discovery/registrar_test.cpp
+++ b/tests/discovery/registrar_test.cpp
@@ -85,7 +85,7 @@
 
 TEST_P(RegistrarOfEitherKind, KeepsItsEntryWhileTheLeaseIsRenewed) {
   RegistrarFixture fixture(GetParam());
-  fixture.registrar->Want(fixture.now, "one", true);
+  fixture.registrar->SetEntry(fixture.now, "one", true);
   fixture.Run(kSecond);
   EXPECT_EQ(fixture.Value(), "one");
   fixture.Run(60 * kSecond);
@@ -105,7 +105,7 @@
 
 TEST_P(RegistrarOfEitherKind, NeverReportsItsEntryHeldLongerThanTheRegistryHasIt) {
   RegistrarFixture fixture(GetParam());
-  fixture.registrar->Want(fixture.now, "one", true);
+  fixture.registrar->SetEntry(fixture.now, "one", true);
   for (int i = 0; i < 600; ++i) {
     fixture.up = (i / 37) % 3 != 1;
     fixture.Run(100'000);
@@ -118,40 +118,40 @@
 // Guards against an entry that stays absent after another client removed it while the lease is still renewed.
 TEST_P(RegistrarOfEitherKind, WritesAnEntryAgainThatOthersRemoved) {
   RegistrarFixture fixture(GetParam());
-  fixture.registrar->Want(fixture.now, "one", true);
+  fixture.registrar->SetEntry(fixture.now, "one", true);
   fixture.Run(5 * kSecond);
   const std::uint64_t incarnations = fixture.registrar->incarnations();
   fixture.Remove();
-  fixture.registrar->Missed(fixture.now);
+  fixture.registrar->OnEntryMissing(fixture.now);
   EXPECT_EQ(fixture.registrar->HeldUntil(), 0u);
   fixture.Step();
   EXPECT_EQ(fixture.Value(), "one");
   EXPECT_GT(fixture.registrar->incarnations(), incarnations);
-  fixture.registrar->Missed(fixture.now);  // an observation from before the write
+  fixture.registrar->OnEntryMissing(fixture.now);  // an observation from before the write
   EXPECT_GT(fixture.registrar->HeldUntil(), fixture.now);
-  fixture.Remove();  // Missed is not called
+  fixture.Remove();  // OnEntryMissing is not called
   fixture.Run(80 * kSecond);
   EXPECT_EQ(fixture.Value(), "one");
 }
 
 TEST_P(RegistrarOfEitherKind, CoalescesChangesButNotAChangeOfStateOrARemoval) {
   RegistrarFixture fixture(GetParam());
-  fixture.registrar->Want(fixture.now, "v", true);
+  fixture.registrar->SetEntry(fixture.now, "v", true);
   fixture.Run(kSecond);
   const std::size_t before = fixture.requests;
   for (int i = 0; i < 100; ++i) {
-    fixture.registrar->Want(fixture.now, "v" + std::to_string(i), false);
+    fixture.registrar->SetEntry(fixture.now, "v" + std::to_string(i), false);
     fixture.now += 10'000;
     fixture.Step();
   }
   EXPECT_LE(fixture.requests - before, 7u);
-  fixture.registrar->Want(fixture.now, "draining", true);
+  fixture.registrar->SetEntry(fixture.now, "draining", true);
   fixture.Step();
   EXPECT_EQ(fixture.Value(), "draining");
-  fixture.registrar->Want(fixture.now, "", true);
+  fixture.registrar->SetEntry(fixture.now, "", true);
   fixture.Run(kSecond);
   EXPECT_EQ(fixture.Value(), "");
-  EXPECT_TRUE(fixture.registrar->Quiet());
+  EXPECT_TRUE(fixture.registrar->IsUpToDate());
 }
 
 INSTANTIATE_TEST_SUITE_P(Kinds, RegistrarOfEitherKind,
--- a/tests/discovery/registry_client_test.cpp
+++ b/tests/discovery/registry_client_test.cpp
@@ -419,7 +419,7 @@
       fixture.Etcd().Restore(fixture.Etcd().revision() - 2);
       restored = true;
     }
-    if (w == 19) fixture.client->ReadAnew(fixture.now);
+    if (w == 19) fixture.client->StartFullRead(fixture.now);
     fixture.now += 5 * kMs;
     fixture.RunUntilIdle();
     if (kind == RegistryKind::kEtcd && !restored) {
--- a/tests/discovery/service_health_test.cpp
+++ b/tests/discovery/service_health_test.cpp
@@ -97,7 +97,7 @@
       }
     }
   };
-  registrar.Want(now, EncodeNodeEntry(n), true);
+  registrar.SetEntry(now, EncodeNodeEntry(n), true);
   run(30 * kSecond, true);
   EXPECT_GT(registrar.HeldUntil(), now);
   EXPECT_LT(requests, 14u);
@@ -109,10 +109,10 @@
   run(10 * kSecond, true, false);
   EXPECT_EQ(Instances(&catalog, now).count("a"), 1u);
   n.state = NodeState::kDraining;
-  registrar.Want(now, EncodeNodeEntry(n), true);
+  registrar.SetEntry(now, EncodeNodeEntry(n), true);
   run(kSecond, true);
   EXPECT_EQ(Instances(&catalog, now)["a"].state, NodeState::kDraining);
-  registrar.Want(now, "", true);
+  registrar.SetEntry(now, "", true);
   run(kSecond, true);
   EXPECT_TRUE(Instances(&catalog, now).empty());
 }
