--- a/src/node_agent/control_api.hpp
+++ b/src/node_agent/control_api.hpp
@@ -1,11 +1,13 @@
-// The control API of a host over HTTP, for chaos tests:
-//   GET /v1/nodes
-//   PUT /v1/nodes/NAME/kill     connections are reset, tasks and reports lost, the entry removed
-//   PUT /v1/nodes/NAME/start    a new incarnation, which warms up
-//   PUT /v1/nodes/NAME/drain, /v1/nodes/NAME/undrain
+// The HTTP control API of a host, for chaos tests:
+//   GET /v1/nodes               lists the nodes and their state
+//   PUT /v1/nodes/NAME/kill     resets connections, loses tasks and reports; the entry is removed or expires
+//   PUT /v1/nodes/NAME/start    starts a new incarnation, which warms up
+//   PUT /v1/nodes/NAME/drain    rejects further attempts; undrain reverts this
+//   PUT /v1/nodes/NAME/undrain
 //   PUT /v1/nodes/NAME/slow?factor=F    decisions and starts take F times as long
-//   PUT /v1/nodes/NAME/fail?queue=Q     commits of tasks of that queue are errors; empty: none
-//   PUT /v1/nodes/NAME/hang, /v1/nodes/NAME/unhang   takes bytes, answers nothing
+//   PUT /v1/nodes/NAME/fail?queue=Q     commits of tasks of queue Q fail; with an empty Q, none fails
+//   PUT /v1/nodes/NAME/hang     the node accepts bytes but sends no reply; unhang reverts this
+//   PUT /v1/nodes/NAME/unhang
 #ifndef MOUNTFLOW_NODE_AGENT_CONTROL_API_HPP_
 #define MOUNTFLOW_NODE_AGENT_CONTROL_API_HPP_
 
@@ -23,16 +25,16 @@
 
 using HostedNodes = std::map<std::string, std::unique_ptr<HostedNode>>;  // by name
 
-// The loop and the nodes outlive it.
+// Handles the requests of the control API. The loop and the nodes must outlive this object.
 class ControlApi {
  public:
   ControlApi(event_loop::EventLoop* loop, const HostedNodes* nodes) : loop_(loop), nodes_(nodes) {}
-  // The encoded reply.
+  // Carries out the request and returns the encoded HTTP reply.
   [[nodiscard]] std::string Handle(const http::Message& request) const;
 
  private:
   struct Response;
-  struct Route;  // one action on a node
+  struct Route;  // an action on a node and its handler
   static const Route kRoutes[];
   [[nodiscard]] Response Answer(const http::Message& request) const;
   [[nodiscard]] Response ListNodes() const;
@@ -50,7 +52,8 @@
   const HostedNodes* nodes_;
 };
 
-// The connections of the control API.
+// Serves the control API on the connections that the event loop accepts. The loop and the nodes must outlive
+// this object.
 class ControlServer : public event_loop::ConnectionHandler {
  public:
   ControlServer(event_loop::EventLoop* loop, const HostedNodes* nodes) : loop_(loop), api_(loop, nodes) {}
--- a/src/node_agent/host_file.hpp
+++ b/src/node_agent/host_file.hpp
@@ -1,5 +1,5 @@
-// The file that describes a host and its nodes: JSON with comments,
-// {"list": .., "control": .., "nodes": [..]}, checked against a schema.
+// Reads the file that describes a host and its nodes. It is JSON with comments,
+// {"list": .., "control": .., "nodes": [..]}, and is checked against a schema.
 #ifndef MOUNTFLOW_NODE_AGENT_HOST_FILE_HPP_
 #define MOUNTFLOW_NODE_AGENT_HOST_FILE_HPP_
 
@@ -12,13 +12,14 @@
 
 namespace mountflow::node_agent {
 
+// The contents of a host file.
 struct HostFile {
   NodeHostOptions options;
   std::vector<HostedNodeConfig> nodes;
 };
 
-// All places that violate the schema, or else the first other error. What the file leaves out is as in
-// `defaults`.
+// Reads and checks a host file. Options that the file does not set have their values from `defaults`. Returns
+// all violations of the schema or, if there are none, the first other error.
 [[nodiscard]] tl::expected<HostFile, config::ConfigErrors> ReadHostFile(const std::string& file,
                                                                         NodeHostOptions defaults);
 
--- a/src/node_agent/host_file_schema.hpp
+++ b/src/node_agent/host_file_schema.hpp
@@ -3,7 +3,7 @@
 
 namespace mountflow::node_agent {
 
-// The JSON schema of the host file, as text.
+// The text of the JSON schema of the host file.
 extern const char kHostSchema[];
 
 }  // namespace mountflow::node_agent
--- a/src/node_agent/host_options.hpp
+++ b/src/node_agent/host_options.hpp
@@ -1,4 +1,4 @@
-// Options of a process that hosts nodes, and of each node.
+// Options of a process that hosts nodes, and of each hosted node.
 #ifndef MOUNTFLOW_NODE_AGENT_HOST_OPTIONS_HPP_
 #define MOUNTFLOW_NODE_AGENT_HOST_OPTIONS_HPP_
 
@@ -10,26 +10,28 @@
 
 namespace mountflow::node_agent {
 
+// Configuration of one hosted node.
 struct HostedNodeConfig {
   NodeConfig config;
   std::string listen_address = "127.0.0.1:0";
-  std::string advertised_address;  // in the node list; empty: the one it listens at
-  bool starts_warm = true;         // with the process; later incarnations warm up
+  std::string advertised_address;  // address in the node list; empty: the listen address
+  bool starts_warm = true;         // first incarnation only; later ones warm up
 };
 
+// Options that all nodes of a host share.
 struct NodeHostOptions {
-  std::string node_list_address;  // of the registry; empty: no entries are written
+  std::string node_list_address;  // address of the registry; empty: no entries are written
   std::string entry_prefix = "mountflow/nodes/";
-  std::string control_address;  // empty: no control API
-  // Entries under a lease (etcd) or session (Consul): the entry of a node that dies expires. 0: plain Consul
-  // keys, which the host removes.
+  std::string control_address;  // empty: the control API is off
+  // Duration of the lease (etcd) or session (Consul) of an entry, in microseconds. The entry of a node that
+  // dies expires after it. With 0, entries are plain Consul keys, which the host removes.
   Micros lease = 0;
   bool uses_etcd = false;
-  std::string consul_service;  // with a lease: entries are instances of this service; empty: keys
-  tls::Options tls;            // to the registry; no files: none
+  std::string consul_service;  // with a lease: Consul service of the entries; empty: keys
+  tls::Options tls;            // for registry connections; without files, TLS is off
   Micros publish_period =
-      200'000;  // between two writes of an entry; a change of state is written immediately
-  double memory_unit = 1073741824;  // bytes
+      200'000;  // minimum between two writes of an entry; changes of state are written at once
+  double memory_unit = 1073741824;  // bytes in one unit of memory
 };
 
 }  // namespace mountflow::node_agent
--- a/src/node_agent/hosted_node.hpp
+++ b/src/node_agent/hosted_node.hpp
@@ -1,4 +1,4 @@
-// One node of a host over its incarnations: its port, its connections, and the senders of its reports.
+// One node of a host, across its incarnations: its port, its connections and its report senders.
 #ifndef MOUNTFLOW_NODE_AGENT_HOSTED_NODE_HPP_
 #define MOUNTFLOW_NODE_AGENT_HOSTED_NODE_HPP_
 
@@ -20,22 +20,25 @@
 
 namespace mountflow::node_agent {
 
-// The loop outlives it.
+// Runs the incarnations of one node on the event loop, which must outlive this object.
 class HostedNode : public event_loop::ConnectionHandler {
  public:
   HostedNode(event_loop::EventLoop* loop, double memory_unit, HostedNodeConfig config,
              std::shared_ptr<IdempotencyKeyStore> keys);
 
-  // Begins an incarnation, at the same port as the one before.
+  // Starts an incarnation, on the port of the previous one. Returns an error if it cannot listen there.
   [[nodiscard]] tl::expected<void, event_loop::EventLoopError> Start(bool warms_up);
-  // Ends the incarnation as a crash does: connections are reset, tasks and reports are lost.
+  // Ends the incarnation like a crash: connections are reset, tasks and reports are lost.
   void Kill();
-  // While it hangs it accepts connections and bytes, and answers nothing; what came is worked off afterwards.
+  // Makes the node hang or resume. A hanging node accepts connections and bytes but sends no reply. The bytes
+  // received meanwhile are processed when it resumes.
   void SetHanging(bool hangs);
 
+  // Runs the timers that are due. Does nothing while the node is down or hangs.
   void Tick();
-  // Sends replies and reports and carries out what concerns processes; call after each turn of the loop.
+  // Sends replies and reports, and starts and signals processes. Must be called after each turn of the loop.
   void Dispatch();
+  // Returns when Tick() or Dispatch() is due; the maximum value if no timer is set.
   [[nodiscard]] Micros NextTimer() const;
 
   void OnAccepted(event_loop::ListenerId listener, event_loop::ConnId connection,
@@ -45,11 +48,12 @@
 
   [[nodiscard]] bool IsAlive() const { return server_ != nullptr; }
   [[nodiscard]] bool hangs() const { return hangs_; }
-  // The two below only while it is alive.
+  // server() and NodeListEntry() may only be called while the node is alive.
   [[nodiscard]] NodeServer& server() { return *server_; }
   [[nodiscard]] job_manager::ListedNode NodeListEntry() const;
   [[nodiscard]] const std::string& address() const { return address_; }
-  // Why its last incarnation failed, as the control API shows it; empty: none did.
+  // Returns why the most recently failed incarnation failed, as shown by the control API. Empty if none
+  // failed.
   [[nodiscard]] const std::string& last_failure() const { return last_failure_; }
 
  private:
@@ -64,10 +68,10 @@
   std::string address_;
   event_loop::ListenerId listener_ = 0;
   std::set<event_loop::ConnId> connections_;
-  std::unique_ptr<NodeServer> server_;                                   // null: it is down
-  std::unique_ptr<TaskExecutor> executor_;                               // null: tasks are emulated
-  std::map<std::string, std::unique_ptr<ReportSender>> report_senders_;  // by daemon; they use server_
-  std::map<event_loop::ConnId, std::string> unread_input_;               // that came while it hangs
+  std::unique_ptr<NodeServer> server_;                                   // null while the node is down
+  std::unique_ptr<TaskExecutor> executor_;                               // null if tasks are emulated
+  std::map<std::string, std::unique_ptr<ReportSender>> report_senders_;  // by daemon; use server_
+  std::map<event_loop::ConnId, std::string> unread_input_;               // received while it hangs
   std::uint64_t incarnations_ = 0;
   bool hangs_ = false;
   std::string last_failure_;
--- a/src/node_agent/idempotency_key_store.hpp
+++ b/src/node_agent/idempotency_key_store.hpp
@@ -1,5 +1,4 @@
-// The idempotency keys of the tasks on the nodes of one rack: at most one task holds a key. Nodes of a rack
-// share one store, from one thread.
+// The idempotency keys of the tasks on the nodes of one rack. At most one task holds a key.
 #ifndef MOUNTFLOW_NODE_AGENT_IDEMPOTENCY_KEY_STORE_HPP_
 #define MOUNTFLOW_NODE_AGENT_IDEMPOTENCY_KEY_STORE_HPP_
 
@@ -8,18 +7,21 @@
 
 namespace mountflow::node_agent {
 
+// Maps idempotency keys to the attempts that hold them. The nodes of a rack share one store. Not thread-safe:
+// all of them must run on one thread.
 class IdempotencyKeyStore {
  public:
-  // False, and nothing changes, where an attempt holds the key already.
+  // Makes `attempt` the holder of the key. Returns false, and changes nothing, if an attempt already holds
+  // it.
   bool Acquire(const std::string& key, const std::string& attempt) {
     return holders_.emplace(key, attempt).second;
   }
-  // Without effect where another attempt holds the key.
+  // Releases the key. Does nothing unless `attempt` holds it.
   void Release(const std::string& key, const std::string& attempt) {
     const auto holder = holders_.find(key);
     if (holder != holders_.end() && holder->second == attempt) holders_.erase(holder);
   }
-  // Null: no attempt holds it. Valid until the key is released.
+  // Returns the attempt that holds the key, or null. The pointer is valid until the key is released.
   [[nodiscard]] const std::string* FindHolder(const std::string& key) const {
     const auto holder = holders_.find(key);
     return holder == holders_.end() ? nullptr : &holder->second;
--- a/src/node_agent/job_environment.hpp
+++ b/src/node_agent/job_environment.hpp
@@ -1,4 +1,4 @@
-// What a job's attributes say of its process: environment, files of its output, signals by name.
+// Derives properties of a job's process from the job's attributes: environment, output files and signals.
 #ifndef MOUNTFLOW_NODE_AGENT_JOB_ENVIRONMENT_HPP_
 #define MOUNTFLOW_NODE_AGENT_JOB_ENVIRONMENT_HPP_
 
@@ -10,25 +10,27 @@
 
 namespace mountflow::node_agent {
 
-// "A=1,B=x\,y" as pairs; a comma or backslash in a value has a backslash before it. Parts without a name are
-// left out.
+// Parses "A=1,B=x\,y" into pairs of name and value. A backslash escapes a comma or backslash in a value.
+// Parts without a name are skipped.
 [[nodiscard]] std::vector<std::pair<std::string, std::string>> ParseVariableList(const std::string& text);
-// By name (with or without SIG) or number; 0: unknown.
+// Returns the number of a signal given by name (with or without "SIG") or by number; 0 if it is unknown.
 [[nodiscard]] int SignalNumber(const std::string& name);
-// "HOST:PATH" or "PATH": the absolute path. Relative ones count from `home`, and `default_name` is the file
-// where the path is a folder, which ends in a slash.
+// Returns the absolute path of "HOST:PATH" or "PATH". A relative path is resolved against `home`. If the path
+// ends in a slash it is a directory, and `default_name` is appended.
 [[nodiscard]] std::string ResolveOutputPath(const std::string& text, const std::string& home,
                                             const std::string& default_name);
 
-// Where the two output streams go.
+// The files that receive the standard output and standard error of a job.
 struct OutputFiles {
   std::string out, err;
-  bool joins_out_to_err = false;  // nothing is written to `out`
-  bool joins_err_to_out = false;
+  bool joins_out_to_err = false;  // both streams go to `err`; `out` is not written
+  bool joins_err_to_out = false;  // both streams go to `out`; `err` is not written
 };
+// Returns the output files that the job's attributes request, with defaults for missing paths.
 [[nodiscard]] OutputFiles OutputFilesOf(const std::string& attempt, const SubmittedTask& task,
                                         const std::string& home);
-// "NAME=VALUE" each; the variables of the batch protocol win over those of the job.
+// Returns the environment as "NAME=VALUE" strings. Variables that the batch protocol defines come after those
+// of the job and take precedence over them.
 [[nodiscard]] std::vector<std::string> EnvironmentOf(const std::string& attempt, const SubmittedTask& task,
                                                      const std::string& home);
 
--- a/src/node_agent/node_capacity.hpp
+++ b/src/node_agent/node_capacity.hpp
@@ -1,4 +1,4 @@
-// What the tasks of a node have reserved of its cores and memory.
+// The cores and memory of a node, and the amounts that its tasks have reserved.
 #ifndef MOUNTFLOW_NODE_AGENT_NODE_CAPACITY_HPP_
 #define MOUNTFLOW_NODE_AGENT_NODE_CAPACITY_HPP_
 
@@ -10,23 +10,25 @@
 
 namespace mountflow::node_agent {
 
+// Tracks the reservations of a node. Memory is in the units of NodeConfig. Not thread-safe.
 class NodeCapacity {
  public:
   explicit NodeCapacity(const NodeConfig& config);
 
-  // Why a task of this size does not fit; nothing: it fits.
+  // Returns the reason why a task of this size does not fit, or nullopt if it fits.
   [[nodiscard]] std::optional<RejectionReason> FindShortage(const TaskSpec& spec) const;
-  // Whether it would fit after tasks of this total size were released.
+  // Reports whether the task would fit if `cores` and `memory` were released first.
   [[nodiscard]] bool FitsAfterRelease(const TaskSpec& spec, double cores, double memory) const;
   void Reserve(const TaskSpec& spec);
   void Release(const TaskSpec& spec);
-  // Nothing is reserved: takes out the drift that rounding left.
+  // Sets the reservations to zero, which removes accumulated rounding errors. May only be called when no task
+  // has a reservation.
   void Reset();
 
-  // Beyond its size where it overcommits: then below 0.
+  // Returns the size of the node less its reservations. Below 0 if the node is overcommitted.
   [[nodiscard]] double free_cores() const { return cores_ - reserved_cores_; }
   [[nodiscard]] double free_memory() const { return memory_ - reserved_memory_; }
-  // "no cores: 1 of 4 free, asked for 2", as scripts read it.
+  // Returns a text like "no cores: 1 of 4 free, asked for 2". Scripts parse it, so its form must not change.
   [[nodiscard]] std::string DescribeShortage(RejectionReason reason, const TaskSpec& spec) const;
 
  private:
--- a/src/node_agent/node_emulator.hpp
+++ b/src/node_agent/node_emulator.hpp
@@ -1,16 +1,18 @@
 // A node that decides on attempts, and starts, runs and ends their tasks. It does no I/O and reads no clock:
-// the caller says what time it is, calls Tick() by NextTimer(), and carries out what TakeOutputs() gives. The
-// same code serves emulated tasks, which end by themselves, and real ones, which the caller runs.
+// the caller passes the current time, calls Tick() when NextTimer() is due, and carries out the outputs
+// returned by TakeOutputs(). Tasks are either emulated, and end by themselves, or real processes, which the
+// caller runs.
 //
-//   state         next state
-//   kQueued       kInDecision    one attempt at a time is in decision
-//   kInDecision   kReserved      it fits, possibly after preemption; else it is rejected
-//   kReserved     kCommitted     by Commit(), until the deadline of the commit
-//   kCommitted    kStarting      few tasks start at a time
-//   kStarting     kRunning
-//   any           removed        its end is reported from kCommitted on
+// States of an attempt and their transitions:
+//   - kQueued to kInDecision: one attempt at a time is in decision.
+//   - kInDecision to kReserved: the task fits, possibly after preemption. Otherwise it is rejected.
+//   - kReserved to kCommitted: by Commit(), at the commit deadline at the latest.
+//   - kCommitted to kStarting: at most NodeConfig::max_concurrent_starts tasks start at a time.
+//   - kStarting to kRunning: after the start time.
+//   - any state to removed: the end is reported if the attempt was committed.
 //
-// An attempt that ended, was stopped or queried in vain has a tombstone: it can never be accepted.
+// An attempt has a tombstone, and can never be accepted, if it ended, was stopped, or was queried before it
+// was committed.
 //
 // Not thread-safe.
 #ifndef MOUNTFLOW_NODE_AGENT_NODE_EMULATOR_HPP_
@@ -37,39 +39,51 @@
 
 namespace mountflow::node_agent {
 
+// The state machine of one node, without I/O.
 class NodeEmulator {
  public:
-  // `keys` are those of its rack; null: its own. `started` 0: it has been running for long and is warm.
+  // `keys` is the store of the node's rack; if null, the node uses a store of its own. If `started` is 0, the
+  // node is warm from the beginning.
   NodeEmulator(NodeConfig config, std::shared_ptr<IdempotencyKeyStore> keys, Micros now, Micros started);
 
-  // Exactly one AttemptDecision follows, unless the attempt is abandoned or stopped before.
+  // Offers an attempt to the node. Exactly one AttemptDecision follows, unless the attempt is abandoned or
+  // stopped first.
   void Offer(Micros now, TaskSpec spec);
-  // True: CommitAcknowledged follows, now or later. False: the attempt has no reservation, or is too late.
+  // Commits a reserved attempt. Returns true if it is committed; CommitAcknowledged follows, now or later.
+  // Returns false if the attempt has no reservation, if its commit deadline has passed, or if the node drains
+  // or failed.
   [[nodiscard]] bool Commit(Micros now, const std::string& attempt);
-  // The client is gone; without effect on a committed attempt.
+  // Removes an attempt whose client disconnected. Does nothing if the attempt is committed.
   void Abandon(Micros now, const std::string& attempt);
-  // True: the attempt was committed, and TaskEnded follows. From now on it can never be accepted.
+  // Stops an attempt, which can never be accepted afterwards. Returns true if it was committed; TaskEnded
+  // follows then.
   bool Stop(Micros now, const std::string& attempt);
-  // False: its task does not run.
+  // Sends a signal to a task. Returns false if the task is not running.
   [[nodiscard]] bool Signal(Micros now, const std::string& attempt, const std::string& signal);
-  // Whether the attempt is committed and has not ended. False: from now on it can never be accepted.
+  // Reports whether the attempt is committed and has not ended. If it returns false, the attempt can never be
+  // accepted afterwards.
   [[nodiscard]] bool Query(Micros now, const std::string& attempt);
+  // Starts or stops draining. A draining node rejects new and waiting attempts and, if
+  // NodeConfig::drain_ends_tasks is set, ends its committed tasks.
   void SetDraining(Micros now, bool draining);
-  // Decisions and starts take so many times longer.
+  // Makes decisions and starts take `factor` times as long.
   void SetSlowdown(double factor) { slowdown_ = factor; }
-  // Only where tasks are real processes: this one has exited.
+  // Handles the exit of a task's process. Only for tasks that are real processes.
   void HandleExit(Micros now, const std::string& attempt, int status);
+  // Handles all timers that are due at `now`.
   void Tick(Micros now);
-  // When Tick() is due; the largest value: with no event before.
+  // Returns when Tick() is due; the maximum value if no timer is set.
   [[nodiscard]] Micros NextTimer() const;
+  // Takes and clears the outputs, in order.
   [[nodiscard]] std::vector<NodeOutput> TakeOutputs() { return std::exchange(outputs_, {}); }
 
-  [[nodiscard]] std::vector<std::string> CommittedAttempts() const;  // in the order of their names
-  // Null: it is not there. Valid until the next call that changes the node.
+  [[nodiscard]] std::vector<std::string> CommittedAttempts() const;  // ordered by name
+  // Returns the task of an attempt, or null if the node does not have it. The pointer is valid until the next
+  // call that changes the node.
   [[nodiscard]] const TaskSpec* FindSpec(const std::string& attempt) const;
-  // The committed attempt on this very node that holds the key, or null.
+  // Returns the committed attempt on this node that holds the key, or null.
   [[nodiscard]] const std::string* FindKeyHolder(const std::string& key) const;
-  // As of the last report period.
+  // Returns a load report that is at most NodeConfig::load_report_period old.
   [[nodiscard]] LoadReport ReportLoad(Micros now);
   [[nodiscard]] double free_cores() const { return capacity_.free_cores(); }
   [[nodiscard]] double free_memory() const { return capacity_.free_memory(); }
@@ -86,10 +100,10 @@
     State state = State::kQueued;
     bool is_stopping = false;  // a signal was sent to its process
     Micros running_since = 0;
-    Micros state_ends_at = 0;    // of a decision or a start
-    Micros ends_at = 0;          // of a running task; 0: by itself
-    ResourceUse use;             // once it runs
-    std::uint64_t sequence = 0;  // grows with each offer
+    Micros state_ends_at = 0;    // end of the decision or start in progress
+    Micros ends_at = 0;          // end of a running task; 0: when its process exits
+    ResourceUse use;             // set once it runs
+    std::uint64_t sequence = 0;  // increases with each offer
 
     [[nodiscard]] bool IsCommitted() const { return state >= State::kCommitted; }
     [[nodiscard]] bool IsRunning() const { return state == State::kRunning; }
@@ -98,7 +112,8 @@
 
   void AdvanceTo(Micros now);
   void Reject(const std::string& attempt, RejectionReason reason, std::string text);
-  // The reason and text why an offer is rejected at once; no text: it is not.
+  // Returns the reason and text of an immediate rejection. The text is null if the offer is not rejected
+  // immediately.
   [[nodiscard]] std::pair<RejectionReason, const char*> FindImmediateRejection(
       const std::string& attempt) const;
   void AdmitNext();
@@ -132,10 +147,10 @@
   Tombstones tombstones_;
   Tasks tasks_;
   std::uint64_t last_sequence_ = 0;
-  std::deque<std::string> start_queue_;  // committed; may name tasks that ended since
+  std::deque<std::string> start_queue_;  // committed attempts; some may have ended since
   unsigned starting_tasks_ = 0;
-  // By time and then in the order in which they were set. Timers of tasks that ended or moved on are left to
-  // fire without effect. An empty name: the check of memory.
+  // Timers, ordered by time and then by insertion. A timer is not removed when its task ends or changes
+  // state; it fires without effect. An empty name denotes the memory check.
   std::multimap<Micros, std::string> timers_;
   bool memory_check_scheduled_ = false;
   LoadReport load_;
--- a/src/node_agent/node_host.hpp
+++ b/src/node_agent/node_host.hpp
@@ -1,6 +1,6 @@
-// Hosts one or more nodes in a process: a port of the batch protocol each, reports to daemons, entries in the
-// node list, and the control API. All nodes of one rack must share a host, which holds the idempotency keys
-// of the rack.
+// Hosts one or more nodes in a process. Each node has a port for the batch protocol, sends reports to daemons
+// and has an entry in the node list; the host serves the control API. All nodes of a rack must be in the same
+// host, because the host stores the rack's idempotency keys.
 #ifndef MOUNTFLOW_NODE_AGENT_NODE_HOST_HPP_
 #define MOUNTFLOW_NODE_AGENT_NODE_HOST_HPP_
 
@@ -21,27 +21,28 @@
 
 namespace mountflow::node_agent {
 
-// An address that cannot be listened at, or key files that cannot be loaded.
+// An address that cannot be bound, or key files that cannot be loaded.
 using NodeHostError = std::variant<event_loop::EventLoopError, tls::TlsError>;
 [[nodiscard]] std::string Describe(const NodeHostError& error);
 
-// The loop outlives it.
+// Runs the nodes and the control API on the event loop, which must outlive this object.
 class NodeHost {
  public:
   NodeHost(event_loop::EventLoop* loop, NodeHostOptions options, std::vector<HostedNodeConfig> nodes);
 
-  // Starts all nodes and the control API; call once.
+  // Starts all nodes and the control API. Must be called once only.
   [[nodiscard]] tl::expected<void, NodeHostError> Start();
-  // Removes the entries, and ends the loop when that is confirmed or takes too long. Tasks are not drained.
+  // Removes the entries from the node list, and ends the loop when the removal is confirmed or a timeout
+  // expires. Tasks are not drained.
   void Stop();
 
   [[nodiscard]] int control_port() const;
-  [[nodiscard]] int PortOf(const std::string& node) const;  // 0: no such node
+  [[nodiscard]] int PortOf(const std::string& node) const;  // 0 if there is no such node
 
  private:
   [[nodiscard]] tl::expected<void, NodeHostError> StartNodes();
   [[nodiscard]] tl::expected<void, NodeHostError> StartControlServer();
-  // After each turn of the loop: sends what is due, and sets the timer.
+  // Sends all due output and sets the main timer. Called after each turn of the loop.
   void Dispatch();
   [[nodiscard]] Micros DispatchKeys();
   [[nodiscard]] Micros DispatchNode(const std::string& name, HostedNode* node);
--- a/src/node_agent/node_messages.hpp
+++ b/src/node_agent/node_messages.hpp
@@ -1,4 +1,4 @@
-// What a node runs, and what it reports.
+// The tasks that a node runs, and the messages that it emits.
 #ifndef MOUNTFLOW_NODE_AGENT_NODE_MESSAGES_HPP_
 #define MOUNTFLOW_NODE_AGENT_NODE_MESSAGES_HPP_
 
@@ -10,7 +10,7 @@
 
 namespace mountflow::node_agent {
 
-// Exit statuses of tasks that a signal ended: 256 and its number.
+// Exit statuses of tasks that a signal ended: 256 plus the signal's number.
 inline constexpr int kExitStatusSignalBase = 256;
 inline constexpr int kExitStatusKilled = kExitStatusSignalBase + 9;       // SIGKILL
 inline constexpr int kExitStatusTerminated = kExitStatusSignalBase + 15;  // SIGTERM
@@ -19,7 +19,8 @@
 inline constexpr int kExitStatusDrained = kExitStatusTerminated;
 inline constexpr int kExitStatusWalltimeExceeded = kExitStatusTerminated;
 
-// Texts of rejections and ends. They travel on the wire and scripts read them: they stay as they are.
+// Texts of rejections and task ends. They are sent to daemons and scripts match them, so they must not
+// change.
 namespace text {
 inline constexpr char kFailedByOverload[] = "fallen over";
 inline constexpr char kDraining[] = "draining";
@@ -34,52 +35,55 @@
 inline constexpr char kEvicted[] = "evicted: the node ran out of memory";
 inline constexpr char kStopped[] = "stopped";
 inline constexpr char kWalltimeExceeded[] = "walltime exceeded";
-inline constexpr char kEndedBySignal[] = "ended by signal ";  // and its name
+inline constexpr char kEndedBySignal[] = "ended by signal ";  // followed by the signal's name
 }  // namespace text
 
+// The parameters of one attempt's task. Times are in microseconds, memory in units of the configuration.
 struct TaskSpec {
   std::string attempt;  // unique name
   std::string service;
   std::string idempotency_key;  // empty: none
   double cores = 1.0, memory = 1.0;
   int priority = 0;
-  Micros commit_deadline = 0;  // a later commit is rejected; 0: none
-  Micros duration = 0;         // of an emulated task; 0: the node's own
+  Micros commit_deadline = 0;  // later commits are rejected; 0: no deadline
+  Micros duration = 0;         // of an emulated task; 0: the node's default
   Micros walltime = 0;         // 0: unlimited
 };
 
+// The ways in which a task ends.
 enum class TaskEnd { kExited, kKilled, kEvicted, kPreempted, kDrained };
 
-// The answer to an offer.
+// The node's decision on an offered attempt.
 struct AttemptDecision {
   std::string attempt;
   bool accepted = false;
   RejectionReason reason = RejectionReason::kUnspecified;
   std::string text;
 };
-// The answer to a commit.
+// The acknowledgement of a commit.
 struct CommitAcknowledged {
   std::string attempt;
 };
-// Only where tasks are real processes: start it now.
+// A request to start the task's process now. Only for tasks that are real processes.
 struct RunTask {
   std::string attempt;
 };
-// Only where tasks are real processes.
+// A request to send a signal to the task's process. Only for tasks that are real processes.
 struct SignalTask {
   std::string attempt;
   std::string signal;
 };
+// A committed task has ended.
 struct TaskEnded {
   std::string attempt;
   TaskEnd end = TaskEnd::kExited;
   int status = 0;
   std::string text;
 };
-// The node took more offers than it bears while it warms up: it does nothing any more.
+// A warming up node received more offers than it can handle and has failed.
 struct OverloadFailure {
-  std::size_t offers = 0;   // within the window
-  double max_offers = 0.0;  // that it would have borne
+  std::size_t offers = 0;   // received within the window
+  double max_offers = 0.0;  // allowed within the window
 };
 using NodeOutput =
     std::variant<AttemptDecision, CommitAcknowledged, RunTask, SignalTask, TaskEnded, OverloadFailure>;
--- a/src/node_agent/node_registration.hpp
+++ b/src/node_agent/node_registration.hpp
@@ -1,4 +1,4 @@
-// Keeps the node list's entries of a host's nodes as they should be, with or without a lease.
+// Maintains the node list entries of a host's nodes, with or without leases.
 #ifndef MOUNTFLOW_NODE_AGENT_NODE_REGISTRATION_HPP_
 #define MOUNTFLOW_NODE_AGENT_NODE_REGISTRATION_HPP_
 
@@ -18,19 +18,21 @@
 
 namespace mountflow::node_agent {
 
-// The loop, the options and the keys outlive it.
+// Publishes changes of the nodes to the registry. The loop, the options and the keys must outlive this
+// object.
 class NodeRegistration {
  public:
   NodeRegistration(event_loop::EventLoop* loop, const NodeHostOptions& options, tls::Keys* keys);
 
-  // To be called in each turn for each node; no entry: the node is down. A change of its state is written
-  // immediately, other changes once a publish period. Without a lease, the entry of a node that is down is
-  // removed; with one it is left to expire, as that of a node which died, unless the host stops. Returns when
-  // the next call is due.
+  // Updates the entry of a node. Must be called in each turn of the loop for each node, without an entry if
+  // the node is down. A change of state is written immediately, other changes once per publish period.
+  // Without a lease, the entry of a node that is down is removed. With a lease it expires, as if the node had
+  // died, unless the host stops. Returns when the next call is due.
   [[nodiscard]] Micros Update(const std::string& node, const std::optional<job_manager::ListedNode>& entry,
                               bool host_stops);
-  // Sends the writes that are due; returns when the next call is due.
+  // Sends the writes that are due. Returns when the next call is due.
   [[nodiscard]] Micros Dispatch();
+  // Reports whether the registry has confirmed all entries.
   [[nodiscard]] bool AllWritten() const;
 
  private:
@@ -53,7 +55,7 @@
   const NodeHostOptions& options_;
   tls::Keys* keys_;
   std::map<std::string, Published> published_;
-  std::unique_ptr<RegistryPublisher> publisher_;          // without a lease
+  std::unique_ptr<RegistryPublisher> publisher_;          // used without leases
   std::map<std::string, std::unique_ptr<Lease>> leases_;  // by node
 };
 
--- a/src/node_agent/node_server.hpp
+++ b/src/node_agent/node_server.hpp
@@ -1,5 +1,5 @@
-// A node's side of the batch protocol, without I/O: bytes of daemons' connections go in, replies come out,
-// and reports of ends wait until they are acknowledged.
+// The node's side of the batch protocol, without I/O. It consumes the bytes of the daemons' connections,
+// produces replies, and stores end reports until they are acknowledged.
 #ifndef MOUNTFLOW_NODE_AGENT_NODE_SERVER_HPP_
 #define MOUNTFLOW_NODE_AGENT_NODE_SERVER_HPP_
 
@@ -22,48 +22,57 @@
 
 namespace mountflow::node_agent {
 
+// Units and limits of a NodeServer.
 struct NodeServerOptions {
-  double memory_unit = 1073741824;         // bytes
-  std::size_t max_script_bytes = 1 << 20;  // beyond, the submission is rejected
-  std::size_t max_reports = 100'000;       // of one daemon; beyond, the oldest is dropped
-  std::size_t max_sessions = 4096;         // beyond, a new one is closed
+  double memory_unit = 1073741824;         // bytes in one unit of memory
+  std::size_t max_script_bytes = 1 << 20;  // larger submissions are rejected
+  std::size_t max_reports = 100'000;       // for each daemon; the oldest is dropped beyond this
+  std::size_t max_sessions = 4096;         // further sessions are marked as closing
 };
 
+// Serves the batch protocol for one node, which it owns. Not thread-safe.
 class NodeServer {
  public:
   using SessionId = std::uint64_t;
   NodeServer(std::unique_ptr<NodeEmulator> node, NodeServerOptions options);
 
+  // Opens a session. Beyond `max_sessions`, it is marked as closing and its bytes are ignored.
   void Open(SessionId id);
+  // Handles the requests in the bytes that a session received.
   void Receive(Micros now, SessionId id, std::string_view bytes);
-  // A submission that is not committed is abandoned: a connection lost before the commit leaves no task.
+  // Closes a session and abandons its submission if that is not committed: a connection that is lost before
+  // the commit leaves no task.
   void Close(Micros now, SessionId id);
   void Tick(Micros now) { node_->Tick(now); }
   [[nodiscard]] Micros NextTimer() const { return node_->NextTimer(); }
-  // Turns the node's outputs into replies, reports and process orders; call after any of the above and after
-  // changes to the node.
+  // Turns the node's outputs into replies, reports and process orders. Must be called after any of the
+  // functions above and after changes to the node.
   void Dispatch(Micros now);
 
-  // Null: there is no such session. The caller takes the bytes out.
+  // Returns the unsent bytes of a session, or null if there is no such session. The caller removes the bytes
+  // that it sends.
   [[nodiscard]] std::string* OutputOf(SessionId id);
+  // Reports whether the connection must be closed after its output is sent.
   [[nodiscard]] bool WantsClose(SessionId id) const;
+  // Takes and clears the list of sessions that have new output.
   [[nodiscard]] std::vector<SessionId> TakeConnectionsWithOutput();
 
-  // What is to be done with a real process.
+  // A request to start or signal the process of a task.
   struct ProcessOrder {
     std::string attempt;
-    std::string signal;  // empty: run it
+    std::string signal;  // empty: start the process
   };
   [[nodiscard]] std::vector<ProcessOrder> TakeProcessOrders() { return std::exchange(process_orders_, {}); }
+  // Returns the offered or accepted task of an attempt, or null.
   [[nodiscard]] const SubmittedTask* FindTask(const std::string& attempt) const;
 
   [[nodiscard]] EndReports& reports() { return reports_; }
   [[nodiscard]] const EndReports& reports() const { return reports_; }
   [[nodiscard]] NodeEmulator& node() { return *node_; }
   [[nodiscard]] const NodeEmulator& node() const { return *node_; }
-  // Commits of tasks of this queue are errors. Empty: none.
+  // Makes commits of tasks of this queue fail. With an empty name, none fails.
   void SetFailingQueue(std::string queue) { failing_queue_ = std::move(queue); }
-  // Once after the node failed by overload: its description.
+  // Takes and clears the description of an overload failure. Returns nullopt if there is none.
   [[nodiscard]] std::optional<std::string> TakeOverloadFailure() {
     return std::exchange(overload_failure_, std::nullopt);
   }
@@ -71,7 +80,7 @@
  private:
   using Request = pbs_protocol::Request;
   void HandleRequests(Micros now, SessionId id, PbsSession* session);
-  // Each answers the request now, or lets the session await the node.
+  // The handlers below answer the request, or mark the session as awaiting the node's answer.
   void Handle(Micros now, SessionId id, PbsSession* session, Request* request);
   void HandleQueueJob(SessionId id, PbsSession* session, Request* request);
   void HandleJobScript(SessionId id, PbsSession* session, const Request& request);
@@ -93,14 +102,14 @@
 
   void Reply(SessionId id, PbsSession* session, const pbs_protocol::Reply& reply);
   void EndSubmission(PbsSession* session);
-  // Takes the session that awaits the node's answer about the attempt; null: none does.
+  // Takes and clears the session that awaits the node's answer about the attempt. Null if there is none.
   [[nodiscard]] std::pair<SessionId, PbsSession*> TakeAwaiting(const std::string& attempt);
 
   std::unique_ptr<NodeEmulator> node_;
   const NodeServerOptions options_;
   std::map<SessionId, PbsSession> sessions_;
-  std::map<std::string, SessionId> awaiting_;   // attempt to the session that awaits the node's answer
-  std::map<std::string, SubmittedTask> tasks_;  // offered or accepted, until they end
+  std::map<std::string, SessionId> awaiting_;   // attempt to the session that awaits an answer
+  std::map<std::string, SubmittedTask> tasks_;  // offered and accepted tasks, until they end
   EndReports reports_;
   std::set<SessionId> sessions_with_output_;
   std::vector<ProcessOrder> process_orders_;
--- a/src/node_agent/pbs_session.hpp
+++ b/src/node_agent/pbs_session.hpp
@@ -1,4 +1,4 @@
-// One connection of a daemon to a node: requests out of the bytes that come, the bytes of replies, and the
+// One connection of a daemon to a node: received bytes and their requests, encoded replies, and the
 // submission in progress.
 #ifndef MOUNTFLOW_NODE_AGENT_PBS_SESSION_HPP_
 #define MOUNTFLOW_NODE_AGENT_PBS_SESSION_HPP_
@@ -13,19 +13,20 @@
 
 namespace mountflow::node_agent {
 
+// The buffers and the protocol state of one connection. Not thread-safe.
 class PbsSession {
  public:
   struct Submission {
     std::string attempt;
     SubmittedTask task;
-    bool offered = false;  // to the node: its reservation waits for the commit
+    bool offered = false;  // the attempt was offered to the node
   };
 
   void AddInput(std::string_view bytes) { input_.append(bytes); }
-  // The next whole request; nothing: more bytes must come, or they are no request: then the error reply is in
-  // the output and the session closes.
+  // Returns the next complete request, or nullopt if more bytes are needed. If the bytes are not a valid
+  // request, it also returns nullopt, adds an error reply to the output and marks the session as closing.
   [[nodiscard]] std::optional<pbs_protocol::Request> ReadRequest();
-  // Frees the bytes of requests that were read.
+  // Frees the bytes of the requests that were read. May defer this while few of them are buffered.
   void DiscardReadInput();
   void AddReply(const pbs_protocol::Reply& reply) { pbs_protocol::Encode(reply, &output_); }
   [[nodiscard]] std::string* output() { return &output_; }
@@ -33,21 +34,22 @@
   void CloseAfterOutput() { closing_ = true; }
   [[nodiscard]] bool closing() const { return closing_; }
 
-  // Whether a request about this attempt is about the submission in progress.
+  // Reports whether `attempt` is the submission in progress.
   [[nodiscard]] bool IsSubmitting(const std::string& attempt) const {
     return submission && submission->attempt == attempt;
   }
+  // Reports whether `attempt` is the submission in progress and was offered to the node.
   [[nodiscard]] bool HasOffered(const std::string& attempt) const {
     return IsSubmitting(attempt) && submission->offered;
   }
 
   std::optional<Submission> submission;
-  bool awaits_node = false;  // a reply is to come from the node; no request is read meanwhile
+  bool awaits_node = false;  // until the node's answer no request is read
 
  private:
   std::string input_, output_;
-  std::size_t read_ = 0;          // bytes of input_ that were read
-  std::size_t needed_bytes_ = 1;  // unread ones before another request can be whole
+  std::size_t read_ = 0;          // bytes of input_ whose requests were read
+  std::size_t needed_bytes_ = 1;  // unread bytes needed for the next request
   bool closing_ = false;
 };
 
--- a/src/node_agent/preemption.hpp
+++ b/src/node_agent/preemption.hpp
@@ -1,4 +1,4 @@
-// Which tasks a node ends so that a task of higher priority fits.
+// Selects the tasks that a node ends so that a task of higher priority fits.
 #ifndef MOUNTFLOW_NODE_AGENT_PREEMPTION_HPP_
 #define MOUNTFLOW_NODE_AGENT_PREEMPTION_HPP_
 
@@ -11,15 +11,17 @@
 
 namespace mountflow::node_agent {
 
+// A committed task that may be preempted.
 struct PreemptionCandidate {
   std::string attempt;
-  std::uint64_t sequence = 0;  // grows with the time of its offer
+  std::uint64_t sequence = 0;  // increases with the time of its offer
   TaskSpec spec;
 };
 
-// The tasks to end, in their order: of lower priority than `spec`, the lowest first and of one priority the
-// youngest first, no more than needed. Empty where `spec` would not fit without all of them either: no task
-// is ended in vain.
+// Returns the attempts to preempt, in order. They have a lower priority than `spec`; the lowest priority
+// comes first and, within a priority, the most recent offer. Selects no more than needed. Returns an empty
+// list if `spec` would not fit even without all candidates of lower priority, so that no task is ended
+// unnecessarily.
 [[nodiscard]] std::vector<std::string> SelectPreempted(std::vector<PreemptionCandidate> candidates,
                                                        const TaskSpec& spec, NodeCapacity capacity);
 
--- a/src/node_agent/registry_publisher.hpp
+++ b/src/node_agent/registry_publisher.hpp
@@ -1,4 +1,4 @@
-// Writes the entries of nodes as plain keys of a Consul registry, without a lease.
+// Writes node list entries as plain keys of a Consul registry, without a lease.
 #ifndef MOUNTFLOW_NODE_AGENT_REGISTRY_PUBLISHER_HPP_
 #define MOUNTFLOW_NODE_AGENT_REGISTRY_PUBLISHER_HPP_
 
@@ -16,20 +16,21 @@
 
 namespace mountflow::node_agent {
 
-// Only the newest value of an entry is written, and a lost write is repeated. The loop, the options and the
-// keys outlive it.
+// Writes only the latest value of each entry, and repeats lost writes. The loop, the options and the keys
+// must outlive this object.
 class RegistryPublisher : public event_loop::ConnectionHandler {
  public:
   RegistryPublisher(event_loop::EventLoop* loop, const NodeHostOptions& options, tls::Keys* keys)
       : loop_(loop), options_(options), keys_(keys) {}
 
-  // What the node's entry should be; empty: it should not be there. `immediately`: before the publish period
-  // is over.
+  // Sets the wanted value of a node's entry; with an empty value the entry is deleted. If `immediately` is
+  // set, the write does not wait for the end of the publish period.
   void SetEntry(const std::string& node, const std::string& value, bool immediately);
-  // All entries are as they should be, as far as the registry confirmed.
+  // Reports whether the registry has confirmed the wanted values of all entries.
   [[nodiscard]] bool AllWritten() const;
   // Sends the writes that are due.
   void Dispatch();
+  // Returns when Dispatch() is due; the maximum value if no write is due or writes are in flight.
   [[nodiscard]] Micros NextTimer() const;
 
   void OnReceived(event_loop::ConnId connection, std::string_view bytes) override;
@@ -51,7 +52,7 @@
   const NodeHostOptions& options_;
   tls::Keys* keys_;
   std::map<std::string, Entry> entries_;
-  std::deque<Write> in_flight_;  // in the order of the replies to come
+  std::deque<Write> in_flight_;  // in the order of the expected replies
   event_loop::ConnId connection_ = 0;
   Micros next_attempt_at_ = 0;
   std::unique_ptr<http::Reader> reader_;
--- a/src/node_agent/report_sender.hpp
+++ b/src/node_agent/report_sender.hpp
@@ -1,4 +1,4 @@
-// Sends a node's end reports to one daemon over a connection of its own.
+// Sends a node's end reports to one daemon over a dedicated connection.
 #ifndef MOUNTFLOW_NODE_AGENT_REPORT_SENDER_HPP_
 #define MOUNTFLOW_NODE_AGENT_REPORT_SENDER_HPP_
 
@@ -10,8 +10,8 @@
 
 namespace mountflow::node_agent {
 
-// Reports that are not acknowledged when the connection is lost are sent again over the next one. The loop
-// and the server outlive it.
+// Reports that are unacknowledged when the connection is lost are sent again over the next connection. The
+// loop and the server must outlive this object.
 class ReportSender : public event_loop::ConnectionHandler {
  public:
   ReportSender(event_loop::EventLoop* loop, NodeServer* server, std::string daemon);
@@ -19,9 +19,10 @@
   ReportSender& operator=(const ReportSender&) = delete;
   ~ReportSender() override;
 
-  // Connects, sends what waits as far as the pipeline allows, and gives up a connection that is overdue.
+  // Connects if necessary, sends pending reports up to the limit of unacknowledged reports, and aborts the
+  // connection if it is not established, or a reply does not arrive, in time.
   void Dispatch();
-  // When Dispatch() is due; the largest value: nothing waits.
+  // Returns when Dispatch() is due; the maximum value if no report is pending.
   [[nodiscard]] Micros NextTimer() const;
 
   void OnConnected(event_loop::ConnId connection) override;
@@ -36,12 +37,12 @@
   event_loop::EventLoop* loop_;
   NodeServer* server_;
   std::string daemon_;
-  event_loop::ConnId connection_ = 0;  // 0: none
+  event_loop::ConnId connection_ = 0;  // 0: not connected
   bool connected_ = false;
   std::size_t unacknowledged_ = 0;  // reports sent over this connection
-  unsigned failures_ = 0;           // in a row
+  unsigned failures_ = 0;           // consecutive
   Micros next_attempt_at_ = 0;
-  Micros reply_due_at_ = 0;  // while it connects: the connection
+  Micros reply_due_at_ = 0;  // while connecting: deadline of the connection
   std::string input_;
 };
 
--- a/src/node_agent/resource_use.hpp
+++ b/src/node_agent/resource_use.hpp
@@ -1,4 +1,4 @@
-// What emulated tasks use of their requests, and which one a node evicts when its memory is used up.
+// The resource use of emulated tasks, and the selection of the task to evict when a node runs out of memory.
 #ifndef MOUNTFLOW_NODE_AGENT_RESOURCE_USE_HPP_
 #define MOUNTFLOW_NODE_AGENT_RESOURCE_USE_HPP_
 
@@ -11,34 +11,38 @@
 
 namespace mountflow::node_agent {
 
+// Cores and memory that a task uses. Memory is in units of the configuration.
 struct ResourceUse {
   double cores = 0.0, memory = 0.0;
 };
 
-// Draws the use of tasks; equal seeds give equal draws.
+// Draws the resource use of tasks at random. Equal seeds give equal draws.
 class ResourceUseSampler {
  public:
   explicit ResourceUseSampler(const NodeConfig& config);
+  // Draws the full resource use of a task.
   [[nodiscard]] ResourceUse Draw(const TaskSpec& spec);
 
  private:
-  double DrawUniform();  // from 0 up to 1
+  double DrawUniform();  // in [0, 1)
 
   double core_use_, memory_use_, memory_overuse_share_, memory_overuse_factor_;
   std::uint64_t state_;
 };
 
-// What a task uses that started so long ago: half of its full use, growing linearly to all of it.
+// Returns the memory use of a task that has been running for `age` microseconds. It grows linearly from half
+// of `full_use` to all of it within `growth_time` microseconds.
 [[nodiscard]] double MemoryInUse(double full_use, Micros age, Micros growth_time);
 
+// A running task that may be evicted.
 struct EvictionCandidate {
   const std::string* attempt = nullptr;
   int priority = 0;
   double requested_memory = 0.0, used_memory = 0.0;
 };
 
-// The task to evict: of the lowest priority, and of those the one furthest over its request (the first in
-// order where none is over). Null: what all use fits into `memory`.
+// Returns the attempt to evict: among the tasks of the lowest priority, the one that exceeds its memory
+// request by most, or the first one if none exceeds it. Returns null if the total use fits into `memory`.
 [[nodiscard]] const std::string* SelectEvicted(const std::vector<EvictionCandidate>& tasks, double memory);
 
 }  // namespace mountflow::node_agent
--- a/src/node_agent/task_executor.hpp
+++ b/src/node_agent/task_executor.hpp
@@ -1,5 +1,5 @@
-// Runs tasks as real processes: the script under sh, as the invoking user, in a session of its own, its
-// output in files.
+// Runs tasks as real processes. Each script runs under sh, as the invoking user, in its own session, with its
+// output written to files.
 #ifndef MOUNTFLOW_NODE_AGENT_TASK_EXECUTOR_HPP_
 #define MOUNTFLOW_NODE_AGENT_TASK_EXECUTOR_HPP_
 
@@ -13,33 +13,35 @@
 
 namespace mountflow::node_agent {
 
-// The loop outlives it. Processes do not outlive it: they get SIGKILL, and their exits are not reported.
+// Starts and signals the processes of tasks. The loop must outlive this object. The destructor sends SIGKILL
+// to all processes and does not report their exits.
 class TaskExecutor {
  public:
-  // Gets the attempt and its exit status (kExitStatusSignalBase and the signal when one ended it), never
-  // while Run() or Signal() runs.
+  // Receives the attempt and its exit status, which is kExitStatusSignalBase plus the signal's number if a
+  // signal ended the process. Never called from within Run() or Signal().
   using ExitHandler = std::function<void(const std::string& attempt, int status)>;
   TaskExecutor(event_loop::EventLoop* loop, ExitHandler on_exit);
   TaskExecutor(const TaskExecutor&) = delete;
   TaskExecutor& operator=(const TaskExecutor&) = delete;
   ~TaskExecutor();
 
-  // A process that cannot be started is reported as one that failed.
+  // Starts the task's process. If that fails, a failed exit is reported.
   void Run(const std::string& attempt, const SubmittedTask& task);
-  // Signals the task's process group. SIGKILL follows a SIGTERM after a grace period.
+  // Sends a signal to the task's process group. After SIGTERM, SIGKILL follows when a grace period has
+  // passed.
   void Signal(const std::string& attempt, const std::string& signal);
 
  private:
   void ReportFailedStart(const std::string& attempt);
   void HandleExit(const std::string& attempt, int wait_status);
-  // Wraps a callback of the loop so that it does nothing once the executor is gone.
+  // Wraps a callback for the loop so that it does nothing after the executor is destroyed.
   template <typename Callback>
   auto WhileAlive(Callback callback);
 
   event_loop::EventLoop* loop_;
   ExitHandler on_exit_;
-  std::map<std::string, int> processes_;  // attempt to the id of its process, which leads its group
-  std::shared_ptr<void> alive_;           // callbacks of the loop hold weak references
+  std::map<std::string, int> processes_;  // attempt to process id, which is also the group id
+  std::shared_ptr<void> alive_;           // callbacks in the loop hold weak references
 };
 
 }  // namespace mountflow::node_agent
--- a/src/node_agent/tombstones.hpp
+++ b/src/node_agent/tombstones.hpp
@@ -1,5 +1,5 @@
-// Names of attempts that ended or were cancelled. Messages can arrive out of order: an offer that comes after
-// the cancellation of its attempt must not be accepted.
+// Names of attempts that ended or were cancelled. Messages can arrive out of order, and an offer that arrives
+// after the cancellation of its attempt must not be accepted.
 #ifndef MOUNTFLOW_NODE_AGENT_TOMBSTONES_HPP_
 #define MOUNTFLOW_NODE_AGENT_TOMBSTONES_HPP_
 
@@ -10,12 +10,12 @@
 
 namespace mountflow::node_agent {
 
-// Holds a bounded number of names; the oldest goes first.
+// A bounded set of names. Beyond `max_size` names, the oldest is removed. Not thread-safe.
 class Tombstones {
  public:
   explicit Tombstones(std::size_t max_size) : max_size_(max_size) {}
 
-  // A name that is there already keeps its place in the order.
+  // Adds a name. A name that is already present retains its position.
   void AddTombstone(const std::string& attempt) {
     if (!names_.insert(attempt).second) return;
     in_order_.push_back(attempt);
--- a/src/node_agent/unique_fd.hpp
+++ b/src/node_agent/unique_fd.hpp
@@ -1,4 +1,4 @@
-// A file descriptor that is closed with its holder.
+// An owned file descriptor.
 #ifndef MOUNTFLOW_NODE_AGENT_UNIQUE_FD_HPP_
 #define MOUNTFLOW_NODE_AGENT_UNIQUE_FD_HPP_
 
@@ -8,10 +8,11 @@
 
 namespace mountflow::node_agent {
 
+// Owns a file descriptor and closes it on destruction.
 class UniqueFd {
  public:
   UniqueFd() = default;
-  explicit UniqueFd(int fd) : fd_(fd) {}  // below 0: none
+  explicit UniqueFd(int fd) : fd_(fd) {}  // negative: no descriptor
   UniqueFd(UniqueFd&& other) noexcept : fd_(std::exchange(other.fd_, kNone)) {}
   UniqueFd& operator=(UniqueFd&& other) noexcept {
     std::swap(fd_, other.fd_);
--- a/src/node_agent/warm_up.hpp
+++ b/src/node_agent/warm_up.hpp
@@ -1,5 +1,5 @@
-// How a node warms up after its start: its pace grows linearly to the full one, and more offers in a window
-// than it can work off make it fail.
+// The warm-up of a node after its start. Its pace grows linearly to the full pace. While it warms up, it
+// fails if it receives too many offers within a window.
 #ifndef MOUNTFLOW_NODE_AGENT_WARM_UP_HPP_
 #define MOUNTFLOW_NODE_AGENT_WARM_UP_HPP_
 
@@ -11,15 +11,16 @@
 
 namespace mountflow::node_agent {
 
+// Tracks the pace and the recent offers of a node that warms up. Not thread-safe.
 class WarmUp {
  public:
-  // `started` 0: the node has been running for long.
+  // If `started` is 0, the node is warm from the beginning.
   WarmUp(const NodeConfig& config, Micros started);
 
-  // Share of its full pace, above 0 and at most 1.
+  // Returns the pace at `now` as a share of the full pace, above 0 and at most 1.
   [[nodiscard]] double Pace(Micros now) const;
-  // Call for each offer: rejected ones are load too. The failure, where this offer is one too many; nothing
-  // fails once the node is warm.
+  // Records an offer. Must be called for every offer, because rejected ones are load too. Returns the failure
+  // if this offer exceeds the limit. A warm node never fails.
   [[nodiscard]] std::optional<OverloadFailure> RecordOffer(Micros now);
 
  private:
@@ -28,8 +29,8 @@
 
   Micros started_, duration_, window_;
   double initial_pace_, overload_multiple_, min_overload_offers_;
-  double uncached_starts_per_second_;  // at full pace
-  std::deque<Micros> offers_;          // arrivals within the window
+  double uncached_starts_per_second_;  // at the full pace
+  std::deque<Micros> offers_;          // arrival times within the window
 };
 
 }  // namespace mountflow::node_agent
