--- a/src/node_agent/control_api.cpp
+++ b/src/node_agent/control_api.cpp
@@ -40,7 +40,7 @@
 };
 
 struct ControlApi::Route {
-  std::string_view action;  // the last part of the path
+  std::string_view action;  // last component of the path
   bool needs_live_node;
   Response (ControlApi::*handler)(HostedNode* node, const http::Message& request) const;
 };
--- a/src/node_agent/host_file.cpp
+++ b/src/node_agent/host_file.cpp
@@ -32,8 +32,9 @@
   return Fail(std::move(error));
 }
 
-// ---- The keys and their fields ----
+// ---- Keys and their fields ----
 
+// A key of the host file and the field that it sets.
 template <typename Object>
 struct KeyOf {
   const char* key;
@@ -42,7 +43,7 @@
       field;
 };
 
-// A time with its unit in the key's name.
+// A key that sets a time. The key's name contains the unit.
 template <typename Object>
 struct TimeKeyOf {
   const char* key;
@@ -100,7 +101,7 @@
     {"report_ms", kMicrosPerMilli, &NodeConfig::load_report_period},
 };
 
-// Keys that are not there leave their fields as they are.
+// Sets the fields of the keys that are present. Other fields do not change.
 template <typename Keys, typename Object>
 void ReadKeys(const json& section, const Keys& keys, Object* object) {
   for (const auto& entry : keys) {
@@ -119,7 +120,7 @@
   }
 }
 
-// ---- The sections ----
+// ---- Sections ----
 
 tl::expected<json, ConfigErrors> ReadJson(const std::string& file) {
   const config::ConfigResult<std::string> text = config::ReadFile(file);
@@ -166,7 +167,7 @@
   if (const auto options = ReadOptions(*root, file, &host.options); !options) {
     return tl::unexpected(options.error());
   }
-  std::uint64_t seed = 0;  // of each node by its place, where it states none
+  std::uint64_t seed = 0;  // default seed of a node: its position in the list, from 1
   for (const json& section : (*root)["nodes"]) host.nodes.push_back(ReadNode(section, ++seed));
   return host;
 }
--- a/src/node_agent/host_file_schema.cpp
+++ b/src/node_agent/host_file_schema.cpp
@@ -1,4 +1,4 @@
-// The JSON schema of the host file.
+// The text of the JSON schema of the host file.
 #include "node_agent/host_file_schema.hpp"
 
 namespace mountflow::node_agent {
--- a/src/node_agent/hosted_node.cpp
+++ b/src/node_agent/hosted_node.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr Micros kNever = std::numeric_limits<Micros>::max();
-constexpr std::size_t kMaxUnreadInput = 1 << 20;  // bytes of a connection while its node hangs; more are lost
-constexpr std::uint64_t kSeedsPerNode = 1'000'003;  // each incarnation draws other numbers
+constexpr std::size_t kMaxUnreadInput = 1 << 20;    // bytes per connection; further bytes are lost
+constexpr std::uint64_t kSeedsPerNode = 1'000'003;  // gives each incarnation a different seed
 
 }  // namespace
 
@@ -28,7 +28,7 @@
   const auto listener = loop_->Listen(address_, this);
   if (!listener) return tl::unexpected(listener.error());
   listener_ = *listener;
-  const std::string host = event_loop::SplitAddress(address_)->host;  // valid: it is listened at
+  const std::string host = event_loop::SplitAddress(address_)->host;  // valid, because Listen() succeeded
   address_ = host + ":" + std::to_string(loop_->PortOf(listener_));
   NodeConfig config = config_.config;
   config.seed = config.seed * kSeedsPerNode + ++incarnations_;
@@ -124,7 +124,7 @@
 
 void HostedNode::OnAccepted(event_loop::ListenerId /*listener*/, event_loop::ConnId connection,
                             const event_loop::PeerInfo& peer) {
-  // Danger: a real task runs as our user, so that only this user and root may hand one in.
+  // Tasks run as processes of the user of this program, so only that user and root may submit them.
   const bool other_user = peer.has_uid && peer.uid != 0 && peer.uid != getuid();
   if (config_.config.executes_tasks && other_user) return loop_->Abort(connection);
   connections_.insert(connection);
--- a/src/node_agent/job_environment.cpp
+++ b/src/node_agent/job_environment.cpp
@@ -23,7 +23,7 @@
   return std::string(pbs_protocol::ValueOf(task.attributes, name));
 }
 
-// The id of the job in "JOB/ATTEMPT".
+// Returns the job id from "JOB/ATTEMPT".
 std::string JobIdOf(const std::string& attempt) { return attempt.substr(0, attempt.rfind('/')); }
 
 }  // namespace
--- a/src/node_agent/main.cpp
+++ b/src/node_agent/main.cpp
@@ -1,4 +1,4 @@
-// mountflow-node: one node, or many for a chaos test.
+// mountflow-node: hosts one node, or many nodes for a chaos test.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -16,7 +16,7 @@
 constexpr unsigned kMaxConcurrentRealStarts = 64;
 
 struct Arguments {
-  std::string host_file;  // empty: the one node that the other options describe
+  std::string host_file;  // empty: one node, described by the other options
   NodeHostOptions options;
   HostedNodeConfig node;
   double lease_seconds = 0.0;
@@ -29,22 +29,22 @@
                   "file that describes one or more nodes, JSON with comments");
   app->add_option("--name", config.name, "name of the node");
   app->add_option("--listen", arguments->node.listen_address, "address of its batch port");
-  app->add_option("--advertise", arguments->node.advertised_address, "address that the node list is told");
+  app->add_option("--advertise", arguments->node.advertised_address, "address published in the node list");
   app->add_option("--list", options.node_list_address, "address of the node list");
-  app->add_option("--control", options.control_address, "address of the control port, for rehearsals");
-  app->add_option("--kind", config.kind, "kind of machine");
+  app->add_option("--control", options.control_address, "address of the control port, for chaos tests");
+  app->add_option("--kind", config.kind, "kind of the node");
   app->add_option("--rack", config.rack, "its rack");
   app->add_option("--room", config.zone, "its room");
   app->add_option("--cores", config.cores, "cores");
   app->add_option("--memory", config.memory, "memory in units (GiB)");
-  app->add_flag("--exec", config.executes_tasks, "run scripts for real, under sh, as the invoking user");
+  app->add_flag("--exec", config.executes_tasks, "run scripts as processes under sh, as the invoking user");
   app->add_option("--lease", arguments->lease_seconds,
                   "seconds that the entry outlives the node; 0: a plain entry")
       ->check(CLI::Range(0.0, kMaxLeaseSeconds));
   app->add_flag("--etcd", options.uses_etcd, "the list is etcd (needs --lease)");
 }
 
-// What is to be hosted; nothing after errors, which are on standard error then.
+// Returns the host to run. After errors, writes them to standard error and returns nullopt.
 std::optional<HostFile> ReadHost(Arguments arguments) {
   arguments.options.lease = static_cast<Micros>(arguments.lease_seconds * kMicrosPerSecond);
   if (!arguments.host_file.empty()) {
@@ -60,7 +60,7 @@
     return std::nullopt;
   }
   NodeConfig& config = arguments.node.config;
-  if (config.executes_tasks) {  // the emulated delays would come on top of the real ones
+  if (config.executes_tasks) {  // emulated delays would add to the real ones
     config.admission_time = 0;
     config.start_time = 0;
     config.max_concurrent_starts = kMaxConcurrentRealStarts;
@@ -90,10 +90,10 @@
 }  // namespace
 }  // namespace mountflow::node_agent
 
-// An exception here is a fault and ends the process by std::terminate, with its message.
+// An exception here is a fault. It ends the process by std::terminate, which prints its message.
 // NOLINTNEXTLINE(bugprone-exception-escape): see above
 int main(int argc, char** argv) {
-  CLI::App app{"mountflow-node: takes tasks from daemons and runs them, as a model or for real"};
+  CLI::App app{"mountflow-node: runs the tasks of daemons, emulated or as processes"};
   mountflow::node_agent::Arguments arguments;
   AddOptions(&app, &arguments);
   CLI11_PARSE(app, argc, argv);
--- a/src/node_agent/node_capacity.cpp
+++ b/src/node_agent/node_capacity.cpp
@@ -6,8 +6,8 @@
 namespace mountflow::node_agent {
 namespace {
 
-constexpr double kRoundingTolerance = 1e-9;  // sums of reservations drift by less
-constexpr std::size_t kMaxShortageText = 128;
+constexpr double kRoundingTolerance = 1e-9;    // above the rounding error of the sums of reservations
+constexpr std::size_t kMaxShortageText = 128;  // bytes
 
 }  // namespace
 
--- a/src/node_agent/node_emulator.cpp
+++ b/src/node_agent/node_emulator.cpp
@@ -34,7 +34,7 @@
       use_sampler_(config_),
       tombstones_(config_.max_tombstones) {}
 
-// Time never goes back, whatever the callers' clocks do.
+// Advances the node's time. The time never goes back, even if the caller's clock does.
 void NodeEmulator::AdvanceTo(Micros now) { now_ = std::max(now_, now); }
 
 Micros NodeEmulator::NextTimer() const { return timers_.empty() ? kNever : timers_.begin()->first; }
@@ -77,7 +77,7 @@
   return {RejectionReason::kUnspecified, nullptr};
 }
 
-// Takes the next attempt into decision, if none is.
+// Takes the next waiting attempt into decision, unless an attempt is in decision already.
 void NodeEmulator::AdmitNext() {
   while (!admission_queue_.IsDeciding() && admission_queue_.TakeNext()) {
     const std::string attempt = admission_queue_.in_decision();
@@ -114,11 +114,11 @@
   capacity_.Reserve(task->spec);
   if (!task->spec.idempotency_key.empty()) keys_->Acquire(task->spec.idempotency_key, attempt);
   outputs_.emplace_back(AttemptDecision{attempt, true, RejectionReason::kUnspecified, ""});
-  // Danger: a reservation whose commit never comes must not hold its capacity for ever.
+  // Without a timeout, a reservation that is never committed would hold its capacity forever.
   Schedule(std::max(task->spec.commit_deadline, now_) + 1, attempt);
 }
 
-// Ends tasks of lower priority; whether the task fits now.
+// Ends tasks of lower priority so that the task fits. Returns whether it fits now.
 bool NodeEmulator::Preempt(const TaskSpec& spec) {
   if (!config_.preempts) return false;
   std::vector<PreemptionCandidate> candidates;
@@ -139,7 +139,7 @@
   const auto found = tasks_.find(attempt);
   if (found == tasks_.end() || found->second.state != State::kReserved) return false;
   Task& task = found->second;
-  // Danger: a commit may have waited in a buffer until after its client gave up.
+  // A commit may have been buffered until after its client's deadline.
   const bool too_late = task.spec.commit_deadline != 0 && now_ > task.spec.commit_deadline;
   if (too_late || failed_by_overload_ || draining_) {
     RemoveForGood(attempt);
@@ -215,7 +215,7 @@
   }
 }
 
-// ---- Reading ----
+// ---- Accessors ----
 
 std::vector<std::string> NodeEmulator::CommittedAttempts() const {
   std::vector<std::string> attempts;
--- a/src/node_agent/node_emulator.hpp
+++ b/src/node_agent/node_emulator.hpp
@@ -39,7 +39,7 @@
 
 namespace mountflow::node_agent {
 
-// The state machine of one node, without I/O.
+// Decides on attempts and runs the tasks of one node, without I/O.
 class NodeEmulator {
  public:
   // `keys` is the store of the node's rack; if null, the node uses a store of its own. If `started` is 0, the
--- a/src/node_agent/node_emulator_tasks.cpp
+++ b/src/node_agent/node_emulator_tasks.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Micros kMemoryCheckInterval = 250'000;
-constexpr char kMemoryCheck[] = "";  // in place of an attempt's name
+constexpr char kMemoryCheck[] = "";  // timer name; no attempt has an empty name
 
 }  // namespace
 
@@ -51,7 +51,7 @@
   ScheduleMemoryCheck();
 }
 
-// A running task whose duration or walltime is over.
+// Ends a running task whose duration or walltime has passed. A real process receives SIGTERM.
 void NodeEmulator::EndDueTask(const std::string& attempt, Task* task) {
   if (config_.executes_tasks) {
     task->ends_at = 0;
@@ -71,8 +71,8 @@
   if (config_.executes_tasks && task.IsRunning() && end != TaskEnd::kExited) {
     outputs_.emplace_back(SignalTask{attempt, "SIGKILL"});
   }
-  // Where the acknowledgement waits for the start, the client may still wait for it: the task was accepted,
-  // and then it ended.
+  // If commits are acknowledged at the start, the client may still be waiting for the acknowledgement. It
+  // receives it first, because the task was accepted before it ended.
   if (config_.acknowledges_when_running && !task.IsRunning()) {
     outputs_.emplace_back(CommitAcknowledged{attempt});
   }
@@ -88,7 +88,7 @@
   EndTask(attempt, found->second.is_stopping ? TaskEnd::kKilled : TaskEnd::kExited, status, "");
 }
 
-// Takes the attempt out of all tables and frees what it held, without an output.
+// Removes the attempt from all tables and releases its resources. Emits no output.
 void NodeEmulator::Remove(const std::string& attempt) {
   const auto found = tasks_.find(attempt);
   if (found == tasks_.end()) return;
@@ -171,7 +171,7 @@
     }
     const std::string* selected = SelectEvicted(candidates, config_.memory);
     if (selected == nullptr) return;
-    const std::string attempt = *selected;  // EndTask frees what `selected` points to
+    const std::string attempt = *selected;  // a copy, because EndTask() frees `*selected`
     EndTask(attempt, TaskEnd::kEvicted, kExitStatusEvicted, text::kEvicted);
   }
 }
--- a/src/node_agent/node_host.cpp
+++ b/src/node_agent/node_host.cpp
@@ -8,7 +8,7 @@
 namespace mountflow::node_agent {
 namespace {
 
-constexpr Micros kStopTimeout = 1'000'000;  // also without a registry that answers
+constexpr Micros kStopTimeout = 1'000'000;  // upper limit if the registry does not answer
 
 }  // namespace
 
--- a/src/node_agent/node_registration.cpp
+++ b/src/node_agent/node_registration.cpp
@@ -53,7 +53,7 @@
   } else if (entry || host_stops) {
     LeaseOf(node).registrar.Want(loop_->Now(), value, immediately);
   } else {
-    leases_.erase(node);  // it died: nobody renews the lease, and nobody removes the entry
+    leases_.erase(node);  // the node is down: the lease is not renewed, so the entry expires
   }
 }
 
--- a/src/node_agent/node_server.cpp
+++ b/src/node_agent/node_server.cpp
@@ -9,7 +9,7 @@
 using pbs_protocol::Code;
 using pbs_protocol::RequestType;
 
-// An empty text: a reply with the code alone.
+// Returns a reply with a code and, unless it is empty, a text.
 pbs_protocol::Reply CodeReply(Code code, std::string text = "") {
   pbs_protocol::Reply reply;
   reply.code = code;
@@ -56,7 +56,7 @@
   while (!session->closing() && !session->awaits_node) {
     std::optional<Request> request = session->ReadRequest();
     if (!request) {
-      if (session->closing()) sessions_with_output_.insert(id);  // with the error reply
+      if (session->closing()) sessions_with_output_.insert(id);  // to send the error reply
       break;
     }
     Handle(now, id, session, &*request);
@@ -226,7 +226,7 @@
   Reply(id, session, reply);
 }
 
-// The node itself, and the tasks of one daemon or of all.
+// Replies with the status of the node and of the tasks of one daemon, or of all daemons if none is named.
 void NodeServer::ListTasks(Micros now, SessionId id, PbsSession* session, const Request& request) {
   const std::string daemon = ReadDaemon(request.attributes);
   if (!daemon.empty()) reports_.SetAddress(daemon, ReadReportAddress(request.attributes));
@@ -266,7 +266,7 @@
 // ---- Outputs of the node ----
 
 void NodeServer::Dispatch(Micros now) {
-  // Requests that a session sent meanwhile are handled after an answer, and may give further outputs.
+  // After an answer, a session's buffered requests are handled, which may produce further outputs.
   for (;;) {
     const std::vector<NodeOutput> outputs = node_->TakeOutputs();
     if (outputs.empty()) return;
--- a/src/node_agent/pbs_session.cpp
+++ b/src/node_agent/pbs_session.cpp
@@ -3,7 +3,7 @@
 namespace mountflow::node_agent {
 namespace {
 
-constexpr std::size_t kMaxReadInput = 64 << 10;  // bytes that are held although they were read
+constexpr std::size_t kMaxReadInput = 64 << 10;  // bytes of read requests that may stay buffered
 
 pbs_protocol::Reply ErrorReply(const pbs_protocol::DecodeError& error) {
   const bool unknown = error.code == pbs_protocol::DecodeErrorCode::kUnknownRequestType;
--- a/src/node_agent/registry_publisher.cpp
+++ b/src/node_agent/registry_publisher.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Micros kNever = std::numeric_limits<Micros>::max();
-constexpr std::size_t kMaxWritesInFlight = 32;  // a registry bounds them too
+constexpr std::size_t kMaxWritesInFlight = 32;  // registries limit requests in flight as well
 constexpr Micros kReconnectBackoff = 300'000;
 constexpr std::size_t kMaxReplyBytes = 1 << 16;
 constexpr int kHttpOk = 200;
--- a/src/node_agent/report_sender.cpp
+++ b/src/node_agent/report_sender.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Micros kNever = std::numeric_limits<Micros>::max();
-constexpr std::size_t kMaxUnacknowledged = 64;
+constexpr std::size_t kMaxUnacknowledged = 64;  // reports in flight on one connection
 constexpr Micros kFirstBackoff = 200'000;
 constexpr unsigned kMaxBackoffDoublings = 4;
 constexpr Micros kReplyTimeout = 2'000'000;
@@ -65,7 +65,7 @@
     if (parsed.state == pbs_protocol::DisState::kMore) return;
     if (parsed.state == pbs_protocol::DisState::kBad || unacknowledged_ == 0) return AbortConnection();
     input_.erase(0, parsed.used);
-    // Any reply acknowledges the report, also one with an error code.
+    // Every reply acknowledges the oldest report, even a reply with an error code.
     server_->reports().Acknowledge(daemon_, 1);
     --unacknowledged_;
     reply_due_at_ = loop_->Now() + kReplyTimeout;
--- a/src/node_agent/resource_use.cpp
+++ b/src/node_agent/resource_use.cpp
@@ -6,7 +6,7 @@
 namespace mountflow::node_agent {
 namespace {
 
-// A task uses its node's mean, more or less by these.
+// A task uses the mean of its node times a random factor between the minimum and the minimum plus the range.
 constexpr double kMinCoreVariation = 0.75, kCoreVariationRange = 0.5;
 constexpr double kMinMemoryVariation = 0.85, kMemoryVariationRange = 0.3;
 constexpr double kMemoryShareAtStart = 0.5;
--- a/src/node_agent/submitted_task.cpp
+++ b/src/node_agent/submitted_task.cpp
@@ -10,7 +10,7 @@
 namespace mountflow::node_agent {
 namespace {
 
-// Names of attributes.
+// Names of attributes on the wire.
 constexpr char kDaemon[] = "server";
 constexpr char kReportTo[] = "report_to";
 constexpr char kCommitDeadline[] = "until";
@@ -49,7 +49,7 @@
          kInternalAttributes.end();
 }
 
-// False where one of them is no number.
+// Reads the requested resources into `spec`. Returns false if one of them is not a valid number.
 bool ReadResources(const pbs_protocol::Attributes& attributes, double memory_unit, TaskSpec* spec) {
   const auto cores = pbs_server::ParseNumber(pbs_protocol::ValueOf(attributes, kResources, "ncpus"));
   const auto bytes = pbs_server::ParseSize(pbs_protocol::ValueOf(attributes, kResources, "mem"));
@@ -93,7 +93,7 @@
   spec.attempt = attempt;
   spec.service = pbs_protocol::ValueOf(attributes, kService);
   spec.idempotency_key = ReadIdempotencyKey(attributes);
-  // Keys of different users are different keys.
+  // Equal keys of different users must not collide.
   if (!spec.idempotency_key.empty()) spec.idempotency_key = task.user + "\n" + spec.idempotency_key;
   if (!ReadResources(attributes, memory_unit, &spec)) return std::nullopt;
   const auto deadline = pbs_server::ParseCount(pbs_protocol::ValueOf(attributes, kCommitDeadline));
@@ -130,7 +130,7 @@
   obituary.id = ended.attempt;
   obituary.status = ended.status;
   obituary.attributes.push_back(Set("end_reason", NameOf(ended.end)));
-  // Times of use, as accounting records name them; microseconds of wall time.
+  // Start and end of the task, named as in accounting records, in microseconds of wall time.
   if (task.acknowledged_at != 0) {
     obituary.attributes.push_back(Set("start", std::to_string(task.acknowledged_at)));
     obituary.attributes.push_back(Set("end", std::to_string(now)));
--- a/src/node_agent/task_executor.cpp
+++ b/src/node_agent/task_executor.cpp
@@ -20,7 +20,7 @@
 
 constexpr Micros kTerminationGrace = 5'000'000;  // from SIGTERM until SIGKILL
 constexpr int kExitStatusNotStarted = 1;
-constexpr int kExitStatusNoCommand = 127;  // of a child that could not run its script, as of a shell
+constexpr int kExitStatusNoCommand = 127;  // a child could not run its script; as in shells
 constexpr mode_t kOutputMode = 0644;
 
 std::string HomeFolder() {
@@ -37,7 +37,8 @@
   return true;
 }
 
-// In a file without a name: nothing is left behind whatever happens.
+// Writes the script to an unlinked temporary file, which leaves nothing behind even after a crash. Returns a
+// closed descriptor on errors.
 UniqueFd WriteScript(const std::string& script) {
   char name[] = "/tmp/mountflow-job-XXXXXX";
   UniqueFd file(mkostemp(name, O_CLOEXEC));
@@ -52,7 +53,7 @@
   return UniqueFd(open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kOutputMode));
 }
 
-// What a child uses between fork and exec, where it must not allocate.
+// The data that a child process uses between fork and exec, where it must not allocate memory.
 struct ChildProcess {
   pid_t parent = 0;
   int script = -1, in = -1, out = -1, err = -1;
@@ -77,7 +78,7 @@
   _exit(kExitStatusNoCommand);
 }
 
-// The id of the child; below 0: it could not be started.
+// Returns the process id of the child, or a value below 0 if it could not be started.
 pid_t StartProcess(const std::string& attempt, const SubmittedTask& task) {
   const UniqueFd script = WriteScript(task.script);
   if (!script.IsOpen()) return -1;
@@ -99,7 +100,7 @@
   child.environment.push_back(nullptr);
   const pid_t process = fork();
   if (process == 0) ExecuteScript(child);
-  if (process > 0) setpgid(process, process);  // so that it can be signalled before it has come that far
+  if (process > 0) setpgid(process, process);  // in case it is signalled before its setsid()
   return process;
 }
 
