--- a/tests/node_agent/end_reports_test.cpp
+++ b/tests/node_agent/end_reports_test.cpp
@@ -26,7 +26,7 @@
   EXPECT_EQ(reports.tasks().count("b"), 1u);
 }
 
-TEST(EndReports, TheOldestIsDroppedBeyondTheBound) {
+TEST(EndReports, TheOldestIsDroppedBeyondTheLimit) {
   EndReports reports(2);
   for (const char* const attempt : {"a", "b", "c"}) reports.Add({attempt, ""}, TaskOf("d0"));
   ASSERT_EQ(reports.ReportsFor("d0").size(), 2u);
--- a/tests/node_agent/host_file_test.cpp
+++ b/tests/node_agent/host_file_test.cpp
@@ -1,4 +1,4 @@
-// The file that describes hosted nodes: each key, and the errors as operators read them, as recorded.
+// Tests the host file: each key is read into its field, and the error messages match recorded ones.
 #include "node_agent/host_file.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
   std::vector<node_agent::HostedNodeConfig> nodes;
 };
 
-// Each test writes a file of its own: tests run beside each other in one folder.
+// Each test writes its own file, because tests run concurrently in one directory.
 HostFileReading ReadText(const std::string& name, const std::string& text) {
   std::ofstream(name) << text;
   HostFileReading reading;
@@ -152,7 +152,7 @@
   EXPECT_EQ(error.found, "Value type not permitted by 'type' constraint.");
 }
 
-TEST(HostFile, WhatItLeavesOutIsAsInTheDefaults) {
+TEST(HostFile, OmittedKeysHaveTheirDefaults) {
   const std::string name = "host_file_defaults.json";
   std::ofstream(name) << R"({"nodes": [{"name": "a"}], "prefix": "mine/"})";
   node_agent::NodeHostOptions defaults;
--- a/tests/node_agent/job_environment_test.cpp
+++ b/tests/node_agent/job_environment_test.cpp
@@ -25,7 +25,7 @@
   }
 }
 
-TEST(JobEnvironment, OutputPathsMayNameAHostAFolderOrNothing) {
+TEST(JobEnvironment, OutputPathsMayNameAHostADirectoryOrNothing) {
   EXPECT_EQ(ResolveOutputPath("", "/home/u", "job.o1"), "/home/u/job.o1");
   EXPECT_EQ(ResolveOutputPath("host:/var/out", "/home/u", "job.o1"), "/var/out");
   EXPECT_EQ(ResolveOutputPath("logs/", "/home/u", "job.o1"), "/home/u/logs/job.o1");
--- a/tests/node_agent/node_admission_queue_test.cpp
+++ b/tests/node_agent/node_admission_queue_test.cpp
@@ -5,11 +5,11 @@
 namespace mountflow::node_agent {
 namespace {
 
-TEST(AdmissionQueue, OneIsInDecisionAndTheOthersWaitInTheirOrder) {
+TEST(AdmissionQueue, OneAttemptIsInDecisionAndTheOthersWaitInOrder) {
   AdmissionQueue queue(1);
   EXPECT_FALSE(queue.TakeNext());
   queue.Add("first");
-  EXPECT_FALSE(queue.IsFull());  // none is in decision yet
+  EXPECT_FALSE(queue.IsFull());  // no attempt is in decision yet
   EXPECT_TRUE(queue.TakeNext());
   queue.Add("second");
   EXPECT_TRUE(queue.IsFull());
@@ -23,7 +23,7 @@
   EXPECT_EQ(queue.in_decision(), "second");
 }
 
-TEST(AdmissionQueue, TakingTheWaitingLeavesTheOneInDecision) {
+TEST(AdmissionQueue, TakeWaitingDoesNotAffectTheAttemptInDecision) {
   AdmissionQueue queue(4);
   for (const char* const attempt : {"a", "b", "c"}) queue.Add(attempt);
   EXPECT_TRUE(queue.TakeNext());
--- a/tests/node_agent/node_capacity_test.cpp
+++ b/tests/node_agent/node_capacity_test.cpp
@@ -20,14 +20,14 @@
   return spec;
 }
 
-TEST(NodeCapacity, TellsWhichResourceIsShortWithinItsOvercommitment) {
+TEST(NodeCapacity, ReportsWhichResourceIsShortWithinItsOvercommitment) {
   NodeCapacity capacity(SmallNode());
   EXPECT_FALSE(capacity.FindShortage(Task(8.0, 8.0)));
   EXPECT_EQ(capacity.FindShortage(Task(8.5, 9.0)), RejectionReason::kNoCores);
   EXPECT_EQ(capacity.FindShortage(Task(8.0, 9.0)), RejectionReason::kNoMemory);
 }
 
-TEST(NodeCapacity, ReservationsTakeWhatIsFreeUntilTheyAreReleased) {
+TEST(NodeCapacity, ReservationsReduceFreeResourcesUntilTheyAreReleased) {
   NodeCapacity capacity(SmallNode());
   capacity.Reserve(Task(6.0, 3.0));
   EXPECT_EQ(capacity.free_cores(), -2.0);
@@ -38,7 +38,7 @@
   EXPECT_EQ(capacity.free_cores(), 4.0);
 }
 
-TEST(NodeCapacity, ItsDescriptionNamesWhatIsFreeAndWhatWasRequested) {
+TEST(NodeCapacity, TheDescriptionNamesFreeAndRequestedAmounts) {
   NodeCapacity capacity(SmallNode());
   capacity.Reserve(Task(3.0, 7.5));
   EXPECT_EQ(capacity.DescribeShortage(RejectionReason::kNoCores, Task(2.0, 1.0)),
--- a/tests/node_agent/node_digest_test.cpp
+++ b/tests/node_agent/node_digest_test.cpp
@@ -1,6 +1,6 @@
-// A guard: recorded runs of the emulated node and of its side of the batch protocol, over every kind of input
-// in random order, held against digests of all outputs that were recorded before. A change of names or
-// structure leaves them as they are.
+// Guards against unintended changes of behaviour. Runs the emulated node and its server on all kinds of input
+// in random order, and compares digests of all outputs with recorded digests. Renames and changes of
+// structure must not change them.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -25,7 +25,7 @@
 constexpr std::size_t kEnds = 5;
 constexpr unsigned kSeeds = 4;
 
-// What occurred in all runs, so that a kind which never occurs is noticed.
+// Counts the outputs of all runs, so that the test fails if a kind of output never occurs.
 struct Occurrences {
   std::array<std::size_t, kOutputKinds> outputs{};
   std::array<std::size_t, kEnds> ends{};
@@ -82,7 +82,7 @@
   return config;
 }
 
-// The variants of a node that the runs go over, by name.
+// Returns the node configurations to run, by name.
 std::map<std::string, NodeConfig> Variants() {
   std::map<std::string, NodeConfig> variants;
   variants["plain"] = SmallNode("plain");
@@ -115,7 +115,7 @@
   return variants;
 }
 
-// Two nodes of one rack under random input.
+// Runs two nodes of one rack on random input.
 class RandomNodes {
  public:
   RandomNodes(NodeConfig config, unsigned seed, Digest* digest, Occurrences* occurrences)
@@ -263,7 +263,8 @@
 
 constexpr std::size_t kSessions = 6;
 
-// One node's server under random requests of two daemons, whole, in pieces, broken and out of order.
+// Runs one node's server on random requests of two daemons, which are complete, split, malformed or out of
+// order.
 class RandomRequests {
  public:
   RandomRequests(NodeConfig config, unsigned seed, Digest* digest)
@@ -288,9 +289,9 @@
  private:
   struct Client {
     bool open = false;
-    std::string attempt;   // of its submission in progress
+    std::string attempt;   // of the submission in progress
     std::string replies;   // not yet decoded
-    std::size_t next = 0;  // of the requests in order
+    std::size_t next = 0;  // index of the next request in order
   };
   std::uint64_t Draw(std::uint64_t below) { return random_() % below; }
   std::string AnyAttempt() {
@@ -323,7 +324,7 @@
     pbs_protocol::Request request;
     request.user = "daemon";
     request.id = Draw(8) == 0 ? AnyAttempt() : client->attempt;
-    // Mostly the requests of one submission in their order, else any request.
+    // Sends mostly the requests of one submission in order, otherwise any request.
     static constexpr std::uint64_t kInOrder[] = {0, 37, 60};
     const std::uint64_t kind = Draw(3) == 0 ? Draw(100) : kInOrder[client->next++ % 3];
     if (kind < 30) {
@@ -426,7 +427,7 @@
       digest_->Add(std::string_view(daemon));
       digest_->Add(std::string_view(server_->reports().AddressOf(daemon)));
       const auto& reports = server_->reports().ReportsFor(daemon);
-      for (const auto& report : reports) {  // lost ones are sent again: all that wait, each time
+      for (const auto& report : reports) {  // each time all pending reports, because lost ones are sent again
         digest_->Add(std::string_view(report.attempt));
         digest_->Add(std::string_view(report.bytes));
       }
--- a/tests/node_agent/node_emulator_test.cpp
+++ b/tests/node_agent/node_emulator_test.cpp
@@ -1,4 +1,4 @@
-// The emulated node under a clock of our own.
+// Tests the emulated node with a simulated clock.
 #include "node_agent/node_emulator.hpp"
 
 #include <gtest/gtest.h>
@@ -46,7 +46,7 @@
       : now(1000 * kSecond), node(std::move(config), std::move(keys), now, started) {}
   Micros now;
   NodeEmulator node;
-  std::vector<node_agent::NodeOutput> outputs;  // since they were cleared
+  std::vector<node_agent::NodeOutput> outputs;  // outputs since the last clear
 
   void Run(Micros length) {
     const Micros to = now + length;
@@ -72,7 +72,7 @@
     }
     return found;
   }
-  // Whether the offer and then the commit were accepted.
+  // Offers and commits an attempt. Returns whether both were accepted.
   bool OfferAndCommit(const TaskSpec& spec) {
     node.Offer(now, spec);
     Run(10 * kMs);
@@ -86,7 +86,7 @@
   NodeFixture fixture;
   for (int i = 0; i < 5; ++i) fixture.node.Offer(fixture.now, Task("t" + std::to_string(i), 0.1));
   const auto decisions = fixture.Outputs<AttemptDecision>();
-  ASSERT_EQ(decisions.size(), 2u);  // one in decision, two wait, two are rejected
+  ASSERT_EQ(decisions.size(), 2u);  // one is in decision, two wait, two are rejected
   EXPECT_EQ(decisions[0].reason, RejectionReason::kQueueFull);
   fixture.ClearOutputs();
   fixture.Run(10 * kMs);
@@ -112,7 +112,8 @@
   ASSERT_EQ(ended.size(), 1u);
   EXPECT_EQ(ended[0].attempt, "low");
   EXPECT_EQ(ended[0].end, node_agent::TaskEnd::kPreempted);
-  EXPECT_FALSE(fixture.OfferAndCommit(Task("huge", 5.0, 9)));  // nothing is preempted in vain
+  EXPECT_FALSE(
+      fixture.OfferAndCommit(Task("huge", 5.0, 9)));  // nothing is preempted, because it would not fit anyway
   EXPECT_TRUE(fixture.Outputs<TaskEnded>().empty());
 }
 
@@ -122,7 +123,7 @@
   EXPECT_TRUE(fixture.OfferAndCommit(Task("b", 0.5)));
   fixture.Run(380 * kMs);
   EXPECT_EQ(fixture.node.running_tasks(), 0u);
-  fixture.Run(20 * kMs);  // 8 x 50 ms for the first of the service
+  fixture.Run(20 * kMs);  // the first start of the service takes 8 x 50 ms
   EXPECT_EQ(fixture.node.running_tasks(), 1u);
   fixture.Run(50 * kMs);
   EXPECT_EQ(fixture.node.running_tasks(), 2u);
@@ -158,7 +159,7 @@
   EXPECT_TRUE(b.OfferAndCommit(Task("b2", 1.0, 0, "k")));
 }
 
-// A cancelled attempt must not be accepted when its messages arrive later, in whatever order.
+// A cancelled attempt must not be accepted if its messages arrive later, in any order.
 TEST(NodeEmulator, AnAttemptThatWasStoppedOrQueriedCanNeverBeAccepted) {
   NodeFixture fixture;
   EXPECT_FALSE(fixture.node.Stop(fixture.now, "early"));
@@ -168,7 +169,8 @@
   fixture.ClearOutputs();
   fixture.node.Offer(fixture.now, Task("reserved"));
   fixture.Run(10 * kMs);
-  EXPECT_FALSE(fixture.node.Query(fixture.now, "reserved"));  // not committed: the query cancels it
+  EXPECT_FALSE(
+      fixture.node.Query(fixture.now, "reserved"));  // cancelled by the query, because it is not committed
   EXPECT_FALSE(fixture.node.Commit(fixture.now, "reserved"));
   EXPECT_EQ(fixture.node.free_cores(), 4.0);
 }
@@ -193,7 +195,7 @@
   EXPECT_FALSE(fixture.OfferAndCommit(Task("b")));
 }
 
-TEST(NodeEmulator, OutOfMemoryItEvictsTheLowestPriorityFirst) {
+TEST(NodeEmulator, EvictsTheLowestPriorityFirstWhenOutOfMemory) {
   NodeConfig config = SmallNode();
   config.memory_use = 1.6;
   config.max_concurrent_starts = 8;
@@ -204,7 +206,7 @@
   EXPECT_TRUE(fixture.OfferAndCommit(Task("low2", 1.0, 0)));
   fixture.ClearOutputs();
   NodeConfig big = config;
-  big.memory = 4.0;  // requests fit, use does not
+  big.memory = 4.0;  // the requests fit, the actual use does not
   NodeFixture small(big);
   EXPECT_TRUE(small.OfferAndCommit(Task("high", 2.0, 1)));
   EXPECT_TRUE(small.OfferAndCommit(Task("low1", 1.0, 0)));
@@ -218,7 +220,7 @@
   }
 }
 
-// The offer is counted before anything else can reject it.
+// An attempt counts as load even if it is rejected immediately.
 TEST(NodeEmulator, OffersThatADrainingNodeRejectsCountAsLoad) {
   NodeConfig config = SmallNode();
   config.min_overload_offers = 2.0;
@@ -233,7 +235,7 @@
   EXPECT_EQ(decisions[2].text, "fallen over");
 }
 
-// Where the acknowledgement waits for the start, the client must not learn of an end before it.
+// If commits are acknowledged at the start, the client must not receive an end before the acknowledgement.
 TEST(NodeEmulator, ATaskThatEndsBeforeItsStartIsAcknowledgedFirst) {
   NodeConfig config = SmallNode();
   config.acknowledges_when_running = true;
--- a/tests/node_agent/node_host_test.cpp
+++ b/tests/node_agent/node_host_test.cpp
@@ -1,4 +1,4 @@
-// A host's control API over loopback: the replies of a recorded run.
+// Tests a host's control API over loopback against the replies of a recorded run.
 #include "node_agent/node_host.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 
 constexpr Micros kMaxRunTime = 20'000'000;
 
-// Sends requests one after the other over one connection and stops the loop after the last reply.
+// Sends requests one after another over one connection, and stops the loop after the last reply.
 class ControlClient : public event_loop::ConnectionHandler {
  public:
   ControlClient(event_loop::EventLoop* loop, std::vector<std::pair<std::string, std::string>> requests)
@@ -51,7 +51,7 @@
   std::vector<std::string> replies_;
 };
 
-// What differs from run to run: ports, and the time of a start.
+// Replaces values that differ between runs: ports and start times.
 std::string WithoutRunValues(std::string text, int port) {
   const std::string address = ":" + std::to_string(port);
   for (std::size_t at; (at = text.find(address)) != std::string::npos;)
--- a/tests/node_agent/node_server_test.cpp
+++ b/tests/node_agent/node_server_test.cpp
@@ -1,4 +1,4 @@
-// A node's side of the batch protocol with the daemon's sessions, byte by byte, without sockets.
+// Tests a node's server together with the daemon's sessions. Their bytes are exchanged without sockets.
 #include "node_agent/node_server.hpp"
 
 #include <gtest/gtest.h>
@@ -36,7 +36,8 @@
     fixture.List({JobManagerFixture::Node("a")});
     Settle();
   }
-  // Carries everything back and forth until all is quiet. `reach`: whether bytes get to the node.
+  // Exchanges messages until none is pending. `reach` is whether bytes of the daemon reach the node, `back`
+  // whether bytes of the node reach the daemon.
   void Settle(bool reach = true, bool back = true) {
     for (int i = 0; i < 100; ++i) {
       bool quiet = true;
@@ -106,9 +107,9 @@
   EXPECT_EQ(fixture.Job(job).comment, "node a: no cores: 4 of 4 free, asked for 6");
 }
 
-TEST_F(NodeServerTest, ACommitThatIsLostOnTheWayIsFoundToBeNoStart) {
+TEST_F(NodeServerTest, AnAttemptWhoseCommitWasLostIsRejected) {
   const auto job = fixture.Submit(2);
-  // Up to the node's ready; then its commit gets lost with the connection.
+  // Proceeds until the node is ready to commit. The commit is then lost with the connection.
   for (int i = 0; i < 3; ++i) {
     for (const auto& o : std::exchange(fixture.last, {})) sessions->Deliver(fixture.now, o);
     for (const auto& a : std::exchange(sessions->actions(), {})) {
@@ -129,17 +130,17 @@
   ASSERT_FALSE(fixture.All<job_manager::CommitAttempt>().empty());
   CutAll();
   EXPECT_EQ(fixture.Job(job).answer, job_manager::FinalAnswer::kNone);
-  Settle();  // the daemon queries; the node has no task, and never will
+  Settle();  // the daemon queries the attempt, which the node never accepts afterwards
   EXPECT_EQ(fixture.Job(job).answer, job_manager::FinalAnswer::kRejected);
   EXPECT_TRUE(server->node().CommittedAttempts().empty());
 }
 
-TEST_F(NodeServerTest, ACommitWhoseReplyWasLostIsFoundRunning) {
+TEST_F(NodeServerTest, ATaskWhoseCommitReplyWasLostIsFoundRunning) {
   const auto job = fixture.Submit(2);
   Settle(true, true);
   EXPECT_EQ(fixture.Job(job).answer, job_manager::FinalAnswer::kStarted);
   const auto second = fixture.Submit(2);
-  for (int i = 0; i < 4; ++i) {  // replies are lost from the commit on
+  for (int i = 0; i < 4; ++i) {  // replies are lost from the commit onwards
     for (const auto& o : std::exchange(fixture.last, {})) sessions->Deliver(fixture.now, o);
     bool committed = false;
     for (const auto& a : std::exchange(sessions->actions(), {})) {
@@ -176,7 +177,7 @@
   ASSERT_EQ(server->reports().ServersWithReports(), std::vector<std::string>{"d0"});
   EXPECT_EQ(server->reports().AddressOf("d0"), "127.0.0.1:9");
   EXPECT_EQ(server->reports().ReportsFor("d0").size(), 1u);
-  EXPECT_EQ(fixture.Job(job).state, job_manager::JobState::kExiting);  // the report is on the way
+  EXPECT_EQ(fixture.Job(job).state, job_manager::JobState::kExiting);  // the report is not delivered yet
   pbs_protocol::Request obit;
   ASSERT_EQ(pbs_protocol::Decode(server->reports().ReportsFor("d0")[0].bytes, &obit).state,
             pbs_protocol::DisState::kOk);
@@ -189,8 +190,7 @@
   const auto job = fixture.Submit(0, "k");
   Settle();
   const std::string id = fixture.job_manager.JobId(job);
-  fixture.job_manager =
-      job_manager::JobManager(Options(), 9, fixture.now + kSecond);  // the daemon starts anew
+  fixture.job_manager = job_manager::JobManager(Options(), 9, fixture.now + kSecond);  // the daemon restarts
   fixture.now += kSecond;
   sessions = std::make_unique<node_sessions::NodeSessions>(&fixture.job_manager, vocabulary,
                                                            node_sessions::NodeSessionOptions{});
--- a/tests/node_agent/pbs_session_test.cpp
+++ b/tests/node_agent/pbs_session_test.cpp
@@ -14,7 +14,7 @@
   return bytes;
 }
 
-TEST(PbsSession, ARequestIsReadOnceItIsWhole) {
+TEST(PbsSession, ARequestIsReadOnceItIsComplete) {
   PbsSession session;
   const std::string bytes = ConnectRequest() + ConnectRequest();
   for (std::size_t i = 0; i + 1 < bytes.size() / 2; ++i) {
@@ -40,7 +40,7 @@
   EXPECT_EQ(reply.code, pbs_protocol::Code::kProtocol);
 }
 
-TEST(PbsSession, ASubmissionIsThatOfItsAttemptOnly) {
+TEST(PbsSession, ASubmissionMatchesOnlyItsAttempt) {
   PbsSession session;
   EXPECT_FALSE(session.IsSubmitting(""));
   session.submission = PbsSession::Submission{"a", {}, false};
--- a/tests/node_agent/preemption_test.cpp
+++ b/tests/node_agent/preemption_test.cpp
@@ -23,7 +23,7 @@
   return spec;
 }
 
-TEST(Preemption, TheLowestPriorityGoesFirstAndOfOnePriorityTheYoungest) {
+TEST(Preemption, SelectsTheLowestPriorityAndThenTheYoungest) {
   const std::vector<PreemptionCandidate> candidates = {
       {"middle", 1, Task(1.0, 1)}, {"oldest", 2, Task(1.0, 0)}, {"youngest", 3, Task(1.0, 0)}};
   using Attempts = std::vector<std::string>;
@@ -32,7 +32,7 @@
             (Attempts{"youngest", "oldest", "middle"}));
 }
 
-TEST(Preemption, NoTaskIsEndedInVain) {
+TEST(Preemption, NoTaskIsEndedUnnecessarily) {
   const std::vector<PreemptionCandidate> candidates = {{"low", 1, Task(1.0, 0)}, {"equal", 2, Task(2.0, 1)}};
   EXPECT_TRUE(SelectPreempted(candidates, Task(2.0, 1), FullNode(3.0)).empty());
 }
--- a/tests/node_agent/program_cache_test.cpp
+++ b/tests/node_agent/program_cache_test.cpp
@@ -18,7 +18,7 @@
   EXPECT_EQ(programs.running_tasks(), 0u);
 }
 
-TEST(ProgramCache, TheProgramThatIsUnusedForLongestGoesBeyondTheBound) {
+TEST(ProgramCache, TheLongestUnusedProgramIsEvictedBeyondTheLimit) {
   ProgramCache programs(2);
   for (const char* const service : {"a", "b", "a", "c"}) {
     programs.AddRunningTask(service);
--- a/tests/node_agent/submitted_task_test.cpp
+++ b/tests/node_agent/submitted_task_test.cpp
@@ -24,7 +24,7 @@
   return request;
 }
 
-TEST(SubmittedTask, ItsAttributesBecomeTheTasksSpecification) {
+TEST(SubmittedTask, AttributesAreReadIntoTheTaskSpec) {
   pbs_protocol::Request request = Submission();
   const SubmittedTask task = ReadSubmittedTask(&request);
   EXPECT_EQ(task.queue, "safe");
@@ -43,7 +43,7 @@
   EXPECT_EQ(spec->duration, Micros{500'000});
 }
 
-TEST(SubmittedTask, ResourcesThatAreNoNumbersAreAnError) {
+TEST(SubmittedTask, NonNumericResourcesAreAnError) {
   for (const std::size_t attribute : {0, 1, 2}) {
     pbs_protocol::Request request = Submission();
     request.attributes[attribute].value = "many";
@@ -51,7 +51,7 @@
   }
 }
 
-TEST(SubmittedTask, AttributesBetweenDaemonAndNodeAreNotInItsStatus) {
+TEST(SubmittedTask, TheStatusOmitsInternalAttributes) {
   pbs_protocol::Request request = Submission();
   const auto status = EncodeTaskStatus("a", ReadSubmittedTask(&request), kTaskRunning);
   for (const char* const name : {"until", "report_to", "server", "class_priority"}) {
--- a/tests/node_agent/task_executor_test.cpp
+++ b/tests/node_agent/task_executor_test.cpp
@@ -1,4 +1,4 @@
-// Real processes under the event loop.
+// Tests the executor with real processes on the event loop.
 #include "node_agent/task_executor.hpp"
 
 #include <gtest/gtest.h>
@@ -50,13 +50,13 @@
 TEST(TaskExecutor, ATaskWhoseOutputCannotBeOpenedHasFailed) {
   ExecutorFixture fixture;
   fixture.executor->Run("a", Script("exit 0", "/dev/null/no/file"));
-  EXPECT_TRUE(fixture.exits.empty());  // it is reported by the loop
+  EXPECT_TRUE(fixture.exits.empty());  // the loop reports the failure later
   fixture.RunLoop();
   EXPECT_EQ(fixture.exits["a"], 1);
 }
 
-// A node that is killed takes its executor along while the loop still has its callbacks.
-TEST(TaskExecutor, NothingIsReportedOnceItIsGone) {
+// Killing a node destroys its executor while the loop still has its callbacks.
+TEST(TaskExecutor, NothingIsReportedAfterItsDestruction) {
   ExecutorFixture fixture;
   fixture.executor->Run("not_started", Script("exit 0", "/dev/null/no/file"));
   fixture.executor->Run("runs", Script("exit 0"));
--- a/tests/node_agent/tombstones_test.cpp
+++ b/tests/node_agent/tombstones_test.cpp
@@ -5,11 +5,11 @@
 namespace mountflow::node_agent {
 namespace {
 
-TEST(Tombstones, TheOldestGoesBeyondTheBound) {
+TEST(Tombstones, TheOldestIsRemovedBeyondTheLimit) {
   Tombstones tombstones(2);
   tombstones.AddTombstone("first");
   tombstones.AddTombstone("second");
-  tombstones.AddTombstone("first");  // keeps its place
+  tombstones.AddTombstone("first");  // retains its position
   EXPECT_TRUE(tombstones.Contains("first"));
   tombstones.AddTombstone("third");
   EXPECT_FALSE(tombstones.Contains("first"));
--- a/tests/node_agent/warm_up_test.cpp
+++ b/tests/node_agent/warm_up_test.cpp
@@ -21,7 +21,7 @@
   return config;
 }
 
-TEST(WarmUp, ThePaceGrowsLinearlyToTheFullOne) {
+TEST(WarmUp, ThePaceGrowsLinearlyToTheFullPace) {
   const WarmUp warm_up(WarmingUpNode(), kStarted);
   EXPECT_DOUBLE_EQ(warm_up.Pace(kStarted - kSecond), 0.25);
   EXPECT_DOUBLE_EQ(warm_up.Pace(kStarted), 0.25);
@@ -31,7 +31,7 @@
 
 TEST(WarmUp, MoreOffersInAWindowThanItsPaceAllowsAreAFailure) {
   WarmUp warm_up(WarmingUpNode(), kStarted);
-  for (int i = 0; i < 5; ++i) EXPECT_FALSE(warm_up.RecordOffer(kStarted));  // 2 x 0.25 x 10 a second
+  for (int i = 0; i < 5; ++i) EXPECT_FALSE(warm_up.RecordOffer(kStarted));  // 2 x 0.25 x 10 per second
   const auto failure = warm_up.RecordOffer(kStarted);
   ASSERT_TRUE(failure.has_value());
   EXPECT_EQ(failure->offers, 6u);
@@ -44,7 +44,7 @@
   for (int i = 0; i < 5; ++i) EXPECT_FALSE(warm_up.RecordOffer(kStarted + kSecond));
 }
 
-TEST(WarmUp, AWarmNodeBearsAnyNumberOfOffers) {
+TEST(WarmUp, AWarmNodeNeverFailsByOverload) {
   WarmUp warm_up(WarmingUpNode(), 0);
   EXPECT_DOUBLE_EQ(warm_up.Pace(1), 1.0);
   for (int i = 0; i < 1000; ++i) ASSERT_FALSE(warm_up.RecordOffer(1));
