--- a/src/node_agent/host_file.cpp
+++ b/src/node_agent/host_file.cpp
@@ -83,7 +83,7 @@
     {"drain_sends_away", &NodeConfig::drain_ends_tasks},
     {"cold_from", &NodeConfig::slow_start_initial_pace},
     {"fall_multiple", &NodeConfig::overload_multiple},
-    {"cold_bears", &NodeConfig::min_overload_offers},
+    {"cold_bears", &NodeConfig::min_overload_attempts},
     {"use_cores", &NodeConfig::core_use},
     {"use_memory", &NodeConfig::memory_use},
     {"over_share", &NodeConfig::memory_overuse_share},
--- a/src/node_agent/node_config.hpp
+++ b/src/node_agent/node_config.hpp
@@ -28,11 +28,11 @@
   bool drain_ends_tasks = true;            // draining ends committed tasks too
   double slow_start_initial_pace = 0.25;   // share of the full pace immediately after a start
   Micros slow_start_duration = 15'000'000;
-  // A warming up node fails if the offers within a window exceed this factor times the uncached starts that
-  // it can do in that window.
+  // A node that is warming up fails if the attempts within a window exceed this factor times the uncached
+  // starts that it can do in that window.
   double overload_multiple = 2.0;
   Micros slow_start_window = 3'000'000;
-  double min_overload_offers = 24.0;  // this many offers in a window never make it fail
+  double min_overload_attempts = 24.0;  // this many attempts in a window never make it fail
   // Mean use of a task as a share of its request. The share `memory_overuse_share` of the tasks uses
   // `memory_overuse_factor` times as much memory.
   double core_use = 0.8, memory_use = 0.8;
--- a/src/node_agent/node_emulator.cpp
+++ b/src/node_agent/node_emulator.cpp
@@ -39,17 +39,17 @@
 
 Micros NodeEmulator::NextTimer() const { return timers_.empty() ? kNever : timers_.begin()->first; }
 
-// ---- Offers and decisions ----
+// ---- Admission ----
 
 void NodeEmulator::Reject(const std::string& attempt, RejectionReason reason, std::string text) {
   outputs_.emplace_back(AttemptDecision{attempt, false, reason, std::move(text)});
 }
 
-void NodeEmulator::Offer(Micros now, TaskSpec spec) {
+void NodeEmulator::RequestAdmission(Micros now, TaskSpec spec) {
   AdvanceTo(now);
   const std::string attempt = spec.attempt;
   if (!failed_by_overload_) {
-    if (const std::optional<OverloadFailure> failure = warm_up_.RecordOffer(now_)) {
+    if (const std::optional<OverloadFailure> failure = warm_up_.RecordAttempt(now_)) {
       failed_by_overload_ = true;
       outputs_.emplace_back(*failure);
     }
--- a/src/node_agent/node_emulator.hpp
+++ b/src/node_agent/node_emulator.hpp
@@ -46,9 +46,9 @@
   // node is warm from the beginning.
   NodeEmulator(NodeConfig config, std::shared_ptr<IdempotencyKeyStore> keys, Micros now, Micros started);
 
-  // Offers an attempt to the node. Exactly one AttemptDecision follows, unless the attempt is abandoned or
-  // stopped first.
-  void Offer(Micros now, TaskSpec spec);
+  // Requests a decision on an attempt. Exactly one AttemptDecision follows, unless the attempt is abandoned
+  // or stopped first.
+  void RequestAdmission(Micros now, TaskSpec spec);
   // Commits a reserved attempt. Returns true if it is committed; CommitAcknowledged follows, now or later.
   // Returns false if the attempt has no reservation, if its commit deadline has passed, or if the node drains
   // or failed.
@@ -103,7 +103,7 @@
     Micros state_ends_at = 0;    // end of the decision or start in progress
     Micros ends_at = 0;          // end of a running task; 0: when its process exits
     ResourceUse use;             // set once it runs
-    std::uint64_t sequence = 0;  // increases with each offer
+    std::uint64_t sequence = 0;  // increases with each attempt
 
     [[nodiscard]] bool IsCommitted() const { return state >= State::kCommitted; }
     [[nodiscard]] bool IsRunning() const { return state == State::kRunning; }
@@ -112,7 +112,7 @@
 
   void AdvanceTo(Micros now);
   void Reject(const std::string& attempt, RejectionReason reason, std::string text);
-  // Returns the reason and text of an immediate rejection. The text is null if the offer is not rejected
+  // Returns the reason and text of an immediate rejection. The text is null if the attempt is not rejected
   // immediately.
   [[nodiscard]] std::pair<RejectionReason, const char*> FindImmediateRejection(
       const std::string& attempt) const;
--- a/src/node_agent/node_messages.hpp
+++ b/src/node_agent/node_messages.hpp
@@ -53,7 +53,7 @@
 // The ways in which a task ends.
 enum class TaskEnd { kExited, kKilled, kEvicted, kPreempted, kDrained };
 
-// The node's decision on an offered attempt.
+// The node's decision on an attempt.
 struct AttemptDecision {
   std::string attempt;
   bool accepted = false;
@@ -80,10 +80,10 @@
   int status = 0;
   std::string text;
 };
-// A warming up node received more offers than it can handle and has failed.
+// The node received more attempts than it can handle while warming up, and has failed.
 struct OverloadFailure {
-  std::size_t offers = 0;   // received within the window
-  double max_offers = 0.0;  // allowed within the window
+  std::size_t attempts = 0;   // received within the window
+  double max_attempts = 0.0;  // allowed within the window
 };
 using NodeOutput =
     std::variant<AttemptDecision, CommitAcknowledged, RunTask, SignalTask, TaskEnded, OverloadFailure>;
--- a/src/node_agent/node_server.cpp
+++ b/src/node_agent/node_server.cpp
@@ -68,7 +68,7 @@
   const auto found = sessions_.find(id);
   if (found == sessions_.end()) return;
   const std::optional<PbsSession::Submission>& submission = found->second.submission;
-  if (submission && submission->offered) {
+  if (submission && submission->admission_requested) {
     node_->Abandon(now, submission->attempt);
     if (node_->FindSpec(submission->attempt) == nullptr) tasks_.erase(submission->attempt);
     awaiting_.erase(submission->attempt);
@@ -144,7 +144,7 @@
 }
 
 void NodeServer::HandleJobScript(SessionId id, PbsSession* session, const Request& request) {
-  if (!session->IsSubmitting(request.id) || session->submission->offered) {
+  if (!session->IsSubmitting(request.id) || session->submission->admission_requested) {
     return Reply(id, session, CodeReply(Code::kUnknownJob));
   }
   std::string& script = session->submission->task.script;
@@ -157,7 +157,7 @@
 }
 
 void NodeServer::HandleReadyToCommit(Micros now, SessionId id, PbsSession* session, const Request& request) {
-  if (!session->IsSubmitting(request.id) || session->submission->offered) {
+  if (!session->IsSubmitting(request.id) || session->submission->admission_requested) {
     return Reply(id, session, CodeReply(Code::kUnknownJob));
   }
   PbsSession::Submission& submission = *session->submission;
@@ -167,22 +167,22 @@
     return Reply(id, session,
                  CodeReply(Code::kBadValue, "Resource_List: expected ncpus, mem and walltime as numbers"));
   }
-  submission.offered = true;
+  submission.admission_requested = true;
   session->awaits_node = true;
   awaiting_[submission.attempt] = id;
   tasks_[submission.attempt] = submission.task;
-  node_->Offer(now, std::move(*spec));
+  node_->RequestAdmission(now, std::move(*spec));
 }
 
 void NodeServer::HandleCommit(Micros now, SessionId id, PbsSession* session, const Request& request) {
-  const bool offered = session->HasOffered(request.id);
-  if (offered && !failing_queue_.empty() && session->submission->task.queue == failing_queue_) {
+  const bool admission_requested = session->HasRequestedAdmission(request.id);
+  if (admission_requested && !failing_queue_.empty() && session->submission->task.queue == failing_queue_) {
     node_->Stop(now, request.id);
     EndSubmission(session);
     return Reply(id, session, CodeReply(Code::kSystem, "the node fails tasks of this queue"));
   }
-  if (!offered || !node_->Commit(now, request.id)) {
-    if (offered) EndSubmission(session);
+  if (!admission_requested || !node_->Commit(now, request.id)) {
+    if (admission_requested) EndSubmission(session);
     return Reply(id, session,
                  RejectionReply(Code::kUnknownJob, "not held: given up, too late, or never asked",
                                 RejectionReason::kNotAccepting));
@@ -316,8 +316,8 @@
 }
 
 void NodeServer::HandleOutput(Micros /*now*/, const OverloadFailure& failure) {
-  overload_failure_ = "fell over: " + std::to_string(failure.offers) + " offers where " +
-                      std::to_string(failure.max_offers) + " are borne";
+  overload_failure_ = "fell over: " + std::to_string(failure.attempts) + " offers where " +
+                      std::to_string(failure.max_attempts) + " are borne";
 }
 
 std::string* NodeServer::OutputOf(SessionId id) {
--- a/src/node_agent/node_server.hpp
+++ b/src/node_agent/node_server.hpp
@@ -63,7 +63,7 @@
     std::string signal;  // empty: start the process
   };
   [[nodiscard]] std::vector<ProcessOrder> TakeProcessOrders() { return std::exchange(process_orders_, {}); }
-  // Returns the offered or accepted task of an attempt, or null.
+  // Returns the task of an attempt that is awaiting a decision or accepted, or null.
   [[nodiscard]] const SubmittedTask* FindTask(const std::string& attempt) const;
 
   [[nodiscard]] EndReports& reports() { return reports_; }
@@ -109,7 +109,7 @@
   const NodeServerOptions options_;
   std::map<SessionId, PbsSession> sessions_;
   std::map<std::string, SessionId> awaiting_;   // attempt to the session that awaits an answer
-  std::map<std::string, SubmittedTask> tasks_;  // offered and accepted tasks, until they end
+  std::map<std::string, SubmittedTask> tasks_;  // awaiting a decision or accepted, until they end
   EndReports reports_;
   std::set<SessionId> sessions_with_output_;
   std::vector<ProcessOrder> process_orders_;
--- a/src/node_agent/pbs_session.hpp
+++ b/src/node_agent/pbs_session.hpp
@@ -19,7 +19,7 @@
   struct Submission {
     std::string attempt;
     SubmittedTask task;
-    bool offered = false;  // the attempt was offered to the node
+    bool admission_requested = false;  // from the node
   };
 
   void AddInput(std::string_view bytes) { input_.append(bytes); }
@@ -38,9 +38,10 @@
   [[nodiscard]] bool IsSubmitting(const std::string& attempt) const {
     return submission && submission->attempt == attempt;
   }
-  // Reports whether `attempt` is the submission in progress and was offered to the node.
-  [[nodiscard]] bool HasOffered(const std::string& attempt) const {
-    return IsSubmitting(attempt) && submission->offered;
+  // Reports whether `attempt` is the submission in progress and its admission was requested from the
+  // node.
+  [[nodiscard]] bool HasRequestedAdmission(const std::string& attempt) const {
+    return IsSubmitting(attempt) && submission->admission_requested;
   }
 
   std::optional<Submission> submission;
--- a/src/node_agent/preemption.hpp
+++ b/src/node_agent/preemption.hpp
@@ -14,12 +14,12 @@
 // A committed task that may be preempted.
 struct PreemptionCandidate {
   std::string attempt;
-  std::uint64_t sequence = 0;  // increases with the time of its offer
+  std::uint64_t sequence = 0;  // increases with the time of the attempt
   TaskSpec spec;
 };
 
 // Returns the attempts to preempt, in order. They have a lower priority than `spec`; the lowest priority
-// comes first and, within a priority, the most recent offer. Selects no more than needed. Returns an empty
+// comes first and, within a priority, the most recent attempt. Selects no more than needed. Returns an empty
 // list if `spec` would not fit even without all candidates of lower priority, so that no task is ended
 // unnecessarily.
 [[nodiscard]] std::vector<std::string> SelectPreempted(std::vector<PreemptionCandidate> candidates,
--- a/src/node_agent/tombstones.hpp
+++ b/src/node_agent/tombstones.hpp
@@ -1,5 +1,5 @@
-// Names of attempts that ended or were cancelled. Messages can arrive out of order, and an offer that arrives
-// after the cancellation of its attempt must not be accepted.
+// Names of attempts that ended or were cancelled. Messages can arrive out of order, and an attempt that
+// arrives after its cancellation must not be accepted.
 #ifndef MOUNTFLOW_NODE_AGENT_TOMBSTONES_HPP_
 #define MOUNTFLOW_NODE_AGENT_TOMBSTONES_HPP_
 
--- a/src/node_agent/warm_up.cpp
+++ b/src/node_agent/warm_up.cpp
@@ -20,7 +20,7 @@
       window_(config.slow_start_window),
       initial_pace_(config.slow_start_initial_pace),
       overload_multiple_(config.overload_multiple),
-      min_overload_offers_(config.min_overload_offers),
+      min_overload_attempts_(config.min_overload_attempts),
       uncached_starts_per_second_(UncachedStartsPerSecond(config)) {}
 
 bool WarmUp::IsWarmingUp(Micros now) const { return started_ != 0 && now < started_ + duration_; }
@@ -31,19 +31,19 @@
   return initial_pace_ + (1.0 - initial_pace_) * age / static_cast<double>(duration_);
 }
 
-double WarmUp::MaxOffersInWindow(Micros now) const {
+double WarmUp::MaxAttemptsInWindow(Micros now) const {
   const double window_seconds = static_cast<double>(window_) * 1e-6;
-  return std::max(min_overload_offers_,
+  return std::max(min_overload_attempts_,
                   overload_multiple_ * Pace(now) * uncached_starts_per_second_ * window_seconds);
 }
 
-std::optional<OverloadFailure> WarmUp::RecordOffer(Micros now) {
+std::optional<OverloadFailure> WarmUp::RecordAttempt(Micros now) {
   if (!IsWarmingUp(now)) return std::nullopt;
-  offers_.push_back(now);
-  while (!offers_.empty() && offers_.front() + window_ <= now) offers_.pop_front();
-  const double max_offers = MaxOffersInWindow(now);
-  if (static_cast<double>(offers_.size()) <= max_offers) return std::nullopt;
-  return OverloadFailure{offers_.size(), max_offers};
+  arrival_times_.push_back(now);
+  while (!arrival_times_.empty() && arrival_times_.front() + window_ <= now) arrival_times_.pop_front();
+  const double max_attempts = MaxAttemptsInWindow(now);
+  if (static_cast<double>(arrival_times_.size()) <= max_attempts) return std::nullopt;
+  return OverloadFailure{arrival_times_.size(), max_attempts};
 }
 
 }  // namespace mountflow::node_agent
--- a/tests/node_agent/host_file_test.cpp
+++ b/tests/node_agent/host_file_test.cpp
@@ -44,7 +44,7 @@
   for (const std::string& value : {config.name, config.kind, config.rack, config.zone}) text += value + ",";
   for (const double value : {config.cores, config.memory, config.overcommit_cores, config.overcommit_memory,
                              config.uncached_start_factor, config.slow_start_initial_pace,
-                             config.overload_multiple, config.min_overload_offers, config.core_use,
+                             config.overload_multiple, config.min_overload_attempts, config.core_use,
                              config.memory_use, config.memory_overuse_share, config.memory_overuse_factor}) {
     text += Number(value) + ",";
   }
--- a/tests/node_agent/node_digest_test.cpp
+++ b/tests/node_agent/node_digest_test.cpp
@@ -61,8 +61,8 @@
     ++occurrences->texts[output.text.substr(0, output.text.find(':'))];
   }
   void operator()(const node_agent::OverloadFailure& output) const {
-    digest->Add(output.offers);
-    digest->Add(output.max_offers);
+    digest->Add(output.attempts);
+    digest->Add(output.max_attempts);
   }
 };
 
@@ -78,7 +78,7 @@
   config.program_cache_size = 2;
   config.task_duration = 2 * kSecond;
   config.slow_start_duration = 5 * kSecond;
-  config.min_overload_offers = 60.0;
+  config.min_overload_attempts = 60.0;
   return config;
 }
 
@@ -100,7 +100,7 @@
   overcommitted.memory_growth_time = 500 * kMs;
   variants["overcommit"] = overcommitted;
   NodeConfig fragile = SmallNode("fragile");
-  fragile.min_overload_offers = 8.0;
+  fragile.min_overload_attempts = 8.0;
   fragile.overload_multiple = 0.5;
   fragile.slow_start_window = 400 * kMs;
   fragile.max_tombstones = 20;
@@ -168,7 +168,7 @@
     static const char* const kSignals[] = {"SIGTERM", "TERM", "15", "SIGKILL", "KILL", "9", "SIGUSR1"};
     const std::uint64_t kind = Draw(100);
     if (kind < 40) {
-      node.Offer(now_, NewTask());
+      node.RequestAdmission(now_, NewTask());
     } else if (kind < 44) {
       const bool committed = node.Commit(now_, AnyAttempt());
       if (!committed) ++occurrences_->late_commits;
@@ -467,7 +467,7 @@
     Digest digest;
     for (unsigned seed = 1; seed <= kSeeds; ++seed) {
       NodeConfig node = config;
-      if (name == "fragile") node.min_overload_offers = 1.0;
+      if (name == "fragile") node.min_overload_attempts = 1.0;
       RandomRequests requests(node, seed, &digest);
       requests.Run(6000);
       dropped += requests.dropped();
--- a/tests/node_agent/node_emulator_test.cpp
+++ b/tests/node_agent/node_emulator_test.cpp
@@ -72,9 +72,9 @@
     }
     return found;
   }
-  // Offers and commits an attempt. Returns whether both were accepted.
-  bool OfferAndCommit(const TaskSpec& spec) {
-    node.Offer(now, spec);
+  // Requests admission of an attempt and commits it. Returns whether both were accepted.
+  bool AdmitAndCommit(const TaskSpec& spec) {
+    node.RequestAdmission(now, spec);
     Run(10 * kMs);
     const auto decisions = Outputs<AttemptDecision>();
     ClearOutputs();
@@ -84,7 +84,7 @@
 
 TEST(NodeEmulator, DecidesOnOneAttemptAtATimeAndBoundsThoseThatWait) {
   NodeFixture fixture;
-  for (int i = 0; i < 5; ++i) fixture.node.Offer(fixture.now, Task("t" + std::to_string(i), 0.1));
+  for (int i = 0; i < 5; ++i) fixture.node.RequestAdmission(fixture.now, Task("t" + std::to_string(i), 0.1));
   const auto decisions = fixture.Outputs<AttemptDecision>();
   ASSERT_EQ(decisions.size(), 2u);  // one is in decision, two wait, two are rejected
   EXPECT_EQ(decisions[0].reason, RejectionReason::kQueueFull);
@@ -97,15 +97,15 @@
 
 TEST(NodeEmulator, RejectsWithItsReasonAndPreemptsLowerPriorities) {
   NodeFixture fixture;
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("low", 3.0, 0)));
-  fixture.node.Offer(fixture.now, Task("same", 2.0, 0));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("low", 3.0, 0)));
+  fixture.node.RequestAdmission(fixture.now, Task("same", 2.0, 0));
   fixture.Run(10 * kMs);
   auto answer = fixture.Outputs<AttemptDecision>().back();
   EXPECT_FALSE(answer.accepted);
   EXPECT_EQ(answer.reason, RejectionReason::kNoCores);
   EXPECT_EQ(answer.text, "no cores: 1 of 4 free, asked for 2");
   fixture.ClearOutputs();
-  fixture.node.Offer(fixture.now, Task("high", 2.0, 1));
+  fixture.node.RequestAdmission(fixture.now, Task("high", 2.0, 1));
   fixture.Run(10 * kMs);
   EXPECT_TRUE(fixture.Outputs<AttemptDecision>().back().accepted);
   const auto ended = fixture.Outputs<TaskEnded>();
@@ -113,14 +113,14 @@
   EXPECT_EQ(ended[0].attempt, "low");
   EXPECT_EQ(ended[0].end, node_agent::TaskEnd::kPreempted);
   EXPECT_FALSE(
-      fixture.OfferAndCommit(Task("huge", 5.0, 9)));  // nothing is preempted, because it would not fit anyway
+      fixture.AdmitAndCommit(Task("huge", 5.0, 9)));  // nothing is preempted, because it would not fit anyway
   EXPECT_TRUE(fixture.Outputs<TaskEnded>().empty());
 }
 
 TEST(NodeEmulator, FewTasksStartAtOnceAndTheFirstOfAServiceStartsSlowly) {
   NodeFixture fixture;
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("a", 0.5)));
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("b", 0.5)));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("a", 0.5)));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("b", 0.5)));
   fixture.Run(380 * kMs);
   EXPECT_EQ(fixture.node.running_tasks(), 0u);
   fixture.Run(20 * kMs);  // the first start of the service takes 8 x 50 ms
@@ -132,18 +132,21 @@
   EXPECT_EQ(fixture.node.free_cores(), 4.0);
 }
 
-TEST(NodeEmulator, AWarmingUpNodeFailsUnderTooManyOffersAndNotBefore) {
+TEST(NodeEmulator, AWarmingUpNodeFailsUnderTooManyAttemptsAndNotBefore) {
   NodeConfig config = SmallNode();
-  config.min_overload_offers = 10.0;
+  config.min_overload_attempts = 10.0;
   config.admission_queue_size = 1000;
   config.slow_start_window = 3 * kSecond;
   NodeFixture cautious(config, 1000 * kSecond), overloaded(config, 1000 * kSecond);
-  for (int i = 0; i < 10; ++i) cautious.node.Offer(cautious.now, Task("t" + std::to_string(i), 0.1));
+  for (int i = 0; i < 10; ++i)
+    cautious.node.RequestAdmission(cautious.now, Task("t" + std::to_string(i), 0.1));
   EXPECT_FALSE(cautious.node.failed_by_overload());
   cautious.Run(3 * kSecond);
-  for (int i = 0; i < 10; ++i) cautious.node.Offer(cautious.now, Task("u" + std::to_string(i), 0.1));
+  for (int i = 0; i < 10; ++i)
+    cautious.node.RequestAdmission(cautious.now, Task("u" + std::to_string(i), 0.1));
   EXPECT_FALSE(cautious.node.failed_by_overload());
-  for (int i = 0; i < 11; ++i) overloaded.node.Offer(overloaded.now, Task("t" + std::to_string(i), 0.1));
+  for (int i = 0; i < 11; ++i)
+    overloaded.node.RequestAdmission(overloaded.now, Task("t" + std::to_string(i), 0.1));
   EXPECT_TRUE(overloaded.node.failed_by_overload());
   EXPECT_EQ(overloaded.Outputs<node_agent::OverloadFailure>().size(), 1u);
 }
@@ -151,23 +154,23 @@
 TEST(NodeEmulator, OneTaskOfAKeyRunsInARack) {
   const auto keys = std::make_shared<node_agent::IdempotencyKeyStore>();
   NodeFixture a(SmallNode(), 0, keys), b(SmallNode(), 0, keys);
-  EXPECT_TRUE(a.OfferAndCommit(Task("a1", 1.0, 0, "k")));
-  b.node.Offer(b.now, Task("b1", 1.0, 0, "k"));
+  EXPECT_TRUE(a.AdmitAndCommit(Task("a1", 1.0, 0, "k")));
+  b.node.RequestAdmission(b.now, Task("b1", 1.0, 0, "k"));
   b.Run(10 * kMs);
   EXPECT_EQ(b.Outputs<AttemptDecision>().back().reason, RejectionReason::kNotAccepting);
   a.node.Stop(a.now, "a1");
-  EXPECT_TRUE(b.OfferAndCommit(Task("b2", 1.0, 0, "k")));
+  EXPECT_TRUE(b.AdmitAndCommit(Task("b2", 1.0, 0, "k")));
 }
 
 // A cancelled attempt must not be accepted if its messages arrive later, in any order.
 TEST(NodeEmulator, AnAttemptThatWasStoppedOrQueriedCanNeverBeAccepted) {
   NodeFixture fixture;
   EXPECT_FALSE(fixture.node.Stop(fixture.now, "early"));
-  EXPECT_FALSE(fixture.OfferAndCommit(Task("early")));
+  EXPECT_FALSE(fixture.AdmitAndCommit(Task("early")));
   EXPECT_FALSE(fixture.node.Query(fixture.now, "asked"));
-  EXPECT_FALSE(fixture.OfferAndCommit(Task("asked")));
+  EXPECT_FALSE(fixture.AdmitAndCommit(Task("asked")));
   fixture.ClearOutputs();
-  fixture.node.Offer(fixture.now, Task("reserved"));
+  fixture.node.RequestAdmission(fixture.now, Task("reserved"));
   fixture.Run(10 * kMs);
   EXPECT_FALSE(
       fixture.node.Query(fixture.now, "reserved"));  // cancelled by the query, because it is not committed
@@ -179,7 +182,7 @@
   NodeFixture fixture;
   TaskSpec spec = Task("late");
   spec.commit_deadline = fixture.now + kSecond;
-  fixture.node.Offer(fixture.now, spec);
+  fixture.node.RequestAdmission(fixture.now, spec);
   fixture.Run(10 * kMs);
   EXPECT_EQ(fixture.node.free_cores(), 3.0);
   fixture.Run(2 * kSecond);
@@ -189,10 +192,10 @@
 
 TEST(NodeEmulator, ADrainingNodeEndsItsTasksAndAcceptsNone) {
   NodeFixture fixture;
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("a")));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("a")));
   fixture.node.SetDraining(fixture.now, true);
   EXPECT_EQ(fixture.Outputs<TaskEnded>().back().end, node_agent::TaskEnd::kDrained);
-  EXPECT_FALSE(fixture.OfferAndCommit(Task("b")));
+  EXPECT_FALSE(fixture.AdmitAndCommit(Task("b")));
 }
 
 TEST(NodeEmulator, EvictsTheLowestPriorityFirstWhenOutOfMemory) {
@@ -201,16 +204,16 @@
   config.max_concurrent_starts = 8;
   config.start_time = 0;
   NodeFixture fixture(config);
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("high", 2.0, 1)));
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("low1", 1.0, 0)));
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("low2", 1.0, 0)));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("high", 2.0, 1)));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("low1", 1.0, 0)));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("low2", 1.0, 0)));
   fixture.ClearOutputs();
   NodeConfig big = config;
   big.memory = 4.0;  // the requests fit, the actual use does not
   NodeFixture small(big);
-  EXPECT_TRUE(small.OfferAndCommit(Task("high", 2.0, 1)));
-  EXPECT_TRUE(small.OfferAndCommit(Task("low1", 1.0, 0)));
-  EXPECT_TRUE(small.OfferAndCommit(Task("low2", 1.0, 0)));
+  EXPECT_TRUE(small.AdmitAndCommit(Task("high", 2.0, 1)));
+  EXPECT_TRUE(small.AdmitAndCommit(Task("low1", 1.0, 0)));
+  EXPECT_TRUE(small.AdmitAndCommit(Task("low2", 1.0, 0)));
   small.Run(5 * kSecond);
   const auto ended = small.Outputs<TaskEnded>();
   ASSERT_FALSE(ended.empty());
@@ -221,13 +224,13 @@
 }
 
 // An attempt counts as load even if it is rejected immediately.
-TEST(NodeEmulator, OffersThatADrainingNodeRejectsCountAsLoad) {
+TEST(NodeEmulator, AttemptsThatADrainingNodeRejectsCountAsLoad) {
   NodeConfig config = SmallNode();
-  config.min_overload_offers = 2.0;
+  config.min_overload_attempts = 2.0;
   config.overload_multiple = 0.0;
   NodeFixture fixture(config, 1000 * kSecond);
   fixture.node.SetDraining(fixture.now, true);
-  for (const char* const attempt : {"a", "b", "c"}) fixture.node.Offer(fixture.now, Task(attempt));
+  for (const char* const attempt : {"a", "b", "c"}) fixture.node.RequestAdmission(fixture.now, Task(attempt));
   EXPECT_TRUE(fixture.node.failed_by_overload());
   const auto decisions = fixture.Outputs<AttemptDecision>();
   ASSERT_EQ(decisions.size(), 3u);
@@ -240,7 +243,7 @@
   NodeConfig config = SmallNode();
   config.acknowledges_when_running = true;
   NodeFixture fixture(config);
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("a")));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("a")));
   EXPECT_TRUE(fixture.node.Stop(fixture.now, "a"));
   const auto& outputs = fixture.CollectOutputs();
   ASSERT_EQ(outputs.size(), 2u);
@@ -253,7 +256,7 @@
   config.executes_tasks = true;
   config.start_time = 0;
   NodeFixture fixture(config);
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("a")));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("a")));
   fixture.Run(kMs);
   fixture.ClearOutputs();
   fixture.node.SetDraining(fixture.now, true);
@@ -268,7 +271,7 @@
   NodeFixture fixture;
   TaskSpec spec = Task("a");
   spec.walltime = kSecond;
-  EXPECT_TRUE(fixture.OfferAndCommit(spec));
+  EXPECT_TRUE(fixture.AdmitAndCommit(spec));
   fixture.Run(2 * kSecond);
   const auto ended = fixture.Outputs<TaskEnded>();
   ASSERT_EQ(ended.size(), 1u);
--- a/tests/node_agent/pbs_session_test.cpp
+++ b/tests/node_agent/pbs_session_test.cpp
@@ -46,9 +46,9 @@
   session.submission = PbsSession::Submission{"a", {}, false};
   EXPECT_TRUE(session.IsSubmitting("a"));
   EXPECT_FALSE(session.IsSubmitting("b"));
-  EXPECT_FALSE(session.HasOffered("a"));
-  session.submission->offered = true;
-  EXPECT_TRUE(session.HasOffered("a"));
+  EXPECT_FALSE(session.HasRequestedAdmission("a"));
+  session.submission->admission_requested = true;
+  EXPECT_TRUE(session.HasRequestedAdmission("a"));
 }
 
 }  // namespace
--- a/tests/node_agent/task_executor_test.cpp
+++ b/tests/node_agent/task_executor_test.cpp
@@ -61,8 +61,9 @@
   fixture.executor->Run("not_started", Script("exit 0", "/dev/null/no/file"));
   fixture.executor->Run("runs", Script("exit 0"));
   fixture.executor.reset();
-  ExecutorFixture* const owner = &fixture;
-  TaskExecutor next(&fixture.loop, [owner](const std::string&, int) { owner->loop.Stop(); });
+  ExecutorFixture* const fixture_pointer = &fixture;
+  TaskExecutor next(&fixture.loop,
+                    [fixture_pointer](const std::string&, int) { fixture_pointer->loop.Stop(); });
   next.Run("next", Script("exit 0"));
   fixture.RunLoop();
   EXPECT_TRUE(fixture.exits.empty());
--- a/tests/node_agent/warm_up_test.cpp
+++ b/tests/node_agent/warm_up_test.cpp
@@ -17,7 +17,7 @@
   config.start_time = 100'000;
   config.uncached_start_factor = 1.0;  // 10 starts a second
   config.overload_multiple = 2.0;
-  config.min_overload_offers = 0.0;
+  config.min_overload_attempts = 0.0;
   return config;
 }
 
@@ -29,25 +29,25 @@
   EXPECT_DOUBLE_EQ(warm_up.Pace(kStarted + 10 * kSecond), 1.0);
 }
 
-TEST(WarmUp, MoreOffersInAWindowThanItsPaceAllowsAreAFailure) {
+TEST(WarmUp, MoreAttemptsInAWindowThanItsPaceAllowsAreAFailure) {
   WarmUp warm_up(WarmingUpNode(), kStarted);
-  for (int i = 0; i < 5; ++i) EXPECT_FALSE(warm_up.RecordOffer(kStarted));  // 2 x 0.25 x 10 per second
-  const auto failure = warm_up.RecordOffer(kStarted);
+  for (int i = 0; i < 5; ++i) EXPECT_FALSE(warm_up.RecordAttempt(kStarted));  // 2 x 0.25 x 10 per second
+  const auto failure = warm_up.RecordAttempt(kStarted);
   ASSERT_TRUE(failure.has_value());
-  EXPECT_EQ(failure->offers, 6u);
-  EXPECT_DOUBLE_EQ(failure->max_offers, 5.0);
+  EXPECT_EQ(failure->attempts, 6u);
+  EXPECT_DOUBLE_EQ(failure->max_attempts, 5.0);
 }
 
-TEST(WarmUp, OffersLeaveTheWindowWithTime) {
+TEST(WarmUp, AttemptsLeaveTheWindowWithTime) {
   WarmUp warm_up(WarmingUpNode(), kStarted);
-  for (int i = 0; i < 5; ++i) EXPECT_FALSE(warm_up.RecordOffer(kStarted));
-  for (int i = 0; i < 5; ++i) EXPECT_FALSE(warm_up.RecordOffer(kStarted + kSecond));
+  for (int i = 0; i < 5; ++i) EXPECT_FALSE(warm_up.RecordAttempt(kStarted));
+  for (int i = 0; i < 5; ++i) EXPECT_FALSE(warm_up.RecordAttempt(kStarted + kSecond));
 }
 
 TEST(WarmUp, AWarmNodeNeverFailsByOverload) {
   WarmUp warm_up(WarmingUpNode(), 0);
   EXPECT_DOUBLE_EQ(warm_up.Pace(1), 1.0);
-  for (int i = 0; i < 1000; ++i) ASSERT_FALSE(warm_up.RecordOffer(1));
+  for (int i = 0; i < 1000; ++i) ASSERT_FALSE(warm_up.RecordAttempt(1));
 }
 
 }  // namespace
