--- a/tests/node_agent/host_file_test.cpp
+++ b/tests/node_agent/host_file_test.cpp
@@ -1,4 +1,4 @@
-// The file that describes hosted nodes: each key, and the errors as operators read them, as recorded.
+// Tests the host file: each key is read into its field, and the error messages match recorded ones.
 #include "node_agent/host_file.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
   std::vector<node_agent::HostedNodeConfig> nodes;
 };
 
-// Each test writes a file of its own: tests run beside each other in one folder.
+// Each test writes its own file, because tests run concurrently in one directory.
 HostFileReading ReadText(const std::string& name, const std::string& text) {
   std::ofstream(name) << text;
   HostFileReading reading;
@@ -44,7 +44,7 @@
   for (const std::string& value : {config.name, config.kind, config.rack, config.zone}) text += value + ",";
   for (const double value : {config.cores, config.memory, config.overcommit_cores, config.overcommit_memory,
                              config.uncached_start_factor, config.slow_start_initial_pace,
-                             config.overload_multiple, config.min_overload_offers, config.core_use,
+                             config.overload_multiple, config.min_overload_attempts, config.core_use,
                              config.memory_use, config.memory_overuse_share, config.memory_overuse_factor}) {
     text += Number(value) + ",";
   }
@@ -152,7 +152,7 @@
   EXPECT_EQ(error.found, "Value type not permitted by 'type' constraint.");
 }
 
-TEST(HostFile, WhatItLeavesOutIsAsInTheDefaults) {
+TEST(HostFile, OmittedKeysHaveTheirDefaults) {
   const std::string name = "host_file_defaults.json";
   std::ofstream(name) << R"({"nodes": [{"name": "a"}], "prefix": "mine/"})";
   node_agent::NodeHostOptions defaults;
--- a/tests/node_agent/node_digest_test.cpp
+++ b/tests/node_agent/node_digest_test.cpp
@@ -1,6 +1,6 @@
-// A guard: recorded runs of the emulated node and of its side of the batch protocol, over every kind of input
-// in random order, held against digests of all outputs that were recorded before. A change of names or
-// structure leaves them as they are.
+// Guards against unintended changes of behaviour. Runs the emulated node and its server on all kinds of input
+// in random order, and compares digests of all outputs with recorded digests. Renames and changes of
+// structure must not change them.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -25,7 +25,7 @@
 constexpr std::size_t kEnds = 5;
 constexpr unsigned kSeeds = 4;
 
-// What occurred in all runs, so that a kind which never occurs is noticed.
+// Counts the outputs of all runs, so that the test fails if a kind of output never occurs.
 struct Occurrences {
   std::array<std::size_t, kOutputKinds> outputs{};
   std::array<std::size_t, kEnds> ends{};
@@ -61,8 +61,8 @@
     ++occurrences->texts[output.text.substr(0, output.text.find(':'))];
   }
   void operator()(const node_agent::OverloadFailure& output) const {
-    digest->Add(output.offers);
-    digest->Add(output.max_offers);
+    digest->Add(output.attempts);
+    digest->Add(output.max_attempts);
   }
 };
 
@@ -78,11 +78,11 @@
   config.program_cache_size = 2;
   config.task_duration = 2 * kSecond;
   config.slow_start_duration = 5 * kSecond;
-  config.min_overload_offers = 60.0;
+  config.min_overload_attempts = 60.0;
   return config;
 }
 
-// The variants of a node that the runs go over, by name.
+// Returns the node configurations to run, by name.
 std::map<std::string, NodeConfig> Variants() {
   std::map<std::string, NodeConfig> variants;
   variants["plain"] = SmallNode("plain");
@@ -100,7 +100,7 @@
   overcommitted.memory_growth_time = 500 * kMs;
   variants["overcommit"] = overcommitted;
   NodeConfig fragile = SmallNode("fragile");
-  fragile.min_overload_offers = 8.0;
+  fragile.min_overload_attempts = 8.0;
   fragile.overload_multiple = 0.5;
   fragile.slow_start_window = 400 * kMs;
   fragile.max_tombstones = 20;
@@ -115,7 +115,7 @@
   return variants;
 }
 
-// Two nodes of one rack under random input.
+// Runs two nodes of one rack on random input.
 class RandomNodes {
  public:
   RandomNodes(NodeConfig config, unsigned seed, Digest* digest, Occurrences* occurrences)
@@ -168,7 +168,7 @@
     static const char* const kSignals[] = {"SIGTERM", "TERM", "15", "SIGKILL", "KILL", "9", "SIGUSR1"};
     const std::uint64_t kind = Draw(100);
     if (kind < 40) {
-      node.Offer(now_, NewTask());
+      node.RequestAdmission(now_, NewTask());
     } else if (kind < 44) {
       const bool committed = node.Commit(now_, AnyAttempt());
       if (!committed) ++occurrences_->late_commits;
@@ -263,7 +263,8 @@
 
 constexpr std::size_t kSessions = 6;
 
-// One node's server under random requests of two daemons, whole, in pieces, broken and out of order.
+// Runs one node's server on random requests of two daemons, which are complete, split, malformed or out of
+// order.
 class RandomRequests {
  public:
   RandomRequests(NodeConfig config, unsigned seed, Digest* digest)
@@ -288,9 +289,9 @@
  private:
   struct Client {
     bool open = false;
-    std::string attempt;   // of its submission in progress
+    std::string attempt;   // of the submission in progress
     std::string replies;   // not yet decoded
-    std::size_t next = 0;  // of the requests in order
+    std::size_t next = 0;  // index of the next request in order
   };
   std::uint64_t Draw(std::uint64_t below) { return random_() % below; }
   std::string AnyAttempt() {
@@ -323,7 +324,7 @@
     pbs_protocol::Request request;
     request.user = "daemon";
     request.id = Draw(8) == 0 ? AnyAttempt() : client->attempt;
-    // Mostly the requests of one submission in their order, else any request.
+    // Sends mostly the requests of one submission in order, otherwise any request.
     static constexpr std::uint64_t kInOrder[] = {0, 37, 60};
     const std::uint64_t kind = Draw(3) == 0 ? Draw(100) : kInOrder[client->next++ % 3];
     if (kind < 30) {
@@ -426,7 +427,7 @@
       digest_->Add(std::string_view(daemon));
       digest_->Add(std::string_view(server_->reports().AddressOf(daemon)));
       const auto& reports = server_->reports().ReportsFor(daemon);
-      for (const auto& report : reports) {  // lost ones are sent again: all that wait, each time
+      for (const auto& report : reports) {  // each time all pending reports, because lost ones are sent again
         digest_->Add(std::string_view(report.attempt));
         digest_->Add(std::string_view(report.bytes));
       }
@@ -466,7 +467,7 @@
     Digest digest;
     for (unsigned seed = 1; seed <= kSeeds; ++seed) {
       NodeConfig node = config;
-      if (name == "fragile") node.min_overload_offers = 1.0;
+      if (name == "fragile") node.min_overload_attempts = 1.0;
       RandomRequests requests(node, seed, &digest);
       requests.Run(6000);
       dropped += requests.dropped();
--- a/tests/node_agent/node_emulator_test.cpp
+++ b/tests/node_agent/node_emulator_test.cpp
@@ -1,4 +1,4 @@
-// The emulated node under a clock of our own.
+// Tests the emulated node with a simulated clock.
 #include "node_agent/node_emulator.hpp"
 
 #include <gtest/gtest.h>
@@ -46,7 +46,7 @@
       : now(1000 * kSecond), node(std::move(config), std::move(keys), now, started) {}
   Micros now;
   NodeEmulator node;
-  std::vector<node_agent::NodeOutput> outputs;  // since they were cleared
+  std::vector<node_agent::NodeOutput> outputs;  // outputs since the last clear
 
   void Run(Micros length) {
     const Micros to = now + length;
@@ -72,9 +72,9 @@
     }
     return found;
   }
-  // Whether the offer and then the commit were accepted.
-  bool OfferAndCommit(const TaskSpec& spec) {
-    node.Offer(now, spec);
+  // Requests admission of an attempt and commits it. Returns whether both were accepted.
+  bool AdmitAndCommit(const TaskSpec& spec) {
+    node.RequestAdmission(now, spec);
     Run(10 * kMs);
     const auto decisions = Outputs<AttemptDecision>();
     ClearOutputs();
@@ -84,9 +84,9 @@
 
 TEST(NodeEmulator, DecidesOnOneAttemptAtATimeAndBoundsThoseThatWait) {
   NodeFixture fixture;
-  for (int i = 0; i < 5; ++i) fixture.node.Offer(fixture.now, Task("t" + std::to_string(i), 0.1));
+  for (int i = 0; i < 5; ++i) fixture.node.RequestAdmission(fixture.now, Task("t" + std::to_string(i), 0.1));
   const auto decisions = fixture.Outputs<AttemptDecision>();
-  ASSERT_EQ(decisions.size(), 2u);  // one in decision, two wait, two are rejected
+  ASSERT_EQ(decisions.size(), 2u);  // one is in decision, two wait, two are rejected
   EXPECT_EQ(decisions[0].reason, RejectionReason::kQueueFull);
   fixture.ClearOutputs();
   fixture.Run(10 * kMs);
@@ -97,32 +97,33 @@
 
 TEST(NodeEmulator, RejectsWithItsReasonAndPreemptsLowerPriorities) {
   NodeFixture fixture;
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("low", 3.0, 0)));
-  fixture.node.Offer(fixture.now, Task("same", 2.0, 0));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("low", 3.0, 0)));
+  fixture.node.RequestAdmission(fixture.now, Task("same", 2.0, 0));
   fixture.Run(10 * kMs);
   auto answer = fixture.Outputs<AttemptDecision>().back();
   EXPECT_FALSE(answer.accepted);
   EXPECT_EQ(answer.reason, RejectionReason::kNoCores);
   EXPECT_EQ(answer.text, "no cores: 1 of 4 free, asked for 2");
   fixture.ClearOutputs();
-  fixture.node.Offer(fixture.now, Task("high", 2.0, 1));
+  fixture.node.RequestAdmission(fixture.now, Task("high", 2.0, 1));
   fixture.Run(10 * kMs);
   EXPECT_TRUE(fixture.Outputs<AttemptDecision>().back().accepted);
   const auto ended = fixture.Outputs<TaskEnded>();
   ASSERT_EQ(ended.size(), 1u);
   EXPECT_EQ(ended[0].attempt, "low");
   EXPECT_EQ(ended[0].end, node_agent::TaskEnd::kPreempted);
-  EXPECT_FALSE(fixture.OfferAndCommit(Task("huge", 5.0, 9)));  // nothing is preempted in vain
+  EXPECT_FALSE(
+      fixture.AdmitAndCommit(Task("huge", 5.0, 9)));  // nothing is preempted, because it would not fit anyway
   EXPECT_TRUE(fixture.Outputs<TaskEnded>().empty());
 }
 
 TEST(NodeEmulator, FewTasksStartAtOnceAndTheFirstOfAServiceStartsSlowly) {
   NodeFixture fixture;
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("a", 0.5)));
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("b", 0.5)));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("a", 0.5)));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("b", 0.5)));
   fixture.Run(380 * kMs);
   EXPECT_EQ(fixture.node.running_tasks(), 0u);
-  fixture.Run(20 * kMs);  // 8 x 50 ms for the first of the service
+  fixture.Run(20 * kMs);  // the first start of the service takes 8 x 50 ms
   EXPECT_EQ(fixture.node.running_tasks(), 1u);
   fixture.Run(50 * kMs);
   EXPECT_EQ(fixture.node.running_tasks(), 2u);
@@ -131,18 +132,21 @@
   EXPECT_EQ(fixture.node.free_cores(), 4.0);
 }
 
-TEST(NodeEmulator, AWarmingUpNodeFailsUnderTooManyOffersAndNotBefore) {
+TEST(NodeEmulator, AWarmingUpNodeFailsUnderTooManyAttemptsAndNotBefore) {
   NodeConfig config = SmallNode();
-  config.min_overload_offers = 10.0;
+  config.min_overload_attempts = 10.0;
   config.admission_queue_size = 1000;
   config.slow_start_window = 3 * kSecond;
   NodeFixture cautious(config, 1000 * kSecond), overloaded(config, 1000 * kSecond);
-  for (int i = 0; i < 10; ++i) cautious.node.Offer(cautious.now, Task("t" + std::to_string(i), 0.1));
+  for (int i = 0; i < 10; ++i)
+    cautious.node.RequestAdmission(cautious.now, Task("t" + std::to_string(i), 0.1));
   EXPECT_FALSE(cautious.node.failed_by_overload());
   cautious.Run(3 * kSecond);
-  for (int i = 0; i < 10; ++i) cautious.node.Offer(cautious.now, Task("u" + std::to_string(i), 0.1));
+  for (int i = 0; i < 10; ++i)
+    cautious.node.RequestAdmission(cautious.now, Task("u" + std::to_string(i), 0.1));
   EXPECT_FALSE(cautious.node.failed_by_overload());
-  for (int i = 0; i < 11; ++i) overloaded.node.Offer(overloaded.now, Task("t" + std::to_string(i), 0.1));
+  for (int i = 0; i < 11; ++i)
+    overloaded.node.RequestAdmission(overloaded.now, Task("t" + std::to_string(i), 0.1));
   EXPECT_TRUE(overloaded.node.failed_by_overload());
   EXPECT_EQ(overloaded.Outputs<node_agent::OverloadFailure>().size(), 1u);
 }
@@ -150,25 +154,26 @@
 TEST(NodeEmulator, OneTaskOfAKeyRunsInARack) {
   const auto keys = std::make_shared<node_agent::IdempotencyKeyStore>();
   NodeFixture a(SmallNode(), 0, keys), b(SmallNode(), 0, keys);
-  EXPECT_TRUE(a.OfferAndCommit(Task("a1", 1.0, 0, "k")));
-  b.node.Offer(b.now, Task("b1", 1.0, 0, "k"));
+  EXPECT_TRUE(a.AdmitAndCommit(Task("a1", 1.0, 0, "k")));
+  b.node.RequestAdmission(b.now, Task("b1", 1.0, 0, "k"));
   b.Run(10 * kMs);
   EXPECT_EQ(b.Outputs<AttemptDecision>().back().reason, RejectionReason::kNotAccepting);
   a.node.Stop(a.now, "a1");
-  EXPECT_TRUE(b.OfferAndCommit(Task("b2", 1.0, 0, "k")));
+  EXPECT_TRUE(b.AdmitAndCommit(Task("b2", 1.0, 0, "k")));
 }
 
-// A cancelled attempt must not be accepted when its messages arrive later, in whatever order.
+// A cancelled attempt must not be accepted if its messages arrive later, in any order.
 TEST(NodeEmulator, AnAttemptThatWasStoppedOrQueriedCanNeverBeAccepted) {
   NodeFixture fixture;
   EXPECT_FALSE(fixture.node.Stop(fixture.now, "early"));
-  EXPECT_FALSE(fixture.OfferAndCommit(Task("early")));
+  EXPECT_FALSE(fixture.AdmitAndCommit(Task("early")));
   EXPECT_FALSE(fixture.node.Query(fixture.now, "asked"));
-  EXPECT_FALSE(fixture.OfferAndCommit(Task("asked")));
+  EXPECT_FALSE(fixture.AdmitAndCommit(Task("asked")));
   fixture.ClearOutputs();
-  fixture.node.Offer(fixture.now, Task("reserved"));
+  fixture.node.RequestAdmission(fixture.now, Task("reserved"));
   fixture.Run(10 * kMs);
-  EXPECT_FALSE(fixture.node.Query(fixture.now, "reserved"));  // not committed: the query cancels it
+  EXPECT_FALSE(
+      fixture.node.Query(fixture.now, "reserved"));  // cancelled by the query, because it is not committed
   EXPECT_FALSE(fixture.node.Commit(fixture.now, "reserved"));
   EXPECT_EQ(fixture.node.free_cores(), 4.0);
 }
@@ -177,7 +182,7 @@
   NodeFixture fixture;
   TaskSpec spec = Task("late");
   spec.commit_deadline = fixture.now + kSecond;
-  fixture.node.Offer(fixture.now, spec);
+  fixture.node.RequestAdmission(fixture.now, spec);
   fixture.Run(10 * kMs);
   EXPECT_EQ(fixture.node.free_cores(), 3.0);
   fixture.Run(2 * kSecond);
@@ -187,28 +192,28 @@
 
 TEST(NodeEmulator, ADrainingNodeEndsItsTasksAndAcceptsNone) {
   NodeFixture fixture;
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("a")));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("a")));
   fixture.node.SetDraining(fixture.now, true);
   EXPECT_EQ(fixture.Outputs<TaskEnded>().back().end, node_agent::TaskEnd::kDrained);
-  EXPECT_FALSE(fixture.OfferAndCommit(Task("b")));
+  EXPECT_FALSE(fixture.AdmitAndCommit(Task("b")));
 }
 
-TEST(NodeEmulator, OutOfMemoryItEvictsTheLowestPriorityFirst) {
+TEST(NodeEmulator, EvictsTheLowestPriorityFirstWhenOutOfMemory) {
   NodeConfig config = SmallNode();
   config.memory_use = 1.6;
   config.max_concurrent_starts = 8;
   config.start_time = 0;
   NodeFixture fixture(config);
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("high", 2.0, 1)));
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("low1", 1.0, 0)));
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("low2", 1.0, 0)));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("high", 2.0, 1)));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("low1", 1.0, 0)));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("low2", 1.0, 0)));
   fixture.ClearOutputs();
   NodeConfig big = config;
-  big.memory = 4.0;  // requests fit, use does not
+  big.memory = 4.0;  // the requests fit, the actual use does not
   NodeFixture small(big);
-  EXPECT_TRUE(small.OfferAndCommit(Task("high", 2.0, 1)));
-  EXPECT_TRUE(small.OfferAndCommit(Task("low1", 1.0, 0)));
-  EXPECT_TRUE(small.OfferAndCommit(Task("low2", 1.0, 0)));
+  EXPECT_TRUE(small.AdmitAndCommit(Task("high", 2.0, 1)));
+  EXPECT_TRUE(small.AdmitAndCommit(Task("low1", 1.0, 0)));
+  EXPECT_TRUE(small.AdmitAndCommit(Task("low2", 1.0, 0)));
   small.Run(5 * kSecond);
   const auto ended = small.Outputs<TaskEnded>();
   ASSERT_FALSE(ended.empty());
@@ -218,14 +223,14 @@
   }
 }
 
-// The offer is counted before anything else can reject it.
-TEST(NodeEmulator, OffersThatADrainingNodeRejectsCountAsLoad) {
+// An attempt counts as load even if it is rejected immediately.
+TEST(NodeEmulator, AttemptsThatADrainingNodeRejectsCountAsLoad) {
   NodeConfig config = SmallNode();
-  config.min_overload_offers = 2.0;
+  config.min_overload_attempts = 2.0;
   config.overload_multiple = 0.0;
   NodeFixture fixture(config, 1000 * kSecond);
   fixture.node.SetDraining(fixture.now, true);
-  for (const char* const attempt : {"a", "b", "c"}) fixture.node.Offer(fixture.now, Task(attempt));
+  for (const char* const attempt : {"a", "b", "c"}) fixture.node.RequestAdmission(fixture.now, Task(attempt));
   EXPECT_TRUE(fixture.node.failed_by_overload());
   const auto decisions = fixture.Outputs<AttemptDecision>();
   ASSERT_EQ(decisions.size(), 3u);
@@ -233,12 +238,12 @@
   EXPECT_EQ(decisions[2].text, "fallen over");
 }
 
-// Where the acknowledgement waits for the start, the client must not learn of an end before it.
+// If commits are acknowledged at the start, the client must not receive an end before the acknowledgement.
 TEST(NodeEmulator, ATaskThatEndsBeforeItsStartIsAcknowledgedFirst) {
   NodeConfig config = SmallNode();
   config.acknowledges_when_running = true;
   NodeFixture fixture(config);
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("a")));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("a")));
   EXPECT_TRUE(fixture.node.Stop(fixture.now, "a"));
   const auto& outputs = fixture.CollectOutputs();
   ASSERT_EQ(outputs.size(), 2u);
@@ -251,7 +256,7 @@
   config.executes_tasks = true;
   config.start_time = 0;
   NodeFixture fixture(config);
-  EXPECT_TRUE(fixture.OfferAndCommit(Task("a")));
+  EXPECT_TRUE(fixture.AdmitAndCommit(Task("a")));
   fixture.Run(kMs);
   fixture.ClearOutputs();
   fixture.node.SetDraining(fixture.now, true);
@@ -266,7 +271,7 @@
   NodeFixture fixture;
   TaskSpec spec = Task("a");
   spec.walltime = kSecond;
-  EXPECT_TRUE(fixture.OfferAndCommit(spec));
+  EXPECT_TRUE(fixture.AdmitAndCommit(spec));
   fixture.Run(2 * kSecond);
   const auto ended = fixture.Outputs<TaskEnded>();
   ASSERT_EQ(ended.size(), 1u);
--- a/tests/node_agent/pbs_session_test.cpp
+++ b/tests/node_agent/pbs_session_test.cpp
@@ -14,7 +14,7 @@
   return bytes;
 }
 
-TEST(PbsSession, ARequestIsReadOnceItIsWhole) {
+TEST(PbsSession, ARequestIsReadOnceItIsComplete) {
   PbsSession session;
   const std::string bytes = ConnectRequest() + ConnectRequest();
   for (std::size_t i = 0; i + 1 < bytes.size() / 2; ++i) {
@@ -40,15 +40,15 @@
   EXPECT_EQ(reply.code, pbs_protocol::Code::kProtocol);
 }
 
-TEST(PbsSession, ASubmissionIsThatOfItsAttemptOnly) {
+TEST(PbsSession, ASubmissionMatchesOnlyItsAttempt) {
   PbsSession session;
   EXPECT_FALSE(session.IsSubmitting(""));
   session.submission = PbsSession::Submission{"a", {}, false};
   EXPECT_TRUE(session.IsSubmitting("a"));
   EXPECT_FALSE(session.IsSubmitting("b"));
-  EXPECT_FALSE(session.HasOffered("a"));
-  session.submission->offered = true;
-  EXPECT_TRUE(session.HasOffered("a"));
+  EXPECT_FALSE(session.HasRequestedAdmission("a"));
+  session.submission->admission_requested = true;
+  EXPECT_TRUE(session.HasRequestedAdmission("a"));
 }
 
 }  // namespace
