--- a/tools/chaos/child_process.hpp
+++ b/tools/chaos/child_process.hpp
@@ -1,4 +1,4 @@
-// A child process whose first line of output is awaited: programs print it when they are ready.
+// A child process that prints one line on standard output when it is ready.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_CHILD_PROCESS_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_CHILD_PROCESS_HPP_
 
@@ -12,20 +12,23 @@
 
 namespace mountflow::chaos {
 
-// Dies with this process. The loop must outlive the child; the callbacks run in the loop.
+// Starts one program and reports its first line of output and its exit. The child is killed when this process
+// ends. The event loop must outlive this object; callbacks run in the loop.
 class ChildProcess {
  public:
-  // Standard error is appended to `log_file`.
+  // The child's standard error is appended to `log_file`.
   ChildProcess(event_loop::EventLoop* loop, std::string log_file)
       : loop_(loop), log_file_(std::move(log_file)) {}
 
-  // Starts arguments[0]. `on_ready` gets the first line, `on_exit` the status as waitpid gives it.
+  // Runs the program arguments[0]. `on_ready` receives the first line of its standard output, and `on_exit`
+  // the exit status in the format of waitpid().
   [[nodiscard]] tl::expected<void, std::error_code> Start(const std::vector<std::string>& arguments,
                                                           std::function<void(const std::string&)> on_ready,
                                                           std::function<void(int status)> on_exit);
+  // Sends the signal `number` to the child.
   void Signal(int number) const;
   [[nodiscard]] bool running() const { return pid_ > 0; }
-  // Blocks until it has ended; its exit is not reported.
+  // Blocks until the child has ended. Does not call `on_exit`.
   void Wait() const;
 
  private:
--- a/tools/chaos/cluster.hpp
+++ b/tools/chaos/cluster.hpp
@@ -1,5 +1,6 @@
-// The programs of a chaos test: one registry stand-in, one program with all nodes, the daemons; and a
-// recording proxy before each of their ports. Starts and supervises them, and hands out what faults act upon.
+// The cluster of a chaos test: one registry stand-in, one program that simulates all nodes, and the daemons,
+// with a recording proxy in front of each of their ports. Starts and supervises the programs, and gives fault
+// injectors access to nodes, daemons and proxies.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_CLUSTER_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_CLUSTER_HPP_
 
@@ -36,12 +37,12 @@
   TrafficControl node_list_control;
   std::unique_ptr<ChildProcess> process;
   bool is_up = false;
-  bool is_stopping = false;          // it got SIGTERM and must end by itself
-  double restart_after_seconds = 0;  // from that end
-  bool sees_all_nodes = false;       // it has received a list of all nodes once
+  bool is_stopping = false;          // SIGTERM was sent; the daemon must exit by itself
+  double restart_after_seconds = 0;  // delay between that exit and the next start
+  bool sees_all_nodes = false;       // has received at least one node list with all nodes
 };
 
-// What the cluster is built from; all of it outlives the cluster.
+// Inputs and services that a cluster uses. All pointers must outlive the cluster.
 struct ClusterContext {
   const Scenario* scenario = nullptr;
   const RunOptions* options = nullptr;
@@ -50,29 +51,32 @@
   EventRecorder* events = nullptr;
 };
 
+// Runs all programs of one scenario.
 class Cluster : public event_loop::ConnectionHandler {
  public:
-  // `on_ready` is called once, when all daemons are up and see all nodes; `on_failure` at each failure.
+  // `on_ready` is called once, when all daemons are up and have received a list of all nodes. `on_failure` is
+  // called at each failure.
   Cluster(const ClusterContext& context, std::function<void()> on_ready,
           std::function<void(const RunError&)> on_failure);
 
-  // Opens the proxies, writes the head of the message log, and starts the first program; the others follow as
-  // each is ready.
+  // Opens the proxies, writes the head of the message log, and starts the first program. Each further program
+  // is started when the one before it is ready.
   [[nodiscard]] tl::expected<void, RunError> Start();
+  // Kills all programs with SIGKILL.
   void KillAll();
 
   [[nodiscard]] std::vector<ClusterNode>& nodes() { return nodes_; }
   [[nodiscard]] std::vector<ClusterDaemon>& daemons() { return daemons_; }
   void StartDaemon(std::size_t index);
-  // SIGTERM: the daemon must end by itself with status 0, or the run fails; it is started again so long
-  // after.
+  // Sends SIGTERM to the daemon. The run fails unless the daemon exits by itself with status 0. The daemon is
+  // started again `restart_after_seconds` after its exit.
   void StopDaemon(std::size_t index, double restart_after_seconds);
-  // One-shot requests; the replies are not awaited.
+  // Send one control request to the program of the nodes or to the registry stand-in. Replies are ignored.
   void ControlNode(const std::string& node, const std::string& action);
   void ControlRegistry(const std::string& path);
-  // Node lists reach daemons so much later.
+  // Delays the delivery of node lists to daemons by `seconds`.
   void DelayNodeLists(double seconds);
-  // Of one daemon, or of all (kAnyDaemon).
+  // Apply a function to the node list connections of one daemon, or of all daemons (kAnyDaemon).
   void ChangeNodeListControl(int daemon, const std::function<void(TrafficControl*)>& change);
   void ForEachNodeListProxy(int daemon, const std::function<void(RecordingProxy*)>& call);
 
--- a/tools/chaos/cluster_config.hpp
+++ b/tools/chaos/cluster_config.hpp
@@ -1,5 +1,5 @@
-// The configurations of the programs of a chaos test, from its scenario. Only this file spells their keys; no
-// I/O.
+// Builds the configurations of the programs of a chaos test from its scenario. Only this module contains the
+// configuration keys. It performs no I/O.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_CLUSTER_CONFIG_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_CLUSTER_CONFIG_HPP_
 
@@ -18,33 +18,38 @@
   std::string name;
   std::string rack;
   std::string zone;
-  std::string advertised;  // its recording proxy
+  std::string advertised;  // address of the node's recording proxy
 };
 
 struct DaemonAddresses {
   std::string name;
-  std::string reports;    // where nodes send reports
-  std::string node_list;  // of the registry
+  std::string reports;    // address to which nodes send reports
+  std::string node_list;  // address of the registry
   std::string log_file;
   std::string state_folder;
 };
 
-// Rack and zone of the node with this number: racks are filled one after the other, zones alternate.
+// Return the rack and the zone of the node with this number. Racks are filled one after the other; groups of
+// racks alternate between two zones.
 [[nodiscard]] std::string RackOf(const Scenario& scenario, int node);
 [[nodiscard]] std::string ZoneOf(const Scenario& scenario, int node);
 
-// The settings of the daemon with this number: the embedded ones with those of the scenario over them.
+// Returns the settings of the daemon with this number: the embedded settings, overridden by those of the
+// scenario.
 [[nodiscard]] nlohmann::json DaemonSettings(const Scenario& scenario, int daemon);
 
-// The head of the message log: what the invariant checker has to know.
+// Returns the fields of the message log's head entry: the facts of the scenario that the invariant checker
+// needs.
 [[nodiscard]] nlohmann::json HeadFields(const Scenario& scenario, const std::vector<NodeAddress>& nodes);
 
-// How long a client waits for the answer of a job, by queue.
+// Returns the longest time in microseconds that a client waits for the answer to a job, by queue.
 [[nodiscard]] std::map<std::string, Micros> HardLimits(const Scenario& scenario);
 
+// Returns the configuration of the program that simulates all nodes.
 [[nodiscard]] nlohmann::json NodesFile(const Scenario& scenario, const std::vector<NodeAddress>& nodes,
                                        const std::string& registry_address);
 
+// Returns the configuration of the daemon with this number.
 [[nodiscard]] nlohmann::json DaemonFile(const Scenario& scenario, int number,
                                         const DaemonAddresses& addresses);
 
--- a/tools/chaos/draining_invariant.hpp
+++ b/tools/chaos/draining_invariant.hpp
@@ -1,4 +1,5 @@
-// Invariant 3: a daemon sends no attempt to a node that it knows to drain or to be gone, beyond a grace time.
+// Invariant 3: once a daemon has read that a node is draining or has left, and a grace time has passed, it
+// sends no more attempts to that node.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_DRAINING_INVARIANT_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_DRAINING_INVARIANT_HPP_
 
--- a/tools/chaos/duplicate_effect_invariant.hpp
+++ b/tools/chaos/duplicate_effect_invariant.hpp
@@ -1,6 +1,8 @@
-// Invariant 2: no task takes effect twice. A job has one attempt in flight at a time; one that may have run
-// is tried again only as its class allows; and a key never runs twice at the same time, whichever daemons
-// sent it.
+// Invariant 2: no task takes effect twice.
+//   - A job has at most one attempt in flight at a time.
+//   - A task that may have run is retried only as its class allows.
+//   - Two tasks with the same idempotency key never run at the same time, even when different daemons sent
+//   them.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_DUPLICATE_EFFECT_INVARIANT_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_DUPLICATE_EFFECT_INVARIANT_HPP_
 
@@ -16,13 +18,14 @@
   DuplicateEffectInvariant(const MessageLogModel* model, Verdict* verdict)
       : model_(model), verdict_(verdict) {}
 
-  // Before the model has the attempt.
+  // Checks an attempt. Must be called before the attempt is added to the model.
   void OnAttempt(const Attempt& attempt, LogPosition position);
+  // Runs the checks that need the whole log.
   void OnEnd(Micros end_time);
 
  private:
-  // Two attempts of a job that may have been in flight at the same time: decided at the end, as messages on
-  // different connections are not seen in the order in which they were sent.
+  // Two attempts of a job that may have been in flight at the same time. They are checked at the end of the
+  // log, because messages on different connections are not seen in the order in which they were sent.
   struct Overlap {
     std::string earlier;
     std::string later;
--- a/tools/chaos/event_recorder.hpp
+++ b/tools/chaos/event_recorder.hpp
@@ -1,4 +1,4 @@
-// Records what the runner does: in the message log, and on standard output unless it is to be quiet.
+// Records the runner's actions in the message log and, unless `quiet` is set, on standard output.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_EVENT_RECORDER_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_EVENT_RECORDER_HPP_
 
@@ -14,9 +14,9 @@
   EventRecorder(event_loop::EventLoop* loop, MessageLogWriter* log, bool quiet)
       : loop_(loop), log_(log), quiet_(quiet) {}
 
-  // From now on events are printed, with the time since now.
+  // Starts printing events. Printed times are relative to this call.
   void BeginPrinting();
-  // `name` of the node or daemon; empty: none.
+  // Records an event. `name` is the node or daemon concerned; empty if there is none.
   void Record(const std::string& event, const std::string& name = "");
 
  private:
--- a/tools/chaos/fault_injector.hpp
+++ b/tools/chaos/fault_injector.hpp
@@ -1,5 +1,5 @@
-// Injects the faults of a scenario: one table row a kind, see fault_injector.cpp; those of the registry are
-// in registry_fault_injector.hpp.
+// Injects the faults of a scenario. A table in fault_injector.cpp maps each fault kind to its handler; faults
+// of the registry are handled in registry_fault_injector.hpp.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_FAULT_INJECTOR_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_FAULT_INJECTOR_HPP_
 
@@ -19,10 +19,10 @@
 
 class FaultInjector {
  public:
-  // Nodes and daemons are drawn from the seed of the scenario.
+  // Nodes and daemons are chosen by a random generator that starts from the seed of the scenario.
   FaultInjector(const ClusterContext& context, Cluster* cluster, Workload* workload);
 
-  // Begins the fault now, and ends it after its duration.
+  // Starts the fault now and ends it after its duration.
   void Inject(const Fault& fault);
 
  private:
@@ -52,7 +52,7 @@
 
   [[nodiscard]] std::vector<std::size_t> ChooseNodes(const Fault& fault);
   [[nodiscard]] std::size_t ChooseDaemon(const Fault& fault);
-  // Two control actions on each chosen node, at the start and at the end.
+  // Sends the control action `begin` to each chosen node now, and `end` when the fault ends.
   void ControlNodes(const Fault& fault, const std::string& begin, const std::string& end);
   void Pause(std::size_t node, const Fault& fault, Micros until);
   void After(double seconds, std::function<void()> call);
--- a/tools/chaos/message_log.hpp
+++ b/tools/chaos/message_log.hpp
@@ -1,14 +1,15 @@
-// The message log of a chaos test: one JSON object a line, written as it happens.
+// The message log of a chaos test: one JSON object per line, in the order in which the runner observed the
+// messages and events.
 //
 // Every line has "t" (microseconds, the runner's clock) and "k":
 //   head    facts of the scenario: classes, limits, nodes
 //   open, close   a connection at a proxy point: "tap" (client, node, report), "who" (daemon or node), "conn"
 //   ask, reply    a message seen on the sockets: "tap", "who", "conn", "type" or "code", and its content
 //   list    a node list as a daemon received it: "who", "nodes": {name: [state, started]}
-//   client  a client's own log: "event", "job", ...
-//   event   what the runner did: node_start, node_kill, daemon_start, daemon_kill, ...
+//   client  an entry of a client's own log: "event", "job", ...
+//   event   an action of the runner: node_start, node_kill, daemon_start, daemon_kill, ...
 //
-// log_entry.hpp has the typed form of what is read back.
+// log_entry.hpp defines the typed form of the entries that the invariant checker reads.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_MESSAGE_LOG_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_MESSAGE_LOG_HPP_
 
@@ -31,7 +32,7 @@
   enum class Code : std::uint8_t { kNotWritable, kNotReadable, kNotAnEntry };
   Code code = Code::kNotReadable;
   std::string file;
-  std::size_t line = 0;  // of kNotAnEntry
+  std::size_t line = 0;  // set for kNotAnEntry
 };
 [[nodiscard]] std::string Describe(const MessageLogError& error);
 
@@ -42,8 +43,9 @@
   MessageLogWriter(const MessageLogWriter&) = delete;
   MessageLogWriter& operator=(const MessageLogWriter&) = delete;
 
-  // Before the first Write().
+  // Opens the log file. Must be called before the first Write().
   [[nodiscard]] tl::expected<void, MessageLogError> Open(const std::string& file);
+  // Writes one line of the given kind. `fields` holds its other fields.
   void Write(Micros now, const char* kind, json fields);
   void Flush();
   [[nodiscard]] std::uint64_t lines() const { return lines_; }
@@ -53,9 +55,10 @@
   std::uint64_t lines_ = 0;
 };
 
+// Returns the lines of a message log.
 [[nodiscard]] tl::expected<std::vector<json>, MessageLogError> ReadMessageLog(const std::string& file);
 
-// The fields of a request or reply that invariants need.
+// Return the fields of a request or reply that the invariants need, for the message log.
 [[nodiscard]] json LogFields(const pbs_protocol::Request& request);
 [[nodiscard]] json LogFields(const pbs_protocol::Reply& reply);
 
--- a/tools/chaos/message_log_model.hpp
+++ b/tools/chaos/message_log_model.hpp
@@ -1,5 +1,5 @@
-// What a message log says about jobs, attempts, node incarnations, daemons and connections so far. The model
-// only follows the messages; the invariants read it and judge.
+// The state of jobs, attempts, node incarnations, daemons and connections that follows from the message log
+// read so far. The model only applies the messages; the invariants read it and report violations.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_MESSAGE_LOG_MODEL_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_MESSAGE_LOG_MODEL_HPP_
 
@@ -20,23 +20,23 @@
 
 inline constexpr Micros kNever = std::numeric_limits<Micros>::max();
 
-// One try to start a job at a node.
+// One attempt to start a job on a node.
 struct Attempt {
   std::string id;
   std::string job;
   std::string daemon;
   std::string node;
-  std::string key;  // idempotency key with its user; empty: none
+  std::string key;  // user and idempotency key; empty: no key
   std::string queue;
   std::string service;
   ConnectionId connection;
   LogPosition sent;
-  LogPosition committed;  // line 0: no commit was sent
-  LogPosition accepted;   // line 0: not seen to be accepted
+  LogPosition committed;  // line 0: no commit sent so far
+  LogPosition accepted;   // line 0: no acceptance seen so far
   Micros ended = kNever;
-  Micros in_flight_until = kNever;  // it was answered or abandoned then
-  bool never_ran = false;           // shown by the node, or no commit was sent
-  bool known_to_daemon = true;      // false after its daemon was killed, until the daemon learns of it again
+  Micros in_flight_until = kNever;  // time at which it was answered or abandoned
+  bool never_ran = false;           // the node's reply showed it, or no commit was sent
+  bool known_to_daemon = true;      // false from the kill of its daemon until the daemon reads of it again
 
   [[nodiscard]] bool is_committed() const { return committed.line != 0; }
   [[nodiscard]] bool is_accepted() const { return accepted.line != 0; }
@@ -50,33 +50,36 @@
   LogPosition committed;
   LogPosition answered;
   Micros deadline = 0;
-  std::string answer;              // empty: none yet
+  std::string answer;              // empty: not answered yet
   std::set<ConnectionId> waiting;  // connections on which a client waits for the answer
   bool has_key = false;            // the job itself was submitted with an idempotency key
-  bool forgotten = false;          // its daemon says that it does not know it
+  bool forgotten = false;          // its daemon replied that it does not know the job
 };
 
-// A node from its start to its end.
+// One run of a node, from its start to its end.
 struct NodeIncarnation {
   LogPosition started;
-  std::set<std::string> known_to;  // daemons that have seen that it started
+  std::set<std::string> known_to;  // daemons that have read of this start
 };
 
-// Daemons and the time and line at which each first read that a node drains or is gone.
+// The position at which a daemon first read that a node is draining or has left.
 using DrainNotices = std::map<std::pair<std::string, std::string>, LogPosition>;  // by (daemon, node)
 
+// An interval during which a daemon was down or stalled, in microseconds.
 struct Outage {
   Micros from = 0;
   Micros to = kNever;
 };
 
+// Applies the entries of a message log in order.
 class MessageLogModel {
  public:
   MessageLogModel(HeadEntry head, Verdict* verdict) : head_(std::move(head)), verdict_(verdict) {}
 
-  // Each follows one message.
+  // Each of these functions applies one log entry.
   void AddPendingRequest(const RequestEntry& request);
-  // The request that this reply belongs to: replies come in the order of their requests. None: a violation.
+  // Removes and returns the oldest pending request of the connection: replies arrive in the order of their
+  // requests. Returns nullopt if no request is pending, which the caller reports as a violation.
   [[nodiscard]] std::optional<RequestEntry> TakePendingRequest(const ConnectionId& connection);
   void OnClientRequest(const RequestEntry& request);
   void OnJobCommitted(const ReplyEntry& reply, LogPosition position);
@@ -88,24 +91,26 @@
   void OnEvent(const EventEntry& event, LogPosition position);
   void OnClientGaveUp(const std::string& job, LogPosition position);
 
-  // An attempt is checked between these two, against what was known before it.
+  // The caller checks an attempt after MakeAttempt() and before AddAttempt(), so that the checks see the
+  // state before the attempt.
   [[nodiscard]] Attempt MakeAttempt(const RequestEntry& request, LogPosition position);
   void AddAttempt(Attempt attempt);
-  // The attempt needs no further answer: it was answered, abandoned or cut off.
+  // Marks the attempt as no longer in flight because it was answered, abandoned or its connection closed.
   static void EndAttempt(Attempt* attempt, Micros now);
 
   [[nodiscard]] const HeadEntry& head() const { return head_; }
   [[nodiscard]] const TaskClass& ClassOf(const std::string& queue) const;
-  // The failure domain of a node, by name. An unknown node is a domain of its own.
+  // Returns the name of the failure domain of a node. An unknown node is a domain of its own.
   [[nodiscard]] std::string DomainOf(const std::string& node, SpreadDomain domain) const;
   [[nodiscard]] Job* FindJob(const std::string& id);
   [[nodiscard]] Attempt* FindAttempt(const std::string& id);
   [[nodiscard]] const std::map<std::string, Job>& jobs() const { return jobs_; }
-  // Attempts in the order in which they were sent.
+  // Return attempts in the order in which they were sent.
   [[nodiscard]] std::vector<const Attempt*> AttemptsOfJob(const std::string& job) const;
   [[nodiscard]] std::vector<const Attempt*> AttemptsOfService(const std::string& daemon,
                                                               const std::string& service) const;
-  // Ids of accepted attempts that are not idempotent without their key, by key, in the order of acceptance.
+  // Returns the ids of accepted attempts whose class is idempotent only with a key, by key, in the order of
+  // acceptance.
   [[nodiscard]] const std::map<std::string, std::vector<std::string>>& accepted_by_key() const {
     return accepted_by_key_;
   }
@@ -114,9 +119,9 @@
   [[nodiscard]] const DrainNotices& drain_notices() const { return drain_notices_; }
   [[nodiscard]] std::vector<Outage> OutagesOf(const std::string& daemon) const;
   [[nodiscard]] bool WasDeleted(const std::string& job) const { return deleted_.contains(job); }
-  // The line at which the client of a job says that it got no answer.
+  // Returns the line in which the client of the job logged that it received no answer, if there is one.
   [[nodiscard]] std::optional<std::size_t> ClientGaveUp(const std::string& job) const;
-  // Of the event that ends the scenario, 0 when there is none.
+  // Returns the time of the event that ends the scenario, or 0 if there is none.
   [[nodiscard]] Micros end_time() const { return end_time_; }
 
  private:
@@ -136,7 +141,7 @@
   HeadEntry head_;
   Verdict* verdict_;
   std::map<ConnectionId, std::deque<RequestEntry>> pending_requests_;
-  std::map<ConnectionId, RequestEntry> submissions_;  // the last on each connection
+  std::map<ConnectionId, RequestEntry> submissions_;  // the last submission on each connection
   std::map<std::string, Job> jobs_;
   std::set<std::string> deleted_;
   std::map<std::string, std::size_t> client_gave_up_;
--- a/tools/chaos/node_list_recorder.hpp
+++ b/tools/chaos/node_list_recorder.hpp
@@ -1,5 +1,5 @@
-// Reads node lists from the bytes that pass between a daemon and the registry, Consul or etcd, and logs what
-// the daemon received.
+// Decodes the node lists in the traffic between a daemon and the registry (Consul or etcd), and logs each
+// list as the daemon received it.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_NODE_LIST_RECORDER_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_NODE_LIST_RECORDER_HPP_
 
@@ -20,20 +20,24 @@
 
 inline constexpr char kNodeListPrefix[] = "mountflow/nodes/";
 
-// The node list of one daemon, from all its connections to the registry.
+// The node list that one daemon has received over all its connections to the registry.
 class NodeListRecorder {
  public:
   NodeListRecorder(event_loop::EventLoop* loop, MessageLogWriter* log, std::string daemon)
       : loop_(loop), log_(log), daemon_(std::move(daemon)) {}
 
-  // Called with the number of nodes of each list that passed.
+  // Called for each list that passes, with its number of nodes.
   std::function<void(std::size_t)> on_node_list;
 
+  // Replaces the whole list.
   void Replace(const std::vector<discovery::KeyValue>& entries);
+  // Applies changes to single keys.
   void Apply(const std::vector<discovery::KeyChange>& changes);
-  // Logs the list if it differs from the one logged last: other keys change all the time.
+  // Logs the list if it differs from the last logged one. Most changes concern other keys and leave it
+  // unchanged.
   void Log();
-  // A new connection may read another list: the next one is logged in any case.
+  // Makes the next Log() write the list even if it is unchanged, because a new connection may read another
+  // list.
   void ForgetLogged() { last_logged_ = nullptr; }
 
  private:
@@ -51,13 +55,13 @@
   json last_logged_;
 };
 
-// The HTTP messages of one connection to the registry.
+// Decodes the HTTP messages of one connection to the registry.
 class NodeListConnection {
  public:
   explicit NodeListConnection(NodeListRecorder* recorder);
 
   void OnRequestBytes(std::string_view bytes);
-  // When the bytes go on to the daemon.
+  // Must be called when the bytes are forwarded to the daemon, not when the proxy receives them.
   void OnReplyBytes(std::string_view bytes);
 
  private:
@@ -68,9 +72,9 @@
   NodeListRecorder* recorder_;
   http::Reader requests_;
   http::Reader replies_;
-  std::deque<bool> reads_node_list_;             // by request whose reply is to come
-  std::vector<discovery::KeyValue> read_pages_;  // etcd: of a read in several pages
-  std::string watch_bytes_;                      // etcd: of a watch message that is not complete
+  std::deque<bool> reads_node_list_;             // one element for each request without a reply yet
+  std::vector<discovery::KeyValue> read_pages_;  // etcd: entries so far of a read in several pages
+  std::string watch_bytes_;                      // etcd: bytes of an incomplete watch message
 };
 
 }  // namespace mountflow::chaos
--- a/tools/chaos/recording_proxy.hpp
+++ b/tools/chaos/recording_proxy.hpp
@@ -1,5 +1,5 @@
 // Proxies between the programs of a chaos test. Each forwards the bytes of its connections, logs every
-// message that it sees, and can hold, delay or cut what passes.
+// message, and can hold, delay or cut the traffic.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_RECORDING_PROXY_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_RECORDING_PROXY_HPP_
 
@@ -20,30 +20,32 @@
 
 namespace mountflow::chaos {
 
-// What a proxy does to what passes.
+// The disturbances that a proxy applies to its traffic.
 struct TrafficControl {
   bool hold_requests = false;
   bool hold_replies = false;
   Micros reply_delay = 0;
-  bool reject_connections = false;   // new ones are reset
-  std::size_t reply_piece_size = 0;  // bytes of replies that pass every kReplyPieceInterval; 0: all
+  bool reject_connections = false;   // new connections are reset
+  std::size_t reply_piece_size = 0;  // reply bytes forwarded every kReplyPieceInterval; 0: no limit
 };
+// Microseconds.
 inline constexpr Micros kReplyPieceInterval = 20'000;
 
-// The loop and the log must outlive the proxy.
+// One listening port and the connections accepted on it. The loop and the log must outlive the proxy.
 class RecordingProxy : public event_loop::ConnectionHandler {
  public:
-  // `peer` is the node or daemon behind the proxy; for kNodeList the daemon that reads.
+  // `peer` is the node or daemon behind the proxy; for kNodeList, the daemon that reads the list.
   RecordingProxy(event_loop::EventLoop* loop, MessageLogWriter* log, ProxyPoint point, std::string peer);
 
   [[nodiscard]] tl::expected<void, event_loop::EventLoopError> Listen();
   [[nodiscard]] std::string address() const;
   void SetUpstream(std::string address) { upstream_ = std::move(address); }
   void SetControl(const TrafficControl& control);
+  // Closes all connections.
   void CutAll();
-  // After so many more bytes of replies the connection that got the last of them is cut, once.
+  // Cuts one connection, once: the one that carries the last of the next `bytes` bytes of replies.
   void CutAfterReplyBytes(std::size_t bytes) { reply_bytes_until_cut_ = bytes; }
-  // kNodeList: called with the number of nodes of each list that passed.
+  // For kNodeList: `callback` is called for each list that passes, with its number of nodes.
   void SetNodeListCallback(std::function<void(std::size_t)> callback);
 
   void OnAccepted(event_loop::ListenerId listener, event_loop::ConnId connection,
@@ -63,7 +65,7 @@
     event_loop::ConnId server = 0;
     std::string undecoded_requests;
     std::string undecoded_replies;
-    bool is_malformed = false;  // what passes is not the protocol: forwarded, not logged
+    bool is_malformed = false;  // a message did not decode; bytes are forwarded but no longer logged
     std::deque<Chunk> to_server;
     std::deque<Chunk> to_client;
     std::size_t held_bytes = 0;
@@ -88,12 +90,13 @@
   std::string upstream_;
   event_loop::ListenerId listener_ = 0;
   TrafficControl control_;
-  NodeListRecorder node_list_;             // of kNodeList
-  std::size_t reply_bytes_until_cut_ = 0;  // 0: no cut is due
+  NodeListRecorder node_list_;             // used for kNodeList
+  std::size_t reply_bytes_until_cut_ = 0;  // 0: no cut planned
   std::map<std::uint64_t, Relay> relays_;
   std::map<event_loop::ConnId, std::uint64_t> relay_of_connection_;
   std::uint64_t last_number_ = 0;
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);  // timers outlive the proxy
+  std::shared_ptr<int> alive_ =
+      std::make_shared<int>(0);  // tells timers that outlive the proxy that it is destroyed
 };
 
 }  // namespace mountflow::chaos
--- a/tools/chaos/registry_fault_injector.hpp
+++ b/tools/chaos/registry_fault_injector.hpp
@@ -1,4 +1,4 @@
-// Injects faults between the daemons and the registry, and into the registry stand-in itself.
+// Injects faults into the connections between the daemons and the registry, and into the registry stand-in.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_REGISTRY_FAULT_INJECTOR_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_REGISTRY_FAULT_INJECTOR_HPP_
 
@@ -15,7 +15,7 @@
   RegistryFaultInjector(const ClusterContext& context, Cluster* cluster)
       : context_(context), cluster_(cluster) {}
 
-  // Faults of other kinds are ignored.
+  // Starts the fault. Ignores faults that do not concern the registry.
   void Inject(const Fault& fault);
 
  private:
@@ -36,7 +36,7 @@
   void Empty(const Fault& fault);
   void Flood(const Fault& fault);
 
-  // A scripted fault of the registry stand-in.
+  // Requests a scripted fault from the registry stand-in.
   void ControlStandIn(const std::string& parameters);
   void After(double seconds, std::function<void()> call);
 
--- a/tools/chaos/run_error.hpp
+++ b/tools/chaos/run_error.hpp
@@ -1,4 +1,4 @@
-// Why a scenario could not be run to its end.
+// Errors that stop a scenario before its end.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_RUN_ERROR_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_RUN_ERROR_HPP_
 
@@ -9,14 +9,14 @@
 
 struct RunError {
   enum class Code : std::uint8_t {
-    kMessageLog,           // `detail` says why it cannot be written
-    kListen,               // `detail` says why a proxy cannot listen
-    kCannotStart,          // `program`: `detail` is the system's error
-    kNotReady,             // some program was not ready in time
-    kUnexpectedFirstLine,  // of a daemon: `detail`
-    kUnexpectedEnd,        // of `program`; its logs are in the folder `detail`
-    kUncleanStop,          // `program` did not end by itself with status 0 after SIGTERM: `detail`
-    kConfigNotWritten,     // the file `detail`
+    kMessageLog,           // the message log cannot be written; `detail`: the reason
+    kListen,               // a proxy cannot listen; `detail`: the reason
+    kCannotStart,          // `program` cannot be started; `detail`: the system's error
+    kNotReady,             // a program was not ready before the start timeout
+    kUnexpectedFirstLine,  // a daemon printed the unexpected first line `detail`
+    kUnexpectedEnd,        // `program` ended; its logs are in the folder `detail`
+    kUncleanStop,          // `program` did not exit by itself with status 0 after SIGTERM; see `detail`
+    kConfigNotWritten,     // the configuration file `detail` cannot be written
   };
   Code code = Code::kNotReady;
   std::string program;
--- a/tools/chaos/runner.hpp
+++ b/tools/chaos/runner.hpp
@@ -12,18 +12,18 @@
 namespace mountflow::chaos {
 
 struct RunOptions {
-  std::string program_folder;         // of mountflowd, mountflow-node and mountflow-registry-standin
-  std::string daemon = "mountflowd";  // program run as the daemon, or a path to one
-  std::string folder;                 // for the message log, configurations and logs; made when missing
+  std::string program_folder;         // contains mountflowd, mountflow-node and mountflow-registry-standin
+  std::string daemon = "mountflowd";  // name or path of the program run as the daemon
+  std::string folder;                 // for the message log, configurations and logs; created if missing
   bool quiet = false;                 // do not print events
 };
 
 struct RunResult {
-  std::string message_log;  // file
-  std::string summary;      // what the clients saw
+  std::string message_log;  // path of the file
+  std::string summary;      // counts of jobs and answers, as the clients saw them
 };
 
-// Blocks until the scenario has run to its end. One at a time in a process.
+// Runs the scenario and blocks until its end. A process must run at most one scenario at a time.
 [[nodiscard]] tl::expected<RunResult, RunError> RunScenario(const Scenario& scenario,
                                                             const RunOptions& options);
 
--- a/tools/chaos/scenario_generator.hpp
+++ b/tools/chaos/scenario_generator.hpp
@@ -11,17 +11,18 @@
 
 namespace mountflow::chaos {
 
-// The text of the default scenario with these faults in place of its own. Names: crash, hang, pauses,
-// mass_restart, discovery_stale, zone_loss, grow, shrink, ageing, class_fail, neighbour, reconnect, burst,
-// heavy_tail, daemon_kill, daemon_stop, daemon_reload. Times and sizes are drawn from the seed: the same
-// names and seed give the same text.
+// Returns the text of the default scenario with its faults replaced by the named ones. The names are crash,
+// hang, pauses, mass_restart, discovery_stale, zone_loss, grow, shrink, ageing, class_fail, neighbour,
+// reconnect, burst, heavy_tail, daemon_kill, daemon_stop and daemon_reload. Times and sizes are drawn from a
+// random generator that starts from `seed`, so the same names and seed give the same text.
 [[nodiscard]] tl::expected<std::string, ScenarioError> GenerateScenario(
     const std::vector<std::string>& fault_names, std::uint64_t seed);
 
-// The faults of one run of the soak: those of daemons, and three others.
+// Returns the fault names of one run of the soak test: the faults of daemons and three others drawn by
+// `seed`.
 [[nodiscard]] std::vector<std::string> DrawSoakFaults(std::uint64_t seed);
 
-extern const char kDefaultScenario[];  // embedded, as JSON with comments
+extern const char kDefaultScenario[];  // JSON with comments
 
 }  // namespace mountflow::chaos
 
--- a/tools/chaos/slow_start_invariant.hpp
+++ b/tools/chaos/slow_start_invariant.hpp
@@ -1,4 +1,4 @@
-// Invariant 4: daemons that know that a node is warming up do not together overrun its slow-start budget.
+// Invariant 4: the daemons that know that a node is warming up do not together exceed its slow-start budget.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_SLOW_START_INVARIANT_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_SLOW_START_INVARIANT_HPP_
 
@@ -22,16 +22,18 @@
     Micros time = 0;
     std::string daemon;
   };
-  // The attempts that one incarnation of a node got within the overload window.
+  // The attempts that one incarnation of a node received within the overload window.
   struct Load {
     std::size_t incarnation_line = 0;
     std::deque<ReceivedAttempt> recent;
-    bool is_reported = false;  // one violation an incarnation
+    bool is_reported = false;  // at most one violation per incarnation
   };
   Load& LoadOf(const std::string& node, const NodeIncarnation& incarnation);
-  // Attempts that the node can take within the overload window at this age.
+  // Returns the number of attempts that a node of this age in microseconds can take within the overload
+  // window.
   [[nodiscard]] double BudgetAt(Micros age) const;
-  // At least two thirds of them are from daemons that know that the node is warming up.
+  // Reports whether at least two thirds of the attempts are from daemons that know that the node is warming
+  // up.
   [[nodiscard]] static bool MostlyInformed(std::size_t informed, std::size_t all);
 
   const MessageLogModel* model_;
--- a/tools/chaos/topology_spread_invariant.hpp
+++ b/tools/chaos/topology_spread_invariant.hpp
@@ -1,4 +1,4 @@
-// Invariant 5: a daemon has no more tasks of a service in one failure domain than their class allows.
+// Invariant 5: a daemon has at most as many tasks of a service in one failure domain as their class allows.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_TOPOLOGY_SPREAD_INVARIANT_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_TOPOLOGY_SPREAD_INVARIANT_HPP_
 
@@ -11,11 +11,11 @@
   TopologySpreadInvariant(const MessageLogModel* model, Verdict* verdict)
       : model_(model), verdict_(verdict) {}
 
-  // Before the model has the attempt.
+  // Checks an attempt. Must be called before the attempt is added to the model.
   void OnAttempt(const Attempt& attempt, LogPosition position);
 
  private:
-  // Its daemon counts it as running or about to run.
+  // Reports whether the daemon of the attempt counts it as running or about to run.
   [[nodiscard]] static bool CountsForSpread(const Attempt& attempt);
 
   const MessageLogModel* model_;
--- a/tools/chaos/verdict.hpp
+++ b/tools/chaos/verdict.hpp
@@ -1,4 +1,4 @@
-// What checking a message log found: violations of invariants, and how much was looked at.
+// The result of checking a message log: the violations of invariants, and the number of items checked.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_VERDICT_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_VERDICT_HPP_
 
@@ -32,23 +32,23 @@
   Invariant invariant = Invariant::kLogConsistency;
   Micros time = 0;
   std::string text;
-  std::vector<std::size_t> lines;  // of the log, from 1: the messages that show it
+  std::vector<std::size_t> lines;  // line numbers in the log, from 1, of the messages that show the violation
 };
 
 struct Verdict {
-  std::vector<Violation> violations;  // by time; at equal times in the order in which they were found
-  std::string error;                  // not empty: the log could not be checked to its end
-  // Coverage: a verdict on nothing is none.
+  std::vector<Violation> violations;  // by time, then in the order in which they were found
+  std::string error;                  // not empty if the log could not be checked to its end
+  // Coverage. A log without jobs or attempts has no violations either, so the counts show what was checked.
   std::uint64_t jobs = 0;
   std::uint64_t answered = 0;
   std::uint64_t attempts = 0;
   std::uint64_t accepted = 0;
   std::uint64_t rejected_by_nodes = 0;
   std::uint64_t drain_notices = 0;
-  std::uint64_t incarnations = 0;  // nodes that started while the scenario ran
+  std::uint64_t incarnations = 0;  // node starts during the scenario
   std::uint64_t attempts_while_warming_up = 0;
   std::uint64_t spread_checks = 0;
-  std::uint64_t excused = 0;  // jobs without an answer that were not due one
+  std::uint64_t excused = 0;  // unanswered jobs for which no answer was due
   std::map<std::string, std::uint64_t> answers;
 
   void AddViolation(Invariant invariant, Micros time, std::string text, std::vector<std::size_t> lines);
@@ -57,7 +57,7 @@
 
 inline constexpr std::size_t kMaxPrintedViolations = 20;
 
-// The report for people, also read by scripts: its form is stable.
+// Returns a report for people. Scripts parse it too, so its format must stay stable.
 [[nodiscard]] std::string Report(const Verdict& verdict, std::size_t max_violations = kMaxPrintedViolations);
 
 }  // namespace mountflow::chaos
--- a/tools/chaos/workload.hpp
+++ b/tools/chaos/workload.hpp
@@ -1,6 +1,6 @@
-// The batch clients of a chaos test. Each job is submitted over a connection of its own, and its answer
-// awaited there; one with a key is retried at the next daemon when no reply comes. Everything goes into the
-// clients' log.
+// The batch clients of a chaos test. Each job is submitted over its own connection, on which the client then
+// waits for the answer. A submission with an idempotency key is retried at the next daemon if no reply
+// arrives. The clients' observations are written to the message log.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_WORKLOAD_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_WORKLOAD_HPP_
 
@@ -19,27 +19,29 @@
 
 namespace mountflow::chaos {
 
-// The loop and the log must outlive the workload, and the loop must not run after its end.
+// Simulates all clients. The loop and the log must outlive the workload, and the loop must not run after the
+// workload is destroyed.
 class Workload : public event_loop::ConnectionHandler {
  public:
-  // `daemons`: addresses of the proxies before them. `hard_limits`: how long a client waits, by queue.
+  // `daemons`: addresses of the proxies in front of the daemons. `hard_limits`: the longest time in
+  // microseconds that a client waits for an answer, by queue.
   Workload(event_loop::EventLoop* loop, MessageLogWriter* log, std::vector<std::string> daemons,
            std::map<std::string, Micros> hard_limits, std::uint64_t seed);
 
-  // Submits jobs until `until`.
+  // Submits jobs at random times until `until`.
   void Start(const std::vector<WorkloadSpec>& specs, Micros until);
   void SetRateFactor(double factor) { rate_factor_ = factor; }
-  // Clients stop this share of the running services, and submit their jobs again within the time.
+  // Stops this share of the running services and submits their jobs again within `within` microseconds.
   void RestartServices(double share, Micros within);
-  // Cancels so many of the jobs that are submitted from now on, each at a random moment of its submission.
+  // Cancels the next `count` jobs that are submitted, each at a random moment of its submission.
   void CancelJobs(int count) { jobs_to_cancel_ += count; }
-  // A client that goes away during its submission.
+  // Starts a submission and disconnects before its end.
   void AbortSubmission();
-  // A client that sends a part of a request and goes away.
+  // Sends an incomplete request and disconnects.
   void SendHalfFrame();
   [[nodiscard]] std::size_t open_jobs() const { return jobs_.size(); }
   [[nodiscard]] std::uint64_t submitted() const { return submitted_; }
-  // How many jobs ended with each answer, or event where there was none.
+  // Returns the number of jobs that ended with each answer, or with each event if there was no answer.
   [[nodiscard]] const std::map<std::string, std::uint64_t>& answers() const { return answers_; }
 
   void OnReceived(event_loop::ConnId connection, std::string_view bytes) override;
@@ -55,17 +57,17 @@
     std::string key;  // empty: none
     std::string run_seconds;
     std::size_t daemon = 0;
-    event_loop::ConnId connection = 0;  // 0: between two
+    event_loop::ConnId connection = 0;  // 0: not connected, between two tries
     Step step = Step::kSubmitting;
-    unsigned replies_to_come = 0;  // of the submission
-    std::string id;                // of the daemon; empty: not known yet
+    unsigned replies_to_come = 0;  // replies to the submission that are still missing
+    std::string id;                // assigned by the daemon; empty: not known yet
     std::string input;
     Micros deadline = 0;
-    Micros earlier_deadline = 0;  // of an earlier attempt that may have been committed; 0: none
+    Micros earlier_deadline = 0;  // deadline of an earlier try that may have been committed; 0: none
     unsigned tries = 0;
-    bool cancel = false;  // to be cancelled once its id is known
+    bool cancel = false;  // cancel the job once its id is known
   };
-  // A job that was answered as placed: it may be stopped and submitted again.
+  // A job that was answered as placed. RestartServices() may stop it and submit it again.
   struct RunningJob {
     std::string id;
     std::size_t daemon = 0;
@@ -101,7 +103,7 @@
   double rate_factor_ = 1.0;
   std::uint64_t last_number_ = 0;
   std::uint64_t submitted_ = 0;
-  std::map<std::uint64_t, ClientJob> jobs_;  // without a final answer, by number
+  std::map<std::uint64_t, ClientJob> jobs_;  // jobs without a final answer, by number
   std::map<event_loop::ConnId, std::uint64_t> job_of_connection_;
   std::vector<RunningJob> running_;
   std::map<std::string, std::uint64_t> answers_;
