--- a/tools/chaos/child_process.cpp
+++ b/tools/chaos/child_process.cpp
@@ -14,10 +14,10 @@
 namespace mountflow::chaos {
 namespace {
 
-constexpr int kExitNotStarted = 127;  // as a shell has it
+constexpr int kExitNotStarted = 127;  // the value that shells use for a command that cannot be run
 constexpr int kLogFileMode = 0644;
 
-// Between fork and exec: only calls that are safe there.
+// Runs between fork() and exec(), so it makes only async-signal-safe calls.
 [[noreturn]] void Execute(const std::vector<char*>& argv, int output, int log, pid_t parent) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (getppid() != parent) _exit(kExitNotStarted);  // the parent died before prctl
@@ -61,7 +61,7 @@
   return {};
 }
 
-// Reads to the end of the output, so that the child never blocks; only the first line is kept.
+// Reads the output to its end, so that the child never blocks on a full pipe. Only the first line is used.
 void ChildProcess::AwaitFirstLine(int fd, std::function<void(const std::string&)> on_ready) {
   fcntl(fd, F_SETFL, O_NONBLOCK);
   auto text = std::make_shared<std::string>();
--- a/tools/chaos/cluster.cpp
+++ b/tools/chaos/cluster.cpp
@@ -17,7 +17,7 @@
 constexpr const char* kNodeProgram = "mountflow-node";
 constexpr const char* kLoopback = "127.0.0.1:";
 constexpr double kMicrosPerSecond = 1e6;
-constexpr double kStopLimitSeconds = 15.0;  // from SIGTERM; more than the daemon's stop_grace_s
+constexpr double kStopLimitSeconds = 15.0;  // from SIGTERM to exit; exceeds the daemon's stop_grace_s
 constexpr double kMillisPerSecond = 1e3;
 
 }  // namespace
@@ -90,7 +90,7 @@
   return tl::unexpected(RunError{RunError::Code::kCannotStart, kRegistryProgram, started.error().message()});
 }
 
-// Its line ends with its port.
+// The registry stand-in's first line ends with its port.
 void Cluster::OnRegistryReady(const std::string& first_line) {
   registry_address_ = kLoopback + first_line.substr(first_line.rfind(' ') + 1);
   for (ClusterDaemon& daemon : daemons_) daemon.node_list_proxy->SetUpstream(registry_address_);
@@ -105,7 +105,7 @@
   on_failure_({RunError::Code::kCannotStart, kNodeProgram, started.error().message()});
 }
 
-// mountflow-node ready: control PORT NODE PORT NODE PORT ...
+// The first line has the form "mountflow-node ready: control PORT NODE PORT NODE PORT ...".
 void Cluster::OnNodesReady(const std::string& first_line) {
   std::istringstream words(first_line);
   std::string word;
@@ -124,7 +124,7 @@
                    {daemon.name, daemon.report_proxy->address(), daemon.node_list_proxy->address(),
                     FileNamed(daemon.name + ".log"), FileNamed(daemon.name + ".state")});
     if (!WriteFile(daemon.name + ".json", file)) {
-      return on_failure_({RunError::Code::kConfigNotWritten, "", "a configuration"});
+      return on_failure_({RunError::Code::kConfigNotWritten, "", "the configuration of a daemon"});
     }
     StartDaemon(i);
   }
@@ -141,7 +141,7 @@
   on_failure_({RunError::Code::kCannotStart, daemon.name, started.error().message()});
 }
 
-// mountflowd NAME ready: batch PORT, http PORT
+// The first line has the form "mountflowd NAME ready: batch PORT, http PORT".
 void Cluster::OnDaemonReady(std::size_t index, const std::string& first_line) {
   static const std::string kBeforePort = "batch ";
   ClusterDaemon& daemon = daemons_[index];
@@ -167,7 +167,7 @@
   const auto limit = static_cast<Micros>(kStopLimitSeconds * kMicrosPerSecond);
   context_.loop->AddTimer(context_.loop->Now() + limit, [this, index] {
     if (!daemons_[index].is_stopping) return;
-    on_failure_({RunError::Code::kUncleanStop, daemons_[index].name, "it still runs"});
+    on_failure_({RunError::Code::kUncleanStop, daemons_[index].name, "the process is still running"});
   });
 }
 
@@ -182,7 +182,7 @@
   context_.loop->AddTimer(context_.loop->Now() + delay, [this, index] { StartDaemon(index); });
 }
 
-// A fault that kills a daemon marks it as down before.
+// A fault sets `is_up` to false before it kills a daemon, so an exit with `is_up` set is unexpected.
 void Cluster::OnDaemonExit(std::size_t index, int status) {
   ClusterDaemon& daemon = daemons_[index];
   if (daemon.is_stopping && !is_stopping_) return OnDaemonStopped(index, status);
@@ -232,7 +232,7 @@
   context_.loop->Close(connection);
 }
 
-// Consul's stand-in holds changes back itself; for etcd the proxies delay its replies.
+// The Consul stand-in delays changes itself. For etcd, the proxies delay the registry's replies.
 void Cluster::DelayNodeLists(double seconds) {
   if (!context_.scenario->uses_etcd) {
     const auto millis = static_cast<long>(seconds * kMillisPerSecond);
--- a/tools/chaos/cluster.hpp
+++ b/tools/chaos/cluster.hpp
@@ -59,10 +59,10 @@
   Cluster(const ClusterContext& context, std::function<void()> on_ready,
           std::function<void(const RunError&)> on_failure);
 
-  // Opens the proxies, writes the head of the message log, and starts the first program. Each further program
-  // is started when the one before it is ready.
+  // Opens the proxies, writes the head of the message log, and starts the first program. The program of
+  // the nodes is started when the registry is ready, and the daemons when the nodes are ready.
   [[nodiscard]] tl::expected<void, RunError> Start();
-  // Kills all programs with SIGKILL.
+  // Kills all programs with SIGKILL and waits until they have ended.
   void KillAll();
 
   [[nodiscard]] std::vector<ClusterNode>& nodes() { return nodes_; }
--- a/tools/chaos/cluster_config.cpp
+++ b/tools/chaos/cluster_config.cpp
@@ -7,7 +7,7 @@
 
 using nlohmann::json;
 
-constexpr Micros kAllowance = 500'000;  // of the invariant checker, for delays of a busy host
+constexpr Micros kAllowance = 500'000;  // microseconds; tolerated delay of a busy test host
 constexpr double kMicrosPerSecond = 1e6;
 constexpr double kMillisPerSecond = 1e3;
 
@@ -48,7 +48,7 @@
   return classes;
 }
 
-// Full capacity of a node.
+// Returns the full capacity of a node, in task starts per second.
 double StartsPerSecond(const json& node) {
   return node["starts"].get<double>() * kMillisPerSecond /
          (node["start_ms"].get<double>() * node["setup"].get<double>());
--- a/tools/chaos/default_scenario.cpp
+++ b/tools/chaos/default_scenario.cpp
@@ -3,8 +3,9 @@
 namespace mountflow::chaos {
 
 const char kDefaultScenario[] = R"json({
-  // The rough day: forty nodes of which a third die together and return cold under three daemons, a stall, a
-  // drain, a late list, a daemon killed mid-placement, clients that go away and cancel.
+  // Three daemons and forty nodes, of which a third die together and have to warm up after their restart. Further
+  // faults are a stall, a drain, a delayed node list, a daemon killed during placements, and clients that
+  // disconnect or cancel jobs.
   "name": "rough", "length_s": 24, "seed": 7, "daemons": 3, "nodes": 40, "list_delay_s": 1.0,
   "node": {"admit_ms": 8, "start_ms": 20, "setup": 8, "starts": 4, "cold_s": 8, "fall_s": 2},
   "settings": {"safety": {"cold_us": 8000000, "tip_after_us": 2000000}},
--- a/tools/chaos/duplicate_effect_invariant.cpp
+++ b/tools/chaos/duplicate_effect_invariant.cpp
@@ -5,7 +5,7 @@
 namespace mountflow::chaos {
 namespace {
 
-// Messages on different connections may be seen in another order within this time.
+// Messages on different connections may be logged out of order by up to this many microseconds.
 constexpr Micros kReorderTolerance = 50'000;
 
 }  // namespace
@@ -17,7 +17,7 @@
   }
 }
 
-// `earlier` may have run.
+// Checks an attempt after `earlier`, which was committed and may have run.
 void DuplicateEffectInvariant::CheckRetry(const Attempt& attempt, const Attempt& earlier,
                                           LogPosition position) {
   const Effect effect = model_->ClassOf(attempt.queue).effect;
@@ -31,7 +31,8 @@
   }
 }
 
-// A node recognises a key only within its deduplication scope and window.
+// Checks that the node of the retry recognises the key. It does so only within the deduplication scope and
+// window of the earlier attempt.
 void DuplicateEffectInvariant::CheckRetryWithKey(const Attempt& attempt, const Attempt& earlier,
                                                  LogPosition position) {
   const TaskClass& task_class = model_->ClassOf(attempt.queue);
--- a/tools/chaos/fault_injector.cpp
+++ b/tools/chaos/fault_injector.cpp
@@ -213,7 +213,8 @@
   workload_->SendHalfFrame();
 }
 
-// All living nodes of the given rack or zone; else the given number of living ones, at least one, drawn.
+// Returns all live nodes of the fault's rack or zone. A fault without rack and zone gets the given number or
+// share of the live nodes, at least one, chosen at random.
 std::vector<std::size_t> FaultInjector::ChooseNodes(const Fault& fault) {
   std::vector<std::size_t> chosen;
   const std::vector<ClusterNode>& nodes = cluster_->nodes();
--- a/tools/chaos/final_answer_invariant.cpp
+++ b/tools/chaos/final_answer_invariant.cpp
@@ -9,7 +9,7 @@
 
 constexpr Micros kMicrosPerMilli = 1000;
 
-// Answers after which a job must not run, as the daemon spells them.
+// Reports whether a job must not run after this answer. The texts are those that the daemon sends.
 bool SaysNotRunning(const std::string& answer) {
   return answer == "refused" || answer == "failed" || answer == "deleted";
 }
@@ -64,7 +64,7 @@
 }
 
 void FinalAnswerInvariant::CheckMissingAnswer(const std::string& id, const Job& job, Micros end_time) {
-  if (!job.answer.empty() || job.forgotten) return;  // a forgotten one is reported already
+  if (!job.answer.empty() || job.forgotten) return;  // OnUnknownJob() has reported a forgotten job
   const std::optional<std::size_t> gave_up = model_->ClientGaveUp(id);
   const bool waits = !job.waiting.empty() || gave_up;
   const bool log_ends_before_due = end_time <= DueTime(job);
@@ -78,7 +78,8 @@
                          std::move(lines));
 }
 
-// A job with a key may be answered by the task that another daemon's job with the same key started.
+// Jobs with a key are not checked: the answer may refer to a task that another daemon started for the same
+// key.
 void FinalAnswerInvariant::CheckPlacedWasAccepted(const std::string& id, const Job& job) {
   if (job.answer != "placed" || job.has_key) return;
   const std::vector<const Attempt*> attempts = model_->AttemptsOfJob(id);
--- a/tools/chaos/invariant_checker.cpp
+++ b/tools/chaos/invariant_checker.cpp
@@ -19,9 +19,9 @@
 
 using pbs_protocol::RequestType;
 
-// Feeds each entry to the model and to the invariants that it concerns. The order is an invariant of its own:
-// an attempt is checked against the model as it was before it, and the invariants run by their numbers, so
-// that violations found at one time are reported in that order.
+// Applies each entry to the model and to the invariants that it concerns. The order of the calls matters: an
+// attempt is checked before it is added to the model, and the invariants are checked by their numbers, so
+// that violations found at the same time are reported in that order.
 class InvariantChecker {
  public:
   InvariantChecker(HeadEntry head, Verdict* verdict)
@@ -46,7 +46,7 @@
 
  private:
   void On(const std::monostate&) {}
-  void On(const HeadEntry&) {}  // the first is read before; there is no other
+  void On(const HeadEntry&) {}  // the head is decoded before; a log has no second one
   void On(const CloseEntry& entry) { model_.OnConnectionClosed(entry.connection, position_.time); }
   void On(const NodeListEntry& list) { model_.OnNodeList(list, position_); }
   void On(const EventEntry& event) { model_.OnEvent(event, position_); }
@@ -115,7 +115,7 @@
     for (const StatusObjectEntry& object : reply.objects) OnStatus(request, reply.connection, object);
   }
 
-  // Only the daemon that committed a job has to know it.
+  // Ignores replies of other daemons: only the daemon that committed a job has to know it.
   void OnUnknownJob(const std::string& id, const ConnectionId& connection) {
     Job* const job = model_.FindJob(id);
     if (job == nullptr || job->daemon != connection.peer) return;
--- a/tools/chaos/log_entry.cpp
+++ b/tools/chaos/log_entry.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view kWaitForAnswer = "wait=answer";
 
-// Empty when the field is missing or not a string.
+// Returns the value of a text field, or an empty string if the field is missing or not a string.
 std::string TextOf(const json& object, const char* key) {
   const auto it = object.find(key);
   return it != object.end() && it->is_string() ? it->get<std::string>() : "";
@@ -38,7 +38,7 @@
   return text == "cell" ? DeduplicationScope::kRack : DeduplicationScope::kNone;
 }
 
-// "silent" classes are spread without a limit that could be checked.
+// "silent" classes are spread without a limit, so there is nothing to check.
 SpreadDomain SpreadOf(const std::string& text) {
   if (text == "none" || text == "silent") return SpreadDomain::kNone;
   if (text == "zone") return SpreadDomain::kZone;
--- a/tools/chaos/main.cpp
+++ b/tools/chaos/main.cpp
@@ -20,7 +20,7 @@
 
 using namespace mountflow;
 
-// Scripts read these.
+// Exit statuses. Scripts depend on these values.
 constexpr int kExitNoViolation = 0;
 constexpr int kExitViolations = 1;
 constexpr int kExitNotRun = 2;
@@ -31,7 +31,7 @@
   std::string fault_names;
   std::string message_log;
   std::string daemon = "mountflowd";
-  std::uint64_t seed = 0;  // 0: the scenario's own
+  std::uint64_t seed = 0;  // 0: use the seed of the scenario
   bool draws_soak = false;
   bool show = false;
   bool quiet = false;
@@ -73,7 +73,7 @@
   std::string source;
 };
 
-// The scenario that the options name; nullopt: the error is printed.
+// Returns the scenario that the options select. Prints the error and returns nullopt if it cannot be read.
 std::optional<ScenarioText> LoadScenario(const Options& options) {
   if (options.draws_soak || !options.fault_names.empty()) {
     const std::uint64_t seed = options.seed == 0 ? 1 : options.seed;
@@ -116,7 +116,7 @@
 
 }  // namespace
 
-// An exception here is a fault and ends the process by std::terminate, with its message.
+// An exception that reaches main() is a bug; std::terminate prints its message and ends the process.
 // NOLINTNEXTLINE(bugprone-exception-escape): see above
 int main(int argc, char** argv) {
   CLI::App app{
--- a/tools/chaos/message_log.cpp
+++ b/tools/chaos/message_log.cpp
@@ -7,7 +7,7 @@
 namespace mountflow::chaos {
 namespace {
 
-constexpr std::size_t kMaxAttributeName = 40;  // longer ones are not logged
+constexpr std::size_t kMaxAttributeName = 40;  // bytes; attributes with longer names are not logged
 constexpr const char* kEnvironmentAttribute = "Variable_List";
 constexpr const char* kLoggedObjectAttributes[] = {"job_state", "answer",  "comment", "exit_status",
                                                    "exec_host", "started", "service", "queue"};
@@ -70,7 +70,7 @@
   if (!request.extension.empty()) fields["extension"] = request.extension;
   if (request.status != 0) fields["status"] = request.status;
   for (const pbs_protocol::Attribute& attribute : request.attributes) {
-    // The environment is long, and no invariant needs it.
+    // The job's environment is long and not needed by any invariant.
     if (attribute.name == kEnvironmentAttribute || attribute.name.size() > kMaxAttributeName) continue;
     const std::string name =
         attribute.resource.empty() ? attribute.name : attribute.name + "." + attribute.resource;
--- a/tools/chaos/message_log_model.cpp
+++ b/tools/chaos/message_log_model.cpp
@@ -8,8 +8,8 @@
 using pbs_protocol::Code;
 using pbs_protocol::RequestType;
 
-// Node lists give the start of a node in the clock of the node's program, which may read a little before the
-// runner's event.
+// Tolerance in microseconds for comparing the start time of a node in a node list with the runner's event.
+// The two times come from different processes, and the time in the list may be slightly earlier.
 constexpr Micros kStartTimeTolerance = 1'000'000;
 
 std::string ServiceIndexKey(const std::string& daemon, const std::string& service) {
@@ -59,13 +59,13 @@
 void MessageLogModel::OnNodeReply(const RequestEntry& request, const ReplyEntry& reply,
                                   LogPosition position) {
   if (request.type == RequestType::kStatusJob && request.id.empty()) return OnNodeStatus(request, reply);
-  // Every request about an attempt carries its name, the parts of a submission too.
+  // Every request about an attempt contains the attempt's id, including each request of a submission.
   if (Attempt* const attempt = FindAttempt(request.id)) {
     OnAttemptReply(attempt, request.type, reply.code, position);
   }
 }
 
-// A daemon read the whole state of a node: it knows the incarnation and the tasks again.
+// Applies a node's full status, from which the daemon learns the node's incarnation and tasks.
 void MessageLogModel::OnNodeStatus(const RequestEntry& request, const ReplyEntry& reply) {
   for (const StatusObjectEntry& object : reply.objects) {
     if (object.type == pbs_protocol::ObjectType::kServer) {
@@ -93,7 +93,7 @@
     case RequestType::kCommit:
       if (!rejected) Accept(attempt, position);
       EndAttempt(attempt, position.time);
-      // After a system error the node may still run the task.
+      // The node may still run the task after a system error.
       if (rejected && code != Code::kSystem) attempt->never_ran = true;
       return;
     case RequestType::kDeleteJob:
@@ -124,7 +124,7 @@
 void MessageLogModel::OnTaskReport(const std::string& attempt_id, LogPosition position) {
   Attempt* const attempt = FindAttempt(attempt_id);
   if (attempt == nullptr) return;
-  Accept(attempt, position);  // a task that ended was accepted, even when no reply was seen
+  Accept(attempt, position);  // a task that ended was accepted, even if no reply was logged
   attempt->ended = std::min(attempt->ended, position.time);
 }
 
@@ -215,7 +215,8 @@
   by_node_[node].clear();
 }
 
-// The daemon still has to answer the jobs that it committed, but starts again without a view of the nodes.
+// Discards the daemon's knowledge of the nodes. Its committed jobs remain: it must answer them after its
+// restart.
 void MessageLogModel::OnDaemonKilled(const std::string& daemon, Micros now) {
   for (auto& [id, attempt] : attempts_) {
     if (attempt.daemon != daemon) continue;
@@ -227,7 +228,7 @@
   for (auto& [node, incarnation] : incarnations_) incarnation.known_to.erase(daemon);
 }
 
-// Attempts are named JOB/NUMBER, jobs NUMBER.DAEMON.
+// Attempt ids have the form JOB/NUMBER, job ids the form NUMBER.DAEMON.
 Attempt MessageLogModel::MakeAttempt(const RequestEntry& request, LogPosition position) {
   ++verdict_->attempts;
   Attempt attempt;
--- a/tools/chaos/message_log_model.hpp
+++ b/tools/chaos/message_log_model.hpp
@@ -36,7 +36,7 @@
   Micros ended = kNever;
   Micros in_flight_until = kNever;  // time at which it was answered or abandoned
   bool never_ran = false;           // the node's reply showed it, or no commit was sent
-  bool known_to_daemon = true;      // false from the kill of its daemon until the daemon reads of it again
+  bool known_to_daemon = true;      // false from the end of its daemon until a node status names it
 
   [[nodiscard]] bool is_committed() const { return committed.line != 0; }
   [[nodiscard]] bool is_accepted() const { return accepted.line != 0; }
@@ -109,8 +109,8 @@
   [[nodiscard]] std::vector<const Attempt*> AttemptsOfJob(const std::string& job) const;
   [[nodiscard]] std::vector<const Attempt*> AttemptsOfService(const std::string& daemon,
                                                               const std::string& service) const;
-  // Returns the ids of accepted attempts whose class is idempotent only with a key, by key, in the order of
-  // acceptance.
+  // Returns the ids of accepted attempts that have a key and are not idempotent without it, by key, in the
+  // order of acceptance.
   [[nodiscard]] const std::map<std::string, std::vector<std::string>>& accepted_by_key() const {
     return accepted_by_key_;
   }
--- a/tools/chaos/node_list_recorder.cpp
+++ b/tools/chaos/node_list_recorder.cpp
@@ -10,12 +10,12 @@
 constexpr std::size_t kMaxReplyBytes = 64 << 20;
 constexpr std::size_t kMaxRequestBytes = 1 << 20;
 constexpr int kHttpOk = 200;
-constexpr int kHttpNotFound = 404;  // Consul: no key has the prefix
+constexpr int kHttpNotFound = 404;  // Consul's status when no key has the prefix
 constexpr std::string_view kConsulKeys = "/v1/kv/";
 constexpr std::string_view kEtcdRange = "/v3/kv/range";
 constexpr std::string_view kEtcdWatch = "/v3/watch";
 
-// The key that a request to etcd reads or watches; empty: another request.
+// Returns the key that a request to etcd reads or watches, or an empty string for other requests.
 std::string EtcdKeyOf(const http::Message& request) {
   std::string key;
   const json body = json::parse(request.body, nullptr, false);
@@ -46,7 +46,8 @@
   }
 }
 
-// An entry that cannot be read leaves what was there, as in the daemon.
+// Stores the decoded entry. An entry that cannot be decoded leaves the stored one unchanged, as in the
+// daemon.
 void NodeListRecorder::Put(const std::string& key, const std::string& value) {
   const auto node = discovery::DecodeNodeEntry(value);
   if (!node) return;
@@ -86,7 +87,7 @@
   const bool of_node_list = EtcdKeyOf(request).starts_with(kNodeListPrefix);
   reads_node_list_.push_back(of_node_list);
   if (request.path != kEtcdWatch) return;
-  // The connection carries nothing else while it is watched.
+  // While the watch is open, the connection carries only its messages.
   replies_.Stream(kHttpOk, [this, of_node_list](std::string_view part) {
     if (of_node_list) watch_bytes_.append(part);
   });
@@ -116,7 +117,7 @@
   if (const auto entries = discovery::DecodeKeyValues(reply.body)) recorder_->Replace(*entries);
 }
 
-// One message a line.
+// Decodes the complete watch messages in `watch_bytes_`, one per line, and logs the resulting list.
 void NodeListConnection::ReadWatchMessages() {
   std::size_t from = 0;
   for (std::size_t end = 0; (end = watch_bytes_.find('\n', from)) != std::string::npos; from = end + 1) {
--- a/tools/chaos/node_list_recorder.hpp
+++ b/tools/chaos/node_list_recorder.hpp
@@ -33,8 +33,8 @@
   void Replace(const std::vector<discovery::KeyValue>& entries);
   // Applies changes to single keys.
   void Apply(const std::vector<discovery::KeyChange>& changes);
-  // Logs the list if it differs from the last logged one. Most changes concern other keys and leave it
-  // unchanged.
+  // Logs the list if it differs from the last logged one. Most changes in the registry do not
+  // affect the logged fields.
   void Log();
   // Makes the next Log() write the list even if it is unchanged, because a new connection may read another
   // list.
--- a/tools/chaos/recording_proxy.cpp
+++ b/tools/chaos/recording_proxy.cpp
@@ -7,7 +7,7 @@
 namespace mountflow::chaos {
 namespace {
 
-constexpr std::size_t kMaxHeldBytes = 8 << 20;  // of one connection; one that exceeds it is cut
+constexpr std::size_t kMaxHeldBytes = 8 << 20;  // per connection; a connection that exceeds it is cut
 
 }  // namespace
 
@@ -66,7 +66,8 @@
   Forward(&relay);
 }
 
-// Replies of the registry are read when they go on to the daemon, see ForwardReplies().
+// Logs the messages in the received bytes. Replies of the registry are instead decoded when they are
+// forwarded to the daemon, see ForwardReplies().
 void RecordingProxy::LogMessages(Relay* relay, bool is_request, std::string_view bytes) {
   if (point_ == ProxyPoint::kNodeList) {
     if (is_request) relay->node_list->OnRequestBytes(bytes);
@@ -150,7 +151,7 @@
 
 void RecordingProxy::SetControl(const TrafficControl& control) {
   control_ = control;
-  std::vector<std::uint64_t> numbers;  // forwarding may close one
+  std::vector<std::uint64_t> numbers;  // a copy, because Forward() may close a relay
   numbers.reserve(relays_.size());
   for (const auto& [number, relay] : relays_) numbers.push_back(number);
   for (const std::uint64_t number : numbers) Forward(&relays_.at(number));
@@ -172,7 +173,7 @@
   while (!relays_.empty()) CloseRelay(relays_.begin()->first);
 }
 
-// What was sent before the close still gets through, unless it is held.
+// Forwards the bytes received before the close, unless that direction is held, and closes the other side.
 void RecordingProxy::OnClosed(event_loop::ConnId connection, const std::string&) {
   const auto it = relay_of_connection_.find(connection);
   if (it == relay_of_connection_.end()) return;
--- a/tools/chaos/recording_proxy.hpp
+++ b/tools/chaos/recording_proxy.hpp
@@ -95,8 +95,7 @@
   std::map<std::uint64_t, Relay> relays_;
   std::map<event_loop::ConnId, std::uint64_t> relay_of_connection_;
   std::uint64_t last_number_ = 0;
-  std::shared_ptr<int> alive_ =
-      std::make_shared<int>(0);  // tells timers that outlive the proxy that it is destroyed
+  std::shared_ptr<int> alive_ = std::make_shared<int>(0);  // observed by timers that outlive the proxy
 };
 
 }  // namespace mountflow::chaos
--- a/tools/chaos/runner.cpp
+++ b/tools/chaos/runner.cpp
@@ -20,14 +20,15 @@
 
 constexpr double kMicrosPerSecond = 1e6;
 constexpr Micros kSecond = 1'000'000;
-constexpr Micros kStartTimeout = 20 * kSecond;  // until all programs must be ready
+constexpr Micros kStartTimeout = 20 * kSecond;  // time until all programs must be ready
 constexpr Micros kDrainCheckInterval = 50'000;
-constexpr Micros kEndMargin = 3 * kSecond;  // beyond the longest time that a client waits
+constexpr Micros kEndMargin = 3 * kSecond;  // added to the longest time that a client waits
 constexpr mode_t kFolderMode = 0755;
 
 Micros ToMicros(double seconds) { return static_cast<Micros>(seconds * kMicrosPerSecond); }
 
-// Ready cluster, workload and faults, end of the workload, last answers, end.
+// Runs one scenario: starts the cluster, starts workload and faults when the cluster is ready, and ends when
+// the last jobs are answered.
 class Runner {
  public:
   Runner(const Scenario& scenario, const RunOptions& options)
@@ -56,7 +57,7 @@
   }
 
  private:
-  // The first failure is the cause of those that follow.
+  // Stops the run. Only the first error is reported, because later ones usually follow from it.
   void Fail(const RunError& error) {
     if (!error_) error_ = error;
     loop_.Stop();
@@ -86,7 +87,7 @@
     loop_.AddTimer(workload_end, [this] { FinishWhenAnswered(); });
   }
 
-  // After the last job arrived the scenario runs on until all are answered.
+  // Ends the run when all jobs are answered or `latest_end_` is reached; checks again later otherwise.
   void FinishWhenAnswered() {
     if (workload_->open_jobs() > 0 && loop_.Now() < latest_end_) {
       loop_.AddTimer(loop_.Now() + kDrainCheckInterval, [this] { FinishWhenAnswered(); });
--- a/tools/chaos/scenario.hpp
+++ b/tools/chaos/scenario.hpp
@@ -26,30 +26,30 @@
 enum class FaultKind : std::uint8_t {
   kNodeKill,
   kNodeHang,
-  kNodeStall,        // no bytes pass to or from the node
-  kOneWay,           // no bytes pass from the node
-  kSlowAnswer,       // replies are delayed by `size` seconds
-  kPauses,           // stalls of `size` seconds, `interval_seconds` apart
-  kDrain,            // nodes report that they drain
-  kSlowNode,         // tasks take `size` times as long
-  kFailQueue,        // tasks of `queue` fail
-  kLateNodeList,     // node lists are delayed by `size` seconds more
-  kDaemonKill,       // restarted after the duration
-  kDaemonStall,      // the process is stopped, then continued
-  kDaemonStop,       // SIGTERM twice among `size` SIGHUPs; restarted the duration after its exit
-  kDaemonReload,     // `size` SIGHUPs at once
-  kReconnect,        // clients restart a share of their services
-  kBurst,            // the arrival rate of jobs is multiplied by `size`
-  kClientGone,       // a client disconnects during its submission
-  kHalfFrame,        // a client sends a part of a request
-  kCancel,           // clients cancel `size` jobs
-  kRegistryAway,     // connections to the registry are reset
-  kRegistryCut,      // open connections to the registry are cut once
-  kRegistryHalf,     // a connection is cut after `size` bytes of replies
-  kRegistryTrickle,  // replies pass in pieces of `size` bytes
-  kRegistryLeaderless,
-  kRegistryRestore,  // the registry is restored to a state `size` revisions older
-  kRegistryCompact,
+  kNodeStall,           // no bytes pass to or from the node
+  kOneWay,              // no bytes pass from the node
+  kSlowAnswer,          // replies are delayed by `size` seconds
+  kPauses,              // stalls of `size` seconds, `interval_seconds` apart
+  kDrain,               // nodes report that they drain
+  kSlowNode,            // tasks take `size` times as long
+  kFailQueue,           // tasks of `queue` fail
+  kLateNodeList,        // node lists are delayed by `size` seconds more
+  kDaemonKill,          // restarted after the duration
+  kDaemonStall,         // the process is stopped, then continued
+  kDaemonStop,          // SIGTERM twice among `size` SIGHUPs; restarted the duration after its exit
+  kDaemonReload,        // `size` SIGHUPs at once
+  kReconnect,           // clients restart a share of their services
+  kBurst,               // the arrival rate of jobs is multiplied by `size`
+  kClientGone,          // a client disconnects during its submission
+  kHalfFrame,           // a client sends a part of a request
+  kCancel,              // clients cancel `size` jobs
+  kRegistryAway,        // connections to the registry are reset
+  kRegistryCut,         // open connections to the registry are cut once
+  kRegistryHalf,        // a connection is cut after `size` bytes of replies
+  kRegistryTrickle,     // replies pass in pieces of `size` bytes
+  kRegistryLeaderless,  // the registry has no leader
+  kRegistryRestore,     // the registry is restored to a state `size` revisions older
+  kRegistryCompact,     // the registry compacts its history
   kRegistryEmpty,
   kRegistryFlood,  // `size` changes per second
 };
--- a/tools/chaos/scenario_codec.cpp
+++ b/tools/chaos/scenario_codec.cpp
@@ -58,7 +58,7 @@
   const char* name;
 };
 
-// The schema lists the same names.
+// Must have the same names as the schema above.
 constexpr FaultName kFaultNames[] = {
     {FaultKind::kNodeKill, "kill"},
     {FaultKind::kNodeHang, "hang"},
@@ -94,7 +94,7 @@
   for (const FaultName& fault : kFaultNames) {
     if (name == fault.name) return fault.kind;
   }
-  return FaultKind::kNodeKill;  // not reached: the schema has checked the name
+  return FaultKind::kNodeKill;  // not reached: the schema allows only known names
 }
 
 WorkloadSpec DecodeWorkload(const json& fields) {
--- a/tools/chaos/scenario_generator.cpp
+++ b/tools/chaos/scenario_generator.cpp
@@ -14,15 +14,17 @@
 using nlohmann::json;
 
 constexpr double kMinDurationSeconds = 12.0;
-constexpr double kMaxCountedFaultSeconds = 7.0;  // longer faults do not make a scenario longer
-constexpr double kRecoverySeconds = 6.0;         // after the last fault
+constexpr double kMaxCountedFaultSeconds = 7.0;  // only this much of a fault's duration extends the scenario
+constexpr double kRecoverySeconds = 6.0;         // from the end of the last fault to the end of the scenario
 
-// Draws in a fixed order: the order of draws is part of what a seed means.
+// Generates faults from random numbers. The order of the draws must not change, because it determines the
+// scenario that belongs to a seed.
 class Generator {
  public:
   Generator(std::uint64_t seed, json* root) : random_(seed), root_(root) {}
 
-  // Every fault has a time and a duration, drawn first; its row then adds or replaces fields.
+  // Returns a fault with a random start and duration. The function of its row in kRows then adds or replaces
+  // fields.
   json DrawTimes() {
     const double start = Draw(3.0, 6.0);
     const double duration = Draw(3.0, 7.0);
@@ -48,7 +50,7 @@
     fault["kind"] = "kill";
     fault["room"] = "room-b";
   }
-  // Some nodes are missing at first and join later.
+  // Models a growing cluster: a share of the nodes is killed at the start and joins later.
   void Grow(json& fault) {
     const json join_time = fault["at_s"];
     DrawShare("kill", 0.3, 0.5, fault);
@@ -95,7 +97,7 @@
     fault["kind"] = "daemon_reload";
     fault["size"] = std::floor(Draw(2.0, 9.0));
   }
-  // A property of the nodes rather than a fault at a time.
+  // Sets fields of the nodes' configuration; there is no fault at a point in time.
   void HeavyTail(json& fault) {
     (*root_)["node"]["over_share"] = Draw(0.05, 0.13);
     (*root_)["node"]["over_factor"] = Draw(2.0, 4.0);
@@ -161,7 +163,7 @@
 
 tl::expected<std::string, ScenarioError> GenerateScenario(const std::vector<std::string>& fault_names,
                                                           std::uint64_t seed) {
-  json root = config::ParseJson(kDefaultScenario, "embedded scenario").value();  // a test parses it
+  json root = config::ParseJson(kDefaultScenario, "embedded scenario").value();  // valid, as a test ensures
   root["name"] = "made";
   root["seed"] = seed;
   root["faults"] = json::array();
--- a/tools/chaos/slow_start_invariant.cpp
+++ b/tools/chaos/slow_start_invariant.cpp
@@ -42,7 +42,7 @@
   return load;
 }
 
-// Capacity rises linearly from its initial share to the whole while the node warms up.
+// The capacity rises linearly from its initial share to full capacity while the node warms up.
 double SlowStartInvariant::BudgetAt(Micros age) const {
   const HeadEntry& head = model_->head();
   const double progress = static_cast<double>(age);
--- a/tools/chaos/topology_spread_invariant.cpp
+++ b/tools/chaos/topology_spread_invariant.cpp
@@ -11,7 +11,7 @@
   if (task_class.spread == SpreadDomain::kNone || task_class.max_per_domain <= 0) return;
   ++verdict_->spread_checks;
   const std::string domain = model_->DomainOf(attempt.node, task_class.spread);
-  std::vector<std::size_t> lines = {position.line};  // of the attempts in the domain, this one first
+  std::vector<std::size_t> lines = {position.line};  // of the attempts in the domain, starting with this one
   for (const Attempt* other : model_->AttemptsOfService(attempt.daemon, attempt.service)) {
     if (!CountsForSpread(*other) || model_->DomainOf(other->node, task_class.spread) != domain) continue;
     lines.push_back(other->sent.line);
--- a/tools/chaos/workload.cpp
+++ b/tools/chaos/workload.cpp
@@ -14,7 +14,7 @@
 constexpr double kMicrosPerSecond = 1e6;
 constexpr double kMegabytesPerGigabyte = 1024;
 constexpr Micros kDefaultHardLimit = 10 * kSecond;
-constexpr Micros kPatience = 2 * kSecond;  // beyond its deadline, before a client calls an answer missing
+constexpr Micros kMissingAnswerGrace = 2 * kSecond;  // after the deadline, until a client stops waiting
 constexpr Micros kMinReconnectDelay = 100'000;
 constexpr Micros kReconnectDelaySpread = 200'000;
 constexpr Micros kCancelDelaySpread = 15'000;  // covers the attempt, its acceptance and its commit
@@ -22,8 +22,8 @@
 constexpr Micros kAbortDelay = 50'000;
 constexpr Micros kHalfFrameDelay = 300'000;
 constexpr unsigned kMaxTries = 6;
-constexpr unsigned kSubmissionReplies = 3;  // QueueJob, JobScript, ReadyToCommit
-constexpr unsigned kDeleteCommand = 1;      // of the manage form
+constexpr unsigned kSubmissionReplies = 3;  // to QueueJob, JobScript and ReadyToCommit
+constexpr unsigned kDeleteCommand = 1;      // command code of a delete request
 constexpr char kUser[] = "root";
 constexpr char kHalfRequest[] = "+2+1+1+4root+0+7serv";
 constexpr char kWaitForAnswer[] = "wait=answer";
@@ -79,7 +79,7 @@
   for (std::size_t i = 0; i < specs_.size(); ++i) ScheduleArrival(i, until);
 }
 
-// Poisson arrivals.
+// Schedules the next arrival of a Poisson process.
 void Workload::ScheduleArrival(std::size_t spec, Micros until) {
   constexpr double kMinRate = 1e-6;
   if (specs_[spec].jobs_per_second <= 0.0) return;
@@ -95,7 +95,7 @@
   });
 }
 
-// The order of draws is part of what a seed means.
+// The order of the random draws must not change, because it determines the workload that belongs to a seed.
 void Workload::Submit(const WorkloadSpec& spec, const std::string& service) {
   const std::uint64_t number = ++last_number_;
   ClientJob& job = jobs_[number];
@@ -160,7 +160,7 @@
   GiveUpAfterDeadline(*job);
 }
 
-// Only a submission whose commit has no reply is retried: a committed job waits for its answer.
+// Retries a submission whose commit has no reply yet. After the reply, the client waits for the job's answer.
 void Workload::RetryWithoutReply(const ClientJob& job) {
   if (job.spec.retry_after_seconds <= 0.0 || job.key.empty()) return;
   const Micros at = loop_->Now() + ToMicros(job.spec.retry_after_seconds);
@@ -172,10 +172,10 @@
 }
 
 void Workload::GiveUpAfterDeadline(const ClientJob& job) {
-  loop_->AddTimer(job.deadline + kPatience, [this, number = job.number] {
+  loop_->AddTimer(job.deadline + kMissingAnswerGrace, [this, number = job.number] {
     const auto it = jobs_.find(number);
     if (it == jobs_.end()) return;
-    const bool has_later_deadline = loop_->Now() < it->second.deadline + kPatience;
+    const bool has_later_deadline = loop_->Now() < it->second.deadline + kMissingAnswerGrace;
     if (!has_later_deadline) Finish(number, "gave_up", "", "no answer in its owner's time");
   });
 }
@@ -187,11 +187,11 @@
 }
 
 void Workload::OnReceived(event_loop::ConnId connection, std::string_view bytes) {
-  const auto owner = job_of_connection_.find(connection);
-  if (owner == job_of_connection_.end()) return;
-  const std::uint64_t number = owner->second;
+  const auto job_entry = job_of_connection_.find(connection);
+  if (job_entry == job_of_connection_.end()) return;
+  const std::uint64_t number = job_entry->second;
   jobs_.at(number).input.append(bytes);
-  for (;;) {  // a reply may end the job or its connection
+  for (;;) {  // looks the job up again, because a reply may end it or its connection
     const auto it = jobs_.find(number);
     if (it == jobs_.end() || it->second.connection != connection) return;
     pbs_protocol::Reply reply;
@@ -205,7 +205,7 @@
 void Workload::OnReply(ClientJob* job, const pbs_protocol::Reply& reply) {
   const bool is_known_key = reply.code == pbs_protocol::Code::kExists && !reply.text.empty();
   if (is_known_key && job->step != Step::kAwaitingAnswer) {
-    // An earlier try was committed: its answer is the one.
+    // An earlier try was committed, so this job's answer is the answer of that try.
     job->id = reply.text;
     job->replies_to_come = 0;
     Log(*job, "exists");
@@ -279,7 +279,7 @@
   if (job->step != Step::kSubmitting) job->earlier_deadline = std::max(job->earlier_deadline, job->deadline);
   const bool is_too_late = loop_->Now() + kMinTimeForRetry >= job->deadline;
   if (is_too_late && job->earlier_deadline != 0) {
-    // A new request with a deadline of its own, which says that it repeats an earlier one.
+    // The next try is a new request with its own deadline, and is marked as a repetition of an earlier one.
     job->deadline = loop_->Now() + HardLimitOf(job->spec.queue);
   }
   Log(*job, "retry", {{"text", reason}});
@@ -289,17 +289,17 @@
 }
 
 void Workload::OnClosed(event_loop::ConnId connection, const std::string& reason) {
-  const auto owner = job_of_connection_.find(connection);
-  if (owner == job_of_connection_.end()) return;
-  const std::uint64_t number = owner->second;
-  job_of_connection_.erase(owner);
+  const auto job_entry = job_of_connection_.find(connection);
+  if (job_entry == job_of_connection_.end()) return;
+  const std::uint64_t number = job_entry->second;
+  job_of_connection_.erase(job_entry);
   ClientJob& job = jobs_.at(number);
   const bool was_committed = !job.id.empty() && job.step != Step::kSubmitting;
   if (job.key.empty() && !was_committed) return Finish(number, "lost", "", reason);
   job.connection = 0;
   const Micros at = loop_->Now() + RandomReconnectDelay();
   if (job.key.empty()) {
-    // Jobs survive a restart of their daemon: the client asks it for the answer until it has it.
+    // Committed jobs survive a restart of their daemon, so the client requests the answer from it again.
     loop_->AddTimer(at, [this, number] {
       const auto it = jobs_.find(number);
       if (it == jobs_.end() || it->second.connection != 0) return;
--- a/tools/chaos/workload.hpp
+++ b/tools/chaos/workload.hpp
@@ -33,7 +33,8 @@
   void SetRateFactor(double factor) { rate_factor_ = factor; }
   // Stops this share of the running services and submits their jobs again within `within` microseconds.
   void RestartServices(double share, Micros within);
-  // Cancels the next `count` jobs that are submitted, each at a random moment of its submission.
+  // Cancels `count` jobs, chosen at random among those submitted from now on. Each is cancelled a random time
+  // after its commit.
   void CancelJobs(int count) { jobs_to_cancel_ += count; }
   // Starts a submission and disconnects before its end.
   void AbortSubmission();
