--- a/tests/chaos/chaos_golden_test.cpp
+++ b/tests/chaos/chaos_golden_test.cpp
@@ -1,6 +1,6 @@
-// Guard of the chaos test's outputs. Each message log in tests/data/chaos/NAME.jsonl is checked, and the
-// whole report equals reports.txt there; generated scenarios equal scenarios.txt. MOUNTFLOW_RECORD_GOLDEN=1
-// writes both anew; a difference is then for the reviewer to see.
+// Golden tests of the chaos test's outputs in tests/data/chaos. The reports on all message logs NAME.jsonl
+// must equal reports.txt, and generated scenarios must equal scenarios.txt. MOUNTFLOW_RECORD_GOLDEN=1
+// rewrites the recorded files, so that a change of the outputs appears in the diff under review.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -47,7 +47,8 @@
   ExpectEqualsFile("reports.txt", text);
 }
 
-// One line a scenario: its kind, its seed and its JSON; the text itself is that JSON with an indent of two.
+// The file has one line per scenario: fault name, seed and compact JSON. The generated text is the same JSON
+// with an indent of two.
 TEST(ChaosGolden, GeneratedScenariosAreUnchanged) {
   std::string text;
   for (const char* kind :
--- a/tests/chaos/chaos_test.cpp
+++ b/tests/chaos/chaos_test.cpp
@@ -1,5 +1,5 @@
-// Chaos tests: scenarios with faults run against the real programs, their invariants checked by the message
-// log; and broken daemons, whose violation of each invariant is found.
+// Chaos tests. Scenarios with faults run against the real programs and must violate no invariant. Daemons
+// that are broken on purpose must be reported as violating exactly the expected invariant.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -10,7 +10,7 @@
 namespace mountflow::testing {
 namespace {
 
-// Short deadlines, so that a missing answer is known soon.
+// Short deadlines, so that a missing answer is detected early.
 const char kSettings[] = R"("settings": {"profiles": [
     {"name": "service", "effect": "keyed", "key_scope": "cell", "window_us": 5000000, "hard_limit_us": 3000000},
     {"name": "batch", "effect": "safe", "key_scope": "all", "hard_limit_us": 3000000},
@@ -19,12 +19,13 @@
 struct ChaosRun {
   int status = 0;
   std::string out;
-  std::string log;  // of the first daemon
+  std::string log;  // log of the first daemon
   bool Prints(const std::string& text) const { return out.find(text) != std::string::npos; }
 };
 
-// `broken_invariant`: the daemon's scheduler violates it (tests/support/broken_scheduler.cpp); 0: none.
-// `forgets`: what the daemons lose over a restart (tests/support/forgets).
+// Runs a scenario. `broken_invariant` is the invariant that the daemon's scheduler violates, see
+// tests/support/broken_scheduler.cpp; 0: none. `forgets` selects the jobs that the daemons
+// lose over a restart, see tests/support/forgets.
 ChaosRun RunScenario(const std::string& scenario, int broken_invariant = 0, const std::string& forgets = "") {
   char folder[] = "/tmp/mountflow-chaos-XXXXXX";
   if (mkdtemp(folder) == nullptr) return {};
@@ -66,7 +67,8 @@
                  1);
 }
 
-// Nodes answer slowly, so that jobs wait for their answers when their daemon is killed.
+// Returns a scenario in which nodes reply slowly, so that jobs wait for their answers when their daemon is
+// killed.
 std::string DaemonKilledWithAttemptsInFlight(int services) {
   return std::string("{") + kSettings + R"("length_s": 4, "daemons": 1, "nodes": 4, "list_delay_s": 0,
     "load": [{"queue": "batch", "rate": 20, "life_s": [1, 2], "services": )" +
@@ -133,11 +135,11 @@
   EXPECT_EQ(run.status, 0) << run.out;
   EXPECT_TRUE(run.Prints("rules broken: none")) << run.out;
   EXPECT_TRUE(run.Prints("40 cold lives")) << run.out;
-  EXPECT_FALSE(run.Prints("cold lives with 0 offers")) << run.out;  // they were used, and not overrun
+  EXPECT_FALSE(run.Prints("cold lives with 0 offers")) << run.out;  // the nodes received attempts
 }
 
-// Daemons that leave and join while forty nodes warm up: the shares of the slow-start budgets of old and new
-// group numbers must not add up.
+// Daemons leave and join while forty nodes warm up. Guards against shares of the slow-start budget that
+// belong to the old and to the new group of daemons and together exceed the budget.
 TEST(ChaosTest, DaemonsThatJoinAndLeaveDoNotOverrunFortyWarmingUpNodes) {
   const ChaosRun run = RunScenario(
       R"({"length_s": 22, "daemons": 4, "nodes": 60, "list_delay_s": 0.3, "seed": 3, "group_from_registry": true,
@@ -152,7 +154,7 @@
   EXPECT_EQ(run.status, 0) << run.out;
   EXPECT_TRUE(run.Prints("rules broken: none")) << run.out;
   EXPECT_TRUE(run.Prints("40 cold lives")) << run.out;
-  // The daemons use the nodes again after the changes, as the burst needs them.
+  // After the group changes the daemons use the nodes again, because the burst needs their capacity.
   EXPECT_FALSE(run.Prints("cold lives with 0 offers")) << run.out;
 }
 
@@ -180,9 +182,9 @@
   EXPECT_TRUE(run.Prints("deleted ")) << run.out;
 }
 
-// The registry fails in every way it can while nodes drain and die. It is restored twice: one that falls
-// between two blocking reads is not seen, as the next read waits for the old revision to be passed; in that
-// wait the second is.
+// Returns a scenario with registry faults of every kind while nodes drain and die. The registry is restored
+// twice: a daemon does not notice a restore that falls between two of its blocking reads, because the next
+// read waits until the old revision is passed. The second restore falls into that wait and is noticed.
 std::string BadRegistry(const std::string& kind, const std::string& more) {
   return R"({"length_s": 13, "daemons": 3, "nodes": 24, "list_delay_s": 0.3, "seed": 9, "registry": ")" +
          kind +
@@ -226,7 +228,7 @@
   }
 }
 
-// Stops, reloads and kills of daemons beside other faults; scripts/soak plays further seeds.
+// Stops, reloads and kills daemons in addition to other faults. scripts/soak runs further seeds.
 class DaemonSoak : public ::testing::TestWithParam<int> {};
 
 TEST_P(DaemonSoak, LeadsToNoViolation) {
--- a/tests/chaos/invariant_checker_test.cpp
+++ b/tests/chaos/invariant_checker_test.cpp
@@ -1,5 +1,5 @@
-// The checker must be able to fail: a small log without violations, and for each invariant logs that violate
-// it.
+// Tests that the invariant checker accepts logs without violations and reports logs that violate each of the
+// invariants.
 #include "tools/chaos/invariant_checker.hpp"
 
 #include <gtest/gtest.h>
@@ -58,7 +58,7 @@
     more["tap"] = tap, more["who"] = who, more["conn"] = conn, more["code"] = static_cast<int>(code);
     Line("reply", std::move(more));
   }
-  // A client submits and waits on connection `conn`.
+  // Logs a client that submits a job and waits for its answer on connection `conn`.
   void Submit(const std::string& job, const std::string& queue, int conn, const std::string& daemon = "d0") {
     Request("client", daemon, conn, RequestType::kQueueJob, "", {{"queue", queue}});
     Reply("client", daemon, conn, Code::kNone, {{"text", job}});
@@ -99,7 +99,7 @@
   Micros now = 1000 * kSecond;
 };
 
-// Only the given invariant is violated, and the lines that show it are named.
+// Expects violations of the given invariant only, each with the log lines that show it.
 void ExpectViolated(const MessageLogBuilder& log, Invariant invariant) {
   const Verdict verdict = CheckInvariants(log.lines);
   ASSERT_TRUE(verdict.error.empty()) << verdict.error;
@@ -123,7 +123,7 @@
   return log;
 }
 
-TEST(InvariantChecker, ALogWithoutViolationsIsCleanAndWasLookedAt) {
+TEST(InvariantChecker, ALogWithoutViolationsIsCleanAndItsItemsAreCounted) {
   MessageLogBuilder log = Clean();
   log.Event("end");
   const Verdict verdict = CheckInvariants(log.lines);
@@ -168,7 +168,8 @@
   ExpectViolated(log, Invariant::kFinalAnswer);
 }
 
-// Jobs survive a restart: a daemon that is back in time has to answer in time, one that is back later, then.
+// Committed jobs survive a restart. A daemon that restarts before a job's deadline must answer by the
+// deadline; one that restarts later must answer after its restart.
 TEST(InvariantChecker, AKilledDaemonThatIsBackIsNotExcusedFromAnswering) {
   for (const double down : {1.0, 20.0}) {
     MessageLogBuilder log;
@@ -315,7 +316,7 @@
     log.List("d0", {{"a", {"ready", 0}}});
     log.List("d0", gone ? json::object() : json{{"a", {"draining", 0}}});
     log.now += kSecond;
-    log.Attempt("1.d0/1", "a", 1, "safe");  // within the grace
+    log.Attempt("1.d0/1", "a", 1, "safe");  // within the grace time
     log.Reject("a", 1);
     EXPECT_TRUE(CheckInvariants(log.lines).clean());
     log.now += 2 * kSecond;
--- a/tests/chaos/log_entry_test.cpp
+++ b/tests/chaos/log_entry_test.cpp
@@ -1,4 +1,4 @@
-// Decoding of single message log entries, and what the checker says about entries that it cannot read.
+// Tests the decoding of message log entries, and the checker's reports on entries that it cannot decode.
 #include "tools/chaos/log_entry.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/chaos/runner_config_test.cpp
+++ b/tests/chaos/runner_config_test.cpp
@@ -1,4 +1,4 @@
-// The configurations that a scenario gives its programs, and the errors of a run.
+// Tests the program configurations that are built from a scenario, and the errors of a run.
 #include <gtest/gtest.h>
 
 #include "tools/chaos/cluster_config.hpp"
--- a/tests/chaos/scenario_test.cpp
+++ b/tests/chaos/scenario_test.cpp
@@ -1,4 +1,4 @@
-// Scenarios of the chaos test, written and generated.
+// Tests the parsing and the generation of chaos test scenarios.
 #include "tools/chaos/scenario.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/support/broken_scheduler.cpp
+++ b/tests/support/broken_scheduler.cpp
@@ -1,5 +1,6 @@
-// A deliberately broken scheduler in place of ours: MOUNTFLOW_WRONG names the rule that it violates. Linked
-// into a daemon of its own, it shows that the invariant checker catches a daemon that errs.
+// A deliberately broken replacement of Scheduler, linked into a daemon of its own. The environment variable
+// MOUNTFLOW_WRONG is the number of the chaos test's invariant that it violates. Tests use it to show that the
+// invariant checker finds such violations.
 #include <cstdlib>
 #include <map>
 
@@ -11,57 +12,59 @@
  public:
   struct Request {
     Task task;
-    unsigned made = 0;
-    bool over = false;
+    unsigned attempts_started = 0;
+    bool is_finished = false;
   };
-  int wrong = std::getenv("MOUNTFLOW_WRONG") != nullptr ? std::atoi(std::getenv("MOUNTFLOW_WRONG")) : 0;
-  std::map<NodeId, NodeEntry> machines;
+  int violated_invariant =
+      std::getenv("MOUNTFLOW_WRONG") != nullptr ? std::atoi(std::getenv("MOUNTFLOW_WRONG")) : 0;
+  std::map<NodeId, NodeEntry> known_nodes;
   std::map<RequestId, Request> requests;
-  std::uint64_t turn = 0;
+  std::uint64_t counter = 0;
 
-  const NodeEntry* Pick() {
-    std::vector<const NodeEntry*> fit;
+  const NodeEntry* ChooseNode() {
+    std::vector<const NodeEntry*> eligible;
     const NodeEntry* newest = nullptr;
-    for (const auto& [id, m] : machines) {
-      if (m.state == NodeState::kGone || (m.state == NodeState::kDraining && wrong != 3)) continue;
-      if (m.state == NodeState::kDraining) return &m;  // rule 3: these above all
-      fit.push_back(&m);
-      if (newest == nullptr || m.started_at > newest->started_at) newest = &m;
+    for (const auto& [id, entry] : known_nodes) {
+      if (entry.state == NodeState::kGone || (entry.state == NodeState::kDraining && violated_invariant != 3))
+        continue;
+      if (entry.state == NodeState::kDraining) return &entry;  // invariant 3: prefers draining nodes
+      eligible.push_back(&entry);
+      if (newest == nullptr || entry.started_at > newest->started_at) newest = &entry;
     }
-    if (fit.empty()) return nullptr;
-    if (wrong == 4) return newest;  // rule 4: all to the one that just came up
-    if (wrong == 5) return fit[0];  // rule 5: all to one place
-    return fit[turn++ % fit.size()];
+    if (eligible.empty()) return nullptr;
+    if (violated_invariant == 4) return newest;  // invariant 4: sends all tasks to the node that started last
+    if (violated_invariant == 5) return eligible[0];  // invariant 5: sends all tasks to the same node
+    return eligible[counter++ % eligible.size()];
   }
-  void OfferNext(Micros now, Request& r, std::vector<Action>* out) {
-    const NodeEntry* m = r.made < 4 ? Pick() : nullptr;
-    if (m == nullptr) {
-      r.over = true;
-      out->push_back(RejectTask{r.task.request, 0});
+  void StartNextAttempt(Micros now, Request& pending, std::vector<Action>* out) {
+    const NodeEntry* entry = pending.attempts_started < 4 ? ChooseNode() : nullptr;
+    if (entry == nullptr) {
+      pending.is_finished = true;
+      out->push_back(RejectTask{pending.task.request, 0});
       return;
     }
-    // Rule 2: given up soon, and offered again whatever may have run.
-    const Micros until = wrong == 2 ? now + 700'000 : r.task.deadline;
-    out->push_back(StartAttempt{r.task.request, r.made++, m->node, until});
+    // Invariant 2: attempts end early and are retried even if the task may have run.
+    const Micros until = violated_invariant == 2 ? now + 700'000 : pending.task.deadline;
+    out->push_back(StartAttempt{pending.task.request, pending.attempts_started++, entry->node, until});
   }
   void Handle(Micros now, const Event& event, std::vector<Action>* out) {
-    if (const auto* view = std::get_if<NodeListUpdate>(&event)) {
-      for (const NodeEntry& e : view->nodes) machines[e.node] = e;
-    } else if (const auto* arrival = std::get_if<TaskSubmitted>(&event)) {
-      if (wrong == 1 && ++turn % 3 == 0) return;  // rule 1: forgotten
-      Request& r = requests[arrival->task.request];
-      r.task = arrival->task;
-      OfferNext(now, r, out);
-    } else if (const auto* placed = std::get_if<TaskStarted>(&event)) {
-      requests[placed->request].over = true;
-    } else if (const auto* gone = std::get_if<TaskCancelled>(&event)) {
-      requests[gone->request].over = true;
-    } else if (const auto* outcome = std::get_if<AttemptEnded>(&event)) {
-      Request& r = requests[outcome->request];
-      if (r.over || outcome->request_closed) return;
-      if (now < r.task.deadline) return OfferNext(now, r, out);
-      r.over = true;
-      out->push_back(FailTask{outcome->request});
+    if (const auto* node_list = std::get_if<NodeListUpdate>(&event)) {
+      for (const NodeEntry& updated : node_list->nodes) known_nodes[updated.node] = updated;
+    } else if (const auto* submitted = std::get_if<TaskSubmitted>(&event)) {
+      if (violated_invariant == 1 && ++counter % 3 == 0) return;  // invariant 1: ignores every third task
+      Request& pending = requests[submitted->task.request];
+      pending.task = submitted->task;
+      StartNextAttempt(now, pending, out);
+    } else if (const auto* started = std::get_if<TaskStarted>(&event)) {
+      requests[started->request].is_finished = true;
+    } else if (const auto* cancelled = std::get_if<TaskCancelled>(&event)) {
+      requests[cancelled->request].is_finished = true;
+    } else if (const auto* ended = std::get_if<AttemptEnded>(&event)) {
+      Request& pending = requests[ended->request];
+      if (pending.is_finished || ended->request_closed) return;
+      if (now < pending.task.deadline) return StartNextAttempt(now, pending, out);
+      pending.is_finished = true;
+      out->push_back(FailTask{ended->request});
     }
   }
 };
--- a/tools/chaos/cluster_config.hpp
+++ b/tools/chaos/cluster_config.hpp
@@ -1,4 +1,4 @@
-// Builds the configurations of the programs of a chaos test from its scenario. Only this module contains the
+// Builds the configurations of the programs of a chaos test from its scenario. Only this file contains the
 // configuration keys. It performs no I/O.
 #ifndef MOUNTFLOW_TOOLS_CHAOS_CLUSTER_CONFIG_HPP_
 #define MOUNTFLOW_TOOLS_CHAOS_CLUSTER_CONFIG_HPP_
