--- a/src/pbs_protocol/dis.cpp
+++ b/src/pbs_protocol/dis.cpp
@@ -6,8 +6,8 @@
 namespace mountflow::pbs_protocol {
 namespace {
 
-constexpr std::uint64_t kMaxDigits = 20;  // of a 64-bit number
-constexpr int kMaxCountLevels = 2;        // of a number with kMaxDigits digits
+constexpr std::uint64_t kMaxDigits = 20;  // digits of the largest 64-bit number
+constexpr int kMaxCountLevels = 2;        // digit counts in front of a number with kMaxDigits digits
 
 bool IsDigit(char byte) { return byte >= '0' && byte <= '9'; }
 
@@ -17,7 +17,8 @@
   char digits[24];
   const auto end = std::to_chars(digits, digits + sizeof digits, magnitude).ptr;
   const std::string_view number(digits, static_cast<std::size_t>(end - digits));
-  // Counts in front of the number, the outermost first: 123 has 3 digits, 1234567890 has 10, which has 2.
+  // Writes the digit counts: 123 has 3 digits, so it becomes "3+123". 1234567890 has 10 digits, and 10 has 2
+  // digits, so it becomes "210+1234567890".
   if (number.size() > 1) {
     char count[4];
     const auto count_end = std::to_chars(count, count + sizeof count, number.size()).ptr;
@@ -33,7 +34,7 @@
 
 void DisWriter::Signed(std::int64_t value) {
   const bool negative = value < 0;
-  // Negated as unsigned: the least number has no positive counterpart.
+  // Negates in unsigned arithmetic, because the smallest signed value has no positive counterpart.
   const auto bits = static_cast<std::uint64_t>(value);
   Digits(negative ? '-' : '+', negative ? ~bits + 1 : bits);
 }
@@ -81,7 +82,7 @@
   return true;
 }
 
-// Counts of counts could go on for ever; a 64-bit number needs two levels, and a third is rejected.
+// The encoding allows any depth of counts. A 64-bit number needs at most two levels, so a third is rejected.
 bool DisReader::ReadSign(bool* negative, std::uint64_t* digits) {
   *digits = 1;
   for (int level = 0;; ++level) {
--- a/src/pbs_protocol/dis.hpp
+++ b/src/pbs_protocol/dis.hpp
@@ -1,11 +1,11 @@
-// DIS, "data is strings": the encoding of the PBS batch protocol.
+// Encoder and decoder for DIS ("data is strings"), the encoding of the PBS batch protocol.
 //
-// Numbers are decimal digits behind their sign; a number of several digits is
-// preceded by its digit count, and that by its own count, until a count is one
-// digit. Strings are their length and their bytes.
+// A number is its sign followed by its decimal digits. A number of two or more digits is preceded by its
+// digit count; a count of two or more digits is preceded by its own digit count, and so on until a count has
+// one digit. A string is its length, encoded as a number, followed by its bytes.
 //
-// The reader works on what has arrived so far and distinguishes three results: a value, more bytes needed
-// (and how many at least), and input that no further byte can make valid.
+// The reader decodes a prefix of the input. It distinguishes a complete value, an incomplete value (with the
+// least number of bytes it needs), and malformed input.
 #ifndef MOUNTFLOW_PBS_PROTOCOL_DIS_HPP_
 #define MOUNTFLOW_PBS_PROTOCOL_DIS_HPP_
 
@@ -16,7 +16,7 @@
 
 namespace mountflow::pbs_protocol {
 
-// Appends values to `out`, which must outlive it.
+// Appends encoded values to `out`, which must outlive the writer.
 class DisWriter {
  public:
   explicit DisWriter(std::string* out) : out_(out) {}
@@ -32,36 +32,44 @@
 
 enum class DisState {
   kOk,
-  kMore,  // the value is not complete yet
-  kBad    // no further byte can make it valid
+  kMore,  // the input is incomplete: more bytes are needed
+  kBad    // the input is malformed: more bytes cannot make it valid
 };
 
-// Reads values one after the other from bytes that must outlive it. After the first that is not kOk every
-// further read returns a zero value and the state stays.
+// Decodes consecutive values from a byte string, which must outlive the reader. Once the state is not kOk, it
+// no longer changes, and every further read returns zero or an empty string.
 class DisReader {
  public:
   explicit DisReader(std::string_view bytes) : bytes_(bytes) {}
 
   std::uint64_t Unsigned();
   std::int64_t Signed();
-  // A string of more than `max_bytes` is kBad before any of them is awaited.
+  // Reads a string. A stated length above `max_bytes` sets kBad even if the bytes have not arrived.
   std::string_view Text(std::size_t max_bytes);
 
-  // Marks the input as invalid for a reason that the caller found; the first one stays.
+  // Sets kBad. `expected` describes valid input at this position and must outlive the reader. Has no effect
+  // if the state is kBad already.
   void Fail(const char* expected);
 
   [[nodiscard]] DisState state() const { return state_; }
   [[nodiscard]] bool ok() const { return state_ == DisState::kOk; }
-  [[nodiscard]] std::size_t at() const { return at_; }        // bytes consumed
-  [[nodiscard]] std::size_t needs() const { return needs_; }  // kMore: least total length worth trying again
-  [[nodiscard]] const char* expected() const { return expected_; }  // kBad: what was expected
+  // Number of bytes consumed.
+  [[nodiscard]] std::size_t at() const { return at_; }
+  // In state kMore: the least total input length, in bytes, with which decoding can get further.
+  [[nodiscard]] std::size_t needs() const { return needs_; }
+  // In state kBad: a description of the input that was expected.
+  [[nodiscard]] const char* expected() const { return expected_; }
 
  private:
-  // These are false when the input is not complete or not valid.
+  // The functions below return false, and set the state, if the input is incomplete or malformed.
+
   bool ReadNumber(bool* negative, std::uint64_t* magnitude);
-  bool ReadSign(bool* negative, std::uint64_t* digits);  // and the digit count before it
-  bool ReadCount(std::uint64_t* count);                  // of so many digits, which it replaces
+  // Reads a sign and the digit counts in front of it. Sets `digits` to the number of digits after the sign.
+  bool ReadSign(bool* negative, std::uint64_t* digits);
+  // Reads a count that has `*count` digits and stores its value in `count`.
+  bool ReadCount(std::uint64_t* count);
   bool ReadDigits(std::uint64_t count, const char* expected, std::uint64_t* value);
+  // Checks that the input has at least `total` bytes.
   bool Need(std::size_t total);
 
   std::string_view bytes_;
--- a/src/pbs_protocol/message_parts.cpp
+++ b/src/pbs_protocol/message_parts.cpp
@@ -8,9 +8,9 @@
 
 constexpr std::uint64_t kProtocolType = 2;
 constexpr std::uint64_t kWrittenVersion = 1;
-constexpr std::uint64_t kOtherVersion = 2;  // read too
+constexpr std::uint64_t kOtherVersion = 2;  // accepted from peers, never written
 
-// As an attribute states it: its texts, each with a byte behind it.
+// Returns the size that the encoded attribute states: the length of each of its strings plus one byte each.
 std::size_t StatedSize(const Attribute& attribute, bool has_resource) {
   const std::size_t size = attribute.name.size() + 1 + attribute.value.size() + 1;
   return has_resource ? size + attribute.resource.size() + 1 : size;
@@ -26,7 +26,7 @@
   writer->Unsigned(static_cast<unsigned>(attribute.op));
 }
 
-// The result counts only when the reader is ok after it.
+// The result is valid only if `reader->ok()` afterwards.
 Attribute ReadAttribute(DisReader* reader) {
   Attribute attribute;
   const std::uint64_t stated_size = reader->Unsigned();
--- a/src/pbs_protocol/message_parts.hpp
+++ b/src/pbs_protocol/message_parts.hpp
@@ -1,4 +1,4 @@
-// Parts that requests and replies have in common, as bytes. Internal to the package.
+// Encoding of the parts that requests and replies have in common. Internal to the package.
 #ifndef MOUNTFLOW_PBS_PROTOCOL_MESSAGE_PARTS_HPP_
 #define MOUNTFLOW_PBS_PROTOCOL_MESSAGE_PARTS_HPP_
 
@@ -9,15 +9,16 @@
 
 namespace mountflow::pbs_protocol {
 
-// The protocol type and version that begin each message.
+// Write and read the protocol type and version at the start of each message.
 void WriteHeader(DisWriter* writer);
 void ReadHeader(DisReader* reader);
 
 void WriteAttributes(const Attributes& list, DisWriter* writer);
-// Appends to `list`.
+// Reads an attribute list and appends its entries to `list`.
 void ReadAttributes(DisReader* reader, Attributes* list);
 
-// The result of a message of at most `max_bytes` that `reader` has read up to its end or to its first error.
+// Returns the result of decoding one message. `reader` has read the message to its end or to the first error.
+// A message that needs more than `max_bytes` is an error (kTooLarge).
 [[nodiscard]] DecodeResult Finish(const DisReader& reader, std::size_t max_bytes);
 
 }  // namespace mountflow::pbs_protocol
--- a/src/pbs_protocol/protocol.hpp
+++ b/src/pbs_protocol/protocol.hpp
@@ -1,5 +1,6 @@
-// Requests and replies of the PBS batch protocol (Portable Batch System,
-// Internal Design Specification), as values and as bytes.
+// Requests and replies of the PBS batch protocol, and their encoding.
+//
+// The protocol is defined by the Internal Design Specification of the Portable Batch System (PBS).
 #ifndef MOUNTFLOW_PBS_PROTOCOL_PROTOCOL_HPP_
 #define MOUNTFLOW_PBS_PROTOCOL_PROTOCOL_HPP_
 
@@ -14,14 +15,14 @@
 
 namespace mountflow::pbs_protocol {
 
-// Bounds of one request or reply; whatever exceeds them is malformed.
-inline constexpr std::size_t kMaxName = 256;          // bytes of a name, id, user or destination
-inline constexpr std::size_t kMaxValue = 64 << 10;    // bytes of an attribute's value or a text
-inline constexpr std::size_t kMaxAttributes = 256;    // in one list
-inline constexpr std::size_t kMaxPiece = 1 << 20;     // bytes of one piece of a script
-inline constexpr std::size_t kMaxObjects = 1 << 20;   // in a status or select reply
-inline constexpr std::size_t kMaxRequest = 4 << 20;   // bytes of a whole request
-inline constexpr std::size_t kMaxReply = 512u << 20;  // bytes of a whole reply
+// Limits of one request or reply. A message that exceeds any of them is malformed.
+inline constexpr std::size_t kMaxName = 256;             // bytes of a name, id, user or destination
+inline constexpr std::size_t kMaxValue = 64 << 10;       // bytes of an attribute value or a reply text
+inline constexpr std::size_t kMaxAttributes = 256;       // attributes in one list
+inline constexpr std::size_t kMaxScriptChunk = 1 << 20;  // bytes of one chunk of a script
+inline constexpr std::size_t kMaxObjects = 1 << 20;      // objects or ids in a status or select reply
+inline constexpr std::size_t kMaxRequest = 4 << 20;      // bytes of a whole request
+inline constexpr std::size_t kMaxReply = 512u << 20;     // bytes of a whole reply
 
 enum class RequestType : unsigned {
   kConnect = 0,
@@ -44,39 +45,45 @@
   kDisconnect = 59
 };
 
+// Operators of attributes. Selections use the comparisons from kEq on.
 enum class Op : unsigned { kSet, kUnset, kIncr, kDecr, kEq, kNe, kGe, kGt, kLe, kLt };
 
+// One attribute of a request or reply, as text. Some attributes, such as Resource_List, have one value for
+// each resource.
 struct Attribute {
   std::string name;
-  std::string resource;  // empty: none
+  std::string resource;  // empty if the attribute has no resource
   std::string value;
   Op op = Op::kSet;
   bool operator==(const Attribute&) const = default;
 };
 using Attributes = std::vector<Attribute>;
 
-// The first attribute of that name and resource, or null.
+// Returns the first attribute with that name and resource, or null. It points into `list`.
 const Attribute* Find(const Attributes& list, std::string_view name, std::string_view resource = {});
+// Returns the value of the attribute that Find returns, or an empty text. It points into `list`.
 std::string_view ValueOf(const Attributes& list, std::string_view name, std::string_view resource = {});
 
 enum class ObjectType : unsigned { kServer = 0, kQueue = 1, kJob = 2 };
 
+// A batch request of any type. Each type uses only some of the fields; the others are not encoded.
 struct Request {
   RequestType type = RequestType::kConnect;
   std::string user;
-  std::string id;           // job id or object name; for a status: empty means all
+  std::string id;           // job id or object name; an empty one in a status request selects all objects
   std::string destination;  // QueueJob, MoveJob
   Attributes attributes;
-  unsigned command = 0;                  // manage form: 1 delete, 2 set
-  unsigned object = 2;                   // ObjectType
-  std::uint64_t sequence = 0, kind = 0;  // of a piece of a script
-  std::string script;                    // its bytes
-  std::string signal;
-  std::int64_t status = 0;  // exit status, JobObit
+  unsigned command = 0;                  // requests in the Manage form: 1 deletes, 2 sets
+  unsigned object = 2;                   // requests in the Manage form: an ObjectType
+  std::uint64_t sequence = 0, kind = 0;  // JobScript: number of the chunk, and its kind
+  std::string script;                    // JobScript: bytes of the chunk
+  std::string signal;                    // SignalJob: name or number of the signal
+  std::int64_t status = 0;               // JobObit: exit status
   std::string extension;
   bool operator==(const Request&) const = default;
 };
 
+// Reply codes. The numbers are those of the PBS protocol.
 enum class Code : int {
   kNone = 0,
   kUnknownJob = 15001,
@@ -93,12 +100,13 @@
   kBadState = 15016,
   kUnknownQueue = 15018,
   kProtocol = 15031,
-  kNoRoom = 15046  // resources temporarily not available: a node rejects an attempt
+  kNoRoom = 15046  // resources temporarily unavailable: a node rejects an attempt
 };
 
-// A short text for the user; empty for kNone.
+// Returns a short description for users; empty for kNone.
 [[nodiscard]] const char* Describe(Code code);
 
+// The type of a reply's body.
 enum class Choice : unsigned {
   kNull = 1,
   kQueued = 2,
@@ -110,6 +118,7 @@
   kLocate = 8
 };
 
+// A job, queue or server in a status reply.
 struct StatusObject {
   ObjectType type = ObjectType::kJob;
   std::string name;
@@ -117,26 +126,28 @@
   bool operator==(const StatusObject&) const = default;
 };
 
+// A batch reply. `choice` selects which of the last three fields is encoded.
 struct Reply {
   Code code = Code::kNone;
   std::int64_t auxiliary = 0;
   Choice choice = Choice::kNull;
-  std::string text;  // id, text or destination, by choice
+  std::string text;  // job id, message text or location, depending on `choice`
   std::vector<std::string> ids;
   std::vector<StatusObject> objects;
   bool operator==(const Reply&) const = default;
 };
 
-// Append one message to `out`.
+// Append one encoded message to `out`.
 void Encode(const Request& request, std::string* out);
 void Encode(const Reply& reply, std::string* out);
 
 enum class DecodeErrorCode : std::uint8_t {
-  kMalformed,           // `expected` was expected at byte `offset`
-  kTooLarge,            // it states more than `max_bytes`
-  kUnknownRequestType,  // well-formed up to its type, `request_type`
+  kMalformed,           // the input at byte `offset` is not what `expected` describes
+  kTooLarge,            // the message is longer than `max_bytes`
+  kUnknownRequestType,  // the request type `request_type` is unknown
 };
 
+// Each code sets only the fields that its comment names.
 struct DecodeError {
   DecodeErrorCode code = DecodeErrorCode::kMalformed;
   std::string expected;
@@ -145,17 +156,17 @@
   std::uint64_t request_type = 0;
 };
 
-// What was expected, to be put behind the word "expected".
+// Returns a description of the expected input, phrased to follow the word "expected".
 [[nodiscard]] std::string Describe(const DecodeError& error);
 
 struct DecodeResult {
   DisState state = DisState::kMore;
-  std::size_t used = 0;   // kOk: bytes of this message
-  std::size_t needs = 1;  // kMore: least length worth trying again
-  DecodeError error;      // kBad
+  std::size_t used = 0;   // kOk: length of the message in bytes
+  std::size_t needs = 1;  // kMore: least input length, in bytes, with which decoding can get further
+  DecodeError error;      // kBad: the reason
 };
 
-// Read one message from the front of `bytes`. The message is set for kOk alone.
+// Decode one message at the front of `bytes`. `request` or `reply` is set only if the state is kOk.
 [[nodiscard]] DecodeResult Decode(std::string_view bytes, Request* request);
 [[nodiscard]] DecodeResult Decode(std::string_view bytes, Reply* reply);
 
--- a/src/pbs_protocol/reply_codec.cpp
+++ b/src/pbs_protocol/reply_codec.cpp
@@ -1,4 +1,4 @@
-// Replies as bytes.
+// Encoding and decoding of replies.
 #include <cstdint>
 #include <string>
 #include <utility>
@@ -43,7 +43,7 @@
   for (std::uint64_t i = 0; i < count && reader->ok(); ++i) ids->emplace_back(reader->Text(kMaxName));
 }
 
-void ReadChosen(DisReader* reader, Reply* reply) {
+void ReadBody(DisReader* reader, Reply* reply) {
   switch (reply->choice) {
     case Choice::kNull:
       break;
@@ -103,7 +103,7 @@
   if (reader.ok() && (choice < kFirstChoice || choice > kLastChoice)) reader.Fail("a choice of 1 to 8");
   if (!reader.ok()) return Finish(reader, kMaxReply);
   decoded.choice = static_cast<Choice>(choice);
-  ReadChosen(&reader, &decoded);
+  ReadBody(&reader, &decoded);
   DecodeResult result = Finish(reader, kMaxReply);
   if (result.state == DisState::kOk) *reply = std::move(decoded);
   return result;
--- a/src/pbs_protocol/request_codec.cpp
+++ b/src/pbs_protocol/request_codec.cpp
@@ -1,4 +1,4 @@
-// Requests as bytes.
+// Encoding and decoding of requests.
 #include <cstdint>
 #include <limits>
 #include <string>
@@ -10,10 +10,11 @@
 namespace mountflow::pbs_protocol {
 namespace {
 
-constexpr std::uint64_t kMaxRequestType = 1000;  // beyond it the input is malformed, not an unknown request
-constexpr std::uint64_t kMaxManageNumber = 100;  // of a command or an object type
+constexpr std::uint64_t kMaxRequestType = 1000;  // a larger number is malformed input, not an unknown request
+constexpr std::uint64_t kMaxManageNumber = 100;  // largest command or object type in a Manage request
 
-// Writes the parts of a request's body.
+// Encodes the fields of a request body. Has the same functions as BodyReader, so that ProcessBody can use
+// either.
 struct BodyWriter {
   DisWriter* writer;
 
@@ -25,10 +26,10 @@
   void Signed(const std::int64_t& number) { writer->Signed(number); }
   void List(const Attributes& list) { WriteAttributes(list, writer); }
   void Size(const std::string& text) { writer->Unsigned(text.size()); }
-  void SameSize(const std::string& /*text*/) {}
+  void CheckSize(const std::string& /*text*/) {}
 };
 
-// Reads them.
+// Decodes the fields of a request body.
 struct BodyReader {
   DisReader* reader;
   std::uint64_t stated_size = 0;
@@ -43,12 +44,13 @@
   void Signed(std::int64_t& number) { number = reader->Signed(); }
   void List(Attributes& list) { ReadAttributes(reader, &list); }
   void Size(const std::string& /*text*/) { stated_size = reader->Unsigned(); }
-  void SameSize(const std::string& text) {
+  void CheckSize(const std::string& text) {
     if (reader->ok() && stated_size != text.size()) reader->Fail("a piece of its stated size");
   }
 };
 
-// The body of each request, once for both directions. False when the type is unknown.
+// Encodes or decodes the body of a request, depending on `codec`. Returns false if the request type is
+// unknown.
 template <typename Codec, typename AnyRequest>
 bool ProcessBody(Codec codec, AnyRequest& request) {
   switch (request.type) {
@@ -65,8 +67,8 @@
       codec.Count(request.kind);
       codec.Size(request.script);
       codec.Text(request.id, kMaxName);
-      codec.Text(request.script, kMaxPiece);
-      codec.SameSize(request.script);
+      codec.Text(request.script, kMaxScriptChunk);
+      codec.CheckSize(request.script);
       return true;
     case RequestType::kReadyToCommit:
     case RequestType::kCommit:
@@ -137,7 +139,7 @@
   decoded.type = static_cast<RequestType>(type);
   decoded.user = reader.Text(kMaxName);
   if (!reader.ok()) return Finish(reader, kMaxRequest);
-  // The length of an unknown request is not known, so nothing behind it can be read.
+  // The length of a request of unknown type is unknown, so the input after it cannot be decoded.
   if (!ProcessBody(BodyReader{&reader}, decoded)) return UnknownRequestType(type);
   const std::uint64_t has_extension = reader.Unsigned();
   if (reader.ok() && has_extension > 1) reader.Fail("0 or 1 before the extension");
