--- a/src/pbs_server/admission_queue.cpp
+++ b/src/pbs_server/admission_queue.cpp
@@ -2,7 +2,7 @@
 
 namespace mountflow::pbs_server {
 
-admission::AdmissionDecision AdmissionQueue::Enqueue(Micros now, const AwaitingAdmission& submission,
+admission::AdmissionDecision AdmissionQueue::Enqueue(Micros now, const QueuedSubmission& submission,
                                                      std::size_t unanswered_jobs) {
   const admission::AdmissionDecision decision =
       controller_->Decide({now, submission.arrived_at, submission.deadline, queue_.size(), unanswered_jobs});
@@ -10,14 +10,14 @@
   return decision;
 }
 
-std::optional<AwaitingAdmission> AdmissionQueue::TakeFirst() {
+std::optional<QueuedSubmission> AdmissionQueue::TakeFirst() {
   if (queue_.empty()) return std::nullopt;
-  const AwaitingAdmission first = queue_.front();
+  const QueuedSubmission first = queue_.front();
   queue_.pop_front();
   return first;
 }
 
-admission::AdmissionDecision AdmissionQueue::Decide(Micros now, const AwaitingAdmission& submission,
+admission::AdmissionDecision AdmissionQueue::Decide(Micros now, const QueuedSubmission& submission,
                                                     std::size_t unanswered_jobs) {
   return controller_->Decide({now, submission.arrived_at, submission.deadline, 0, unanswered_jobs});
 }
--- a/src/pbs_server/admission_queue.hpp
+++ b/src/pbs_server/admission_queue.hpp
@@ -1,4 +1,4 @@
-// Submissions that wait for their admission, in the order of their arrival.
+// Queue of submissions that wait for admission, in the order of arrival.
 #ifndef MOUNTFLOW_PBS_SERVER_ADMISSION_QUEUE_HPP_
 #define MOUNTFLOW_PBS_SERVER_ADMISSION_QUEUE_HPP_
 
@@ -11,28 +11,31 @@
 
 namespace mountflow::pbs_server {
 
-struct AwaitingAdmission {
+struct QueuedSubmission {
   std::uint64_t connection = 0;
-  std::uint64_t ordinal = 0;  // of the connection's submissions that were queued
-  Micros arrived_at = 0;
-  Micros deadline = 0;  // the client waits no longer
+  std::uint64_t ordinal = 0;  // counts the submissions that were queued for this connection, from 1
+  Micros arrived_at = 0;      // when the bytes of the submission arrived
+  Micros deadline = 0;        // when the client stops waiting
 };
 
-// The controller bounds its length. Entries of connections closed since stay until they come to the head;
-// the caller passes over them.
+// A first-in, first-out queue whose length the admission controller bounds. Entries of closed connections
+// stay in the queue until they reach the head, where the caller must skip them.
 class AdmissionQueue {
  public:
-  // Without a controller every submission is admitted at once and nothing is queued. It must outlive this.
+  // Sets the controller, which must outlive this object. Without a controller, the caller admits every
+  // submission at once and queues none.
   void SetController(admission::AdmissionController* controller) { controller_ = controller; }
   [[nodiscard]] bool enabled() const { return controller_ != nullptr; }
   [[nodiscard]] std::size_t size() const { return queue_.size(); }
 
-  // Queues the submission unless the decision is a rejection. `unanswered_jobs`: as in SubmissionState.
-  [[nodiscard]] admission::AdmissionDecision Enqueue(Micros now, const AwaitingAdmission& submission,
+  // Decides on a submission and queues it unless it is rejected. `unanswered_jobs` is the number of admitted
+  // jobs without a final answer, as in admission::SubmissionState.
+  [[nodiscard]] admission::AdmissionDecision Enqueue(Micros now, const QueuedSubmission& submission,
                                                      std::size_t unanswered_jobs);
-  [[nodiscard]] std::optional<AwaitingAdmission> TakeFirst();
-  // The decision on a submission that was taken from the head.
-  [[nodiscard]] admission::AdmissionDecision Decide(Micros now, const AwaitingAdmission& submission,
+  // Removes and returns the first submission, or nothing if the queue is empty.
+  [[nodiscard]] std::optional<QueuedSubmission> TakeFirst();
+  // Decides again on a submission that TakeFirst returned.
+  [[nodiscard]] admission::AdmissionDecision Decide(Micros now, const QueuedSubmission& submission,
                                                     std::size_t unanswered_jobs);
   [[nodiscard]] std::size_t MaxAdmissionsPerIteration() const {
     return controller_->MaxAdmissionsPerIteration();
@@ -40,7 +43,7 @@
 
  private:
   admission::AdmissionController* controller_ = nullptr;
-  std::deque<AwaitingAdmission> queue_;
+  std::deque<QueuedSubmission> queue_;
 };
 
 }  // namespace mountflow::pbs_server
--- a/src/pbs_server/attribute_comparison.cpp
+++ b/src/pbs_server/attribute_comparison.cpp
@@ -11,7 +11,9 @@
 using pbs_protocol::Attribute;
 using pbs_protocol::Op;
 
-bool Holds(Op operation, int order) {
+// Reports whether the comparison `operation` is true for two values. `order` is negative, zero or positive if
+// the left value is less than, equal to or greater than the right one.
+bool IsSatisfied(Op operation, int order) {
   switch (operation) {
     case Op::kNe:
       return order != 0;
@@ -29,49 +31,49 @@
 }
 
 template <typename T>
-bool HoldsBetween(Op operation, T left, T right) {
-  return Holds(operation, left < right ? -1 : left > right ? 1 : 0);
+bool Compare(Op operation, T left, T right) {
+  return IsSatisfied(operation, left < right ? -1 : left > right ? 1 : 0);
 }
 
 std::optional<bool> MatchNumbers(const std::string& value, const Attribute& wanted) {
   const std::optional<double> left = ParseNumber(value);
   const std::optional<double> right = ParseNumber(wanted.value);
   if (!left || !right) return std::nullopt;
-  return HoldsBetween(wanted.op, *left, *right);
+  return Compare(wanted.op, *left, *right);
 }
 
 std::optional<bool> MatchSizes(const std::string& value, const Attribute& wanted) {
   const std::optional<double> left = ParseSize(value);
   const std::optional<double> right = ParseSize(wanted.value);
   if (!left || !right) return std::nullopt;
-  return HoldsBetween(wanted.op, *left, *right);
+  return Compare(wanted.op, *left, *right);
 }
 
 std::optional<bool> MatchTimes(const std::string& value, const Attribute& wanted) {
   const std::optional<Micros> left = ParseDuration(value);
   const std::optional<Micros> right = ParseDuration(wanted.value);
   if (!left || !right) return std::nullopt;
-  return HoldsBetween(wanted.op, *left, *right);
+  return Compare(wanted.op, *left, *right);
 }
 
-// Equality means any of the states that are stated.
+// Equality means that the job is in any of the listed states.
 std::optional<bool> MatchStates(const std::string& value, const Attribute& wanted) {
   if (wanted.op != Op::kEq && wanted.op != Op::kSet) return std::nullopt;
   return value.size() == 1 && wanted.value.find(value[0]) != std::string::npos;
 }
 
-// Without their hosts; other operators than "not equal" count as equality.
+// Compares user names without their hosts. Every operator except "not equal" means equality.
 std::optional<bool> MatchUsers(const std::string& value, const Attribute& wanted) {
   const bool same = UserOf(value) == UserOf(wanted.value);
   return wanted.op == Op::kNe ? !same : same;
 }
 
 std::optional<bool> MatchTexts(const std::string& value, const Attribute& wanted) {
-  return Holds(wanted.op, value.compare(wanted.value));
+  return IsSatisfied(wanted.op, value.compare(wanted.value));
 }
 
-// How attributes of one type are compared. The first row that applies and has a result decides; no result
-// means that the values are not of that type. An empty name or resource stands for any.
+// Comparison of attributes of one type. The first row that applies to the attribute and returns a result
+// decides. A row returns no result if a value is not of its type. An empty name or resource matches any.
 struct ComparisonRow {
   std::string_view name;
   std::string_view resource;
--- a/src/pbs_server/attribute_comparison.hpp
+++ b/src/pbs_server/attribute_comparison.hpp
@@ -1,4 +1,4 @@
-// Comparison of a job's attributes with those that a selection states.
+// Comparison of a job's attributes with the criteria of a selection.
 #ifndef MOUNTFLOW_PBS_SERVER_ATTRIBUTE_COMPARISON_HPP_
 #define MOUNTFLOW_PBS_SERVER_ATTRIBUTE_COMPARISON_HPP_
 
@@ -8,11 +8,11 @@
 
 namespace mountflow::pbs_server {
 
-// The user of NAME or NAME@HOST.
+// Returns NAME from "NAME" or "NAME@HOST".
 [[nodiscard]] std::string UserOf(const std::string& user);
 
-// Whether `shown` satisfies `wanted` by its operator. A missing attribute counts as an empty text. Operators
-// that state no comparison count as equality.
+// Reports whether the attributes `shown` satisfy the criterion `wanted`, compared by its operator. A missing
+// attribute is compared as an empty text. An operator that is no comparison means equality.
 [[nodiscard]] bool Matches(const pbs_protocol::Attributes& shown, const pbs_protocol::Attribute& wanted);
 
 }  // namespace mountflow::pbs_server
--- a/src/pbs_server/attribute_error.cpp
+++ b/src/pbs_server/attribute_error.cpp
@@ -5,7 +5,7 @@
 namespace mountflow::pbs_server {
 namespace {
 
-constexpr std::size_t kMaxQuotedBytes = 80;  // of a client's text
+constexpr std::size_t kMaxQuotedBytes = 80;  // limit for text from a client's request
 
 std::string Quote(const std::string& text) { return "'" + text.substr(0, kMaxQuotedBytes) + "'"; }
 
--- a/src/pbs_server/attribute_mapping.cpp
+++ b/src/pbs_server/attribute_mapping.cpp
@@ -53,7 +53,7 @@
   return {};
 }
 
-// ---- One decoder and encoder an attribute ----
+// ---- Decoders and encoders, one for each attribute ----
 
 AttributeResult DecodeJobName(const Attribute& attribute, const Vocabulary&, JobSpec* spec) {
   if (attribute.value.empty() || attribute.value.size() > kMaxJobNameBytes) {
@@ -190,15 +190,16 @@
 
 struct AttributeRow {
   const char* name;
-  const char* resource;  // "": the attribute has none, and one in a message is ignored
+  const char* resource;  // if empty, the attribute has no resource, and a resource in a request is ignored
   AttributeResult (*decode)(const Attribute&, const Vocabulary&, JobSpec*);
-  // For a node; null: nodes do not get it. Attributes that may be absent are left out when empty.
+  // Encodes the value for a node; null if the attribute is not sent to nodes. An empty value is omitted if
+  // `may_be_absent` is set.
   std::string (*encode)(const JobSpec&, const Vocabulary&);
   Alteration alteration;
   bool may_be_absent;
 };
 
-// In the order in which nodes get them.
+// Attributes that the daemon interprets, in the order in which they are sent to nodes.
 constexpr AttributeRow kAttributes[] = {
     {"Job_Name", "", DecodeJobName, EncodeJobName, Alteration::kAllowed, false},
     {"Job_Owner", "", DecodeStatusOnly, EncodeJobOwner, Alteration::kAllowed, false},
@@ -218,12 +219,13 @@
     {"earlier_until", "", DecodeEarlierUntil, nullptr, Alteration::kFixedAtSubmission, true},
 };
 
-// Stored and sent on unchanged, without meaning to the job manager.
+// Attributes that are stored and passed to nodes unchanged. The job manager does not interpret them.
 constexpr std::string_view kPassedAttributes[] = {
     "Variable_List", "Output_Path", "Error_Path", "Join_Path",  "Shell_Path_List",
     "Mail_Points",   "Mail_Users",  "Keep_Files", "Checkpoint", "umask",
     "block",         "life",        "Executable"};
 
+// Attributes that appear in status replies and cannot be set.
 constexpr std::string_view kStatusAttributes[] = {
     "job_state", "exec_host", "comment",     "ctime",  "mtime",     "qtime", "etime",
     "stime",     "server",    "exit_status", "answer", "run_count", "queue"};
@@ -233,7 +235,7 @@
   return std::find(std::begin(names), std::end(names), name) != std::end(names);
 }
 
-// Null: no row.
+// Returns the row for an attribute, or null if there is none.
 const AttributeRow* FindRow(const Attribute& attribute) {
   const auto* const row = std::find_if(
       std::begin(kAttributes), std::end(kAttributes), [&attribute](const AttributeRow& candidate) {
@@ -275,7 +277,8 @@
   return {};
 }
 
-// A destination is QUEUE, @SERVER or QUEUE@SERVER; the server's part led here.
+// Decodes a destination: QUEUE, @SERVER or QUEUE@SERVER. The server part is ignored, because the client has
+// used it to select this server.
 AttributeResult DecodeQueue(const std::string& destination, const Vocabulary& vocabulary, JobSpec* spec) {
   Attribute queue;
   queue.value = destination.substr(0, destination.find('@'));
--- a/src/pbs_server/attribute_values.cpp
+++ b/src/pbs_server/attribute_values.cpp
@@ -21,7 +21,7 @@
   std::string_view name;
   double bytes;
 };
-// A word (w) has eight bytes.
+// The unit "w" is a word of eight bytes.
 constexpr SizeUnit kParsedUnits[] = {{"", 1.0},
                                      {"b", 1.0},
                                      {"w", 8.0},
--- a/src/pbs_server/obituary_handler.cpp
+++ b/src/pbs_server/obituary_handler.cpp
@@ -12,14 +12,14 @@
 using pbs_protocol::Code;
 using pbs_protocol::ValueOf;
 
-constexpr std::int64_t kMaxExitStatus = 1'000'000;  // of either sign
+constexpr std::int64_t kMaxExitStatus = 1'000'000;  // limit of the absolute value
 
 struct EndReasonName {
   std::string_view name;
   EndReason reason;
 };
 
-// As the protocol spells them.
+// End reasons as spelled in the protocol.
 constexpr EndReasonName kEndReasonNames[] = {
     {"exited", EndReason::kExited},     {"killed", EndReason::kKilled},
     {"evicted", EndReason::kEvicted},   {"pushed_out", EndReason::kPreempted},
@@ -27,7 +27,7 @@
     {"lost", EndReason::kLost},
 };
 
-// All but the attempt's name.
+// Reads the fields of an obituary into `finished`, except for the name of the attempt.
 void ReadReport(const pbs_protocol::Request& request, job_manager::AttemptFinished* finished) {
   const std::string_view reason = ValueOf(request.attributes, "end_reason");
   for (const EndReasonName& row : kEndReasonNames) {
--- a/src/pbs_server/obituary_handler.hpp
+++ b/src/pbs_server/obituary_handler.hpp
@@ -1,4 +1,4 @@
-// A node's report that an attempt has ended.
+// Handler of job obituaries: reports from nodes that an attempt has ended.
 #ifndef MOUNTFLOW_PBS_SERVER_OBITUARY_HANDLER_HPP_
 #define MOUNTFLOW_PBS_SERVER_OBITUARY_HANDLER_HPP_
 
@@ -6,7 +6,8 @@
 
 namespace mountflow::pbs_server {
 
-// Any user could send one: where the system tells who opened the connection, only a local peer may.
+// Handles a job obituary. Because any user could send one, it is rejected if the user of the connection is
+// known and the peer is not local (see Peer::local).
 [[nodiscard]] OutgoingReply HandleJobObituary(const RequestContext& context,
                                               const pbs_protocol::Request& request);
 
--- a/src/pbs_server/pbs_connection.cpp
+++ b/src/pbs_server/pbs_connection.cpp
@@ -22,7 +22,7 @@
 
 bool PbsConnection::ProcessInput(Micros now) {
   bool handled_any = false;
-  while (!closing_ && !IsHeldUp()) {
+  while (!closing_ && !IsBlocked()) {
     pbs_protocol::Request request;
     const pbs_protocol::DecodeResult decoded = input_.Next(&request);
     if (decoded.state == pbs_protocol::DisState::kMore) break;
@@ -54,10 +54,10 @@
 
 bool PbsConnection::WantsRead() const {
   if (closing_ || HasTooMuchOutput()) return false;
-  return !IsHeldUp() || input_.unread_bytes() < kMaxInputWhileHeldUp;
+  return !IsBlocked() || input_.unread_bytes() < kMaxInputWhileBlocked;
 }
 
-bool PbsConnection::IsHeldUp() const {
+bool PbsConnection::IsBlocked() const {
   return shared_.waits.IsWaiting(id_) || awaiting_admission_ || HasTooMuchOutput();
 }
 
@@ -90,7 +90,7 @@
 }
 
 void PbsConnection::AwaitAdmission(Micros now, pbs_protocol::Request request) {
-  AwaitingAdmission submission;
+  QueuedSubmission submission;
   submission.connection = id_;
   submission.ordinal = queued_submissions_ + 1;
   submission.arrived_at = input_.ArrivalOfLastRequest(now);
--- a/src/pbs_server/pbs_server.cpp
+++ b/src/pbs_server/pbs_server.cpp
@@ -43,7 +43,8 @@
 }
 
 void PbsServer::Tick(Micros now) {
-  // One at a time: the input behind a wait may begin another that is over at once.
+  // Waits are taken one at a time, because a request that follows in the input may start another wait that
+  // expires at once.
   while (const std::optional<FinalAnswerWaits::Expired> expired = waits_.TakeExpired(now)) {
     FinishWaits(now, {expired->connection}, expired->job);
   }
@@ -82,7 +83,7 @@
   std::size_t admitted = 0;
   const std::size_t max_admitted = admission_queue_.MaxAdmissionsPerIteration();
   while (admitted < max_admitted) {
-    const std::optional<AwaitingAdmission> submission = admission_queue_.TakeFirst();
+    const std::optional<QueuedSubmission> submission = admission_queue_.TakeFirst();
     if (!submission) break;
     PbsConnection* connection = Find(submission->connection);
     if (connection == nullptr || !connection->IsAwaitingAdmission(submission->ordinal)) continue;
--- a/src/pbs_server/pbs_server.hpp
+++ b/src/pbs_server/pbs_server.hpp
@@ -1,16 +1,18 @@
-// The server's side of the PBS batch protocol over the job manager, free of I/O: bytes go in, bytes and a
-// wish to close come out. One PbsServer a daemon, one PbsConnection a connection.
+// PBS batch server on top of the job manager. It performs no I/O: the caller passes in received bytes, sends
+// the output of each connection, and closes connections on request. A daemon has one PbsServer, which has one
+// PbsConnection for each connection.
 //
-// Besides the published requests a StatusJob may carry the extension "wait=answer" or "wait=end" (and
-// ",seconds=N"): it is replied to when the job has its final answer, or has ended, or when that time is over.
-// Until then nothing else is handled on that connection.
+// Extension of the protocol: a StatusJob request may carry the extension "wait=answer" or "wait=end",
+// optionally followed by ",seconds=N". The server replies when the job has its final answer ("answer") or is
+// complete ("end"), or after N seconds, at most `max_wait`. Until then it handles no other request of that
+// connection.
 //
-// With an admission controller a new submission is not begun when it is read: it is queued, one a
-// connection, until AdmitWaiting, which the caller calls after it has handled all that came in the same turn
-// for jobs that were submitted before. A rejected client is told when to submit again.
+// With an admission controller, a new submission is queued when it is read, at most one for each connection.
+// It starts when the caller calls AdmitWaiting, after it has handled the other requests of the same event
+// loop iteration. The reply to a rejected client may say when to submit again.
 //
-// Bounds: those of submission_handlers.hpp and pbs_connection.hpp; one request in the buffer at its stated
-// size. Not thread-safe.
+// Memory is bounded by the limits of submission_handlers.hpp and pbs_connection.hpp, and by the maximum size
+// of one request in each input buffer. Not thread-safe.
 #ifndef MOUNTFLOW_PBS_SERVER_PBS_SERVER_HPP_
 #define MOUNTFLOW_PBS_SERVER_PBS_SERVER_HPP_
 
@@ -33,52 +35,62 @@
 
 class PbsConnection;
 
+// Serves all batch connections of a daemon. Connection ids are chosen by the caller.
 class PbsServer {
  public:
   using ConnectionId = std::uint64_t;
 
-  // `job_manager` must outlive this.
+  // `job_manager` must outlive this object.
   PbsServer(job_manager::JobManager* job_manager, PbsServerOptions options);
   PbsServer(const PbsServer&) = delete;
   PbsServer& operator=(const PbsServer&) = delete;
   ~PbsServer();
 
+  // Registers a new connection.
   void Open(ConnectionId id, Peer peer);
-  // Takes bytes; replies are appended to the connection's output. `arrived_at`: when the bytes did, at the
-  // earliest.
+  // Handles received bytes and appends the replies to the connection's output. `arrived_at` is the earliest
+  // time at which the bytes may have arrived.
   void Receive(Micros now, ConnectionId id, std::string_view bytes, Micros arrived_at);
   void Receive(Micros now, ConnectionId id, std::string_view bytes) { Receive(now, id, bytes, now); }
-  // The connection is gone. A submission without its Commit leaves no job.
+  // Removes a closed connection. A submission that was not committed creates no job.
   void Close(Micros now, ConnectionId id);
 
-  // Call with each of these outputs of the job manager.
+  // Reply to the requests that wait for this event. The caller must pass in every such output of the job
+  // manager.
   void HandleJobAnswered(Micros now, const job_manager::JobAnswered& answered);
   void HandleJobCompleted(Micros now, const job_manager::JobCompleted& completed);
-  // Ends the waits whose time is over.
+  // Replies to the waiting requests whose deadline has passed.
   void Tick(Micros now);
+  // Returns when Tick or TakeWarnings is due next, or the largest value of Micros.
   [[nodiscard]] Micros NextTimer() const;
 
-  // Bytes for the peer; the caller removes them from the front as it writes them. Null: not open.
+  // Returns the unsent output of a connection, or null if it is not open. The caller removes bytes from the
+  // front as it sends them.
   [[nodiscard]] std::string* OutputOf(ConnectionId id);
-  // After the output is written.
+  // Reports whether the caller should close the connection once its output is sent. True if it is not open.
   [[nodiscard]] bool WantsClose(ConnectionId id) const;
-  // False: too much is unread, or the next request is held up and enough of the input behind it is here.
+  // Reports whether the caller should read from the connection. False if it is closing or not open, if too
+  // much output is unsent, or if the connection is blocked and enough input is buffered.
   [[nodiscard]] bool WantsRead(ConnectionId id) const;
-  // The output tells of nothing that the job manager stores (connects, steps of a submission before its
-  // commit, rejections of admission): it need not wait until anything is durable.
+  // Reports whether the unsent output is independent of state that the job manager stores: replies to
+  // connects, to the steps of a submission before its commit, and rejections of admission. Such output may be
+  // sent before pending writes are durable.
   [[nodiscard]] bool IsIndependentOfJobState(ConnectionId id) const;
-  // Goes on with input that was held up, once output was written. True if it handled any.
+  // Handles input that was blocked by unsent output. Call it after output was sent. Returns true if it
+  // handled any request.
   bool Resume(Micros now, ConnectionId id);
 
-  // `admission` must outlive this.
+  // Enables admission control. `admission` must outlive this object.
   void SetAdmission(admission::AdmissionController* admission) { admission_queue_.SetController(admission); }
-  // Admits or rejects the queued submissions that may be decided in this turn. True if there were any.
+  // Admits or rejects queued submissions, up to the number that may be admitted in one event loop iteration.
+  // Returns true if it decided on any.
   bool AdmitWaiting(Micros now);
+  // Returns the length of the admission queue.
   [[nodiscard]] std::size_t awaiting_admission() const { return admission_queue_.size(); }
   [[nodiscard]] std::size_t connections() const { return connections_.size(); }
-  // The connections that have new output since the last call, by their ids.
+  // Returns the open connections that got new output since the last call, in ascending order of their ids.
   [[nodiscard]] std::vector<ConnectionId> TakeConnectionsWithOutput();
-  // Log lines on bad input, coalesced by kind and second.
+  // Removes and returns the log lines about invalid requests that are due, coalesced by kind and second.
   [[nodiscard]] std::vector<std::string> TakeWarnings(Micros now);
 
  private:
@@ -90,8 +102,8 @@
   RequestErrorLog request_errors_;
   FinalAnswerWaits waits_;
   AdmissionQueue admission_queue_;
-  std::vector<ConnectionId> connections_with_output_;  // some more than once, some closed since
-  // Last: connections refer to all of the above.
+  std::vector<ConnectionId> connections_with_output_;  // may contain duplicates and closed connections
+  // Declared last because the connections refer to the members above.
   std::unordered_map<ConnectionId, std::unique_ptr<PbsConnection>> connections_;
 };
 
--- a/src/pbs_server/pbs_server_options.hpp
+++ b/src/pbs_server/pbs_server_options.hpp
@@ -1,4 +1,4 @@
-// Options of the PBS server, and what is known of the other end of a connection.
+// Options of the PBS server, and the identity of a connection's peer.
 #ifndef MOUNTFLOW_PBS_SERVER_PBS_SERVER_OPTIONS_HPP_
 #define MOUNTFLOW_PBS_SERVER_PBS_SERVER_OPTIONS_HPP_
 
@@ -13,17 +13,17 @@
 
 struct PbsServerOptions {
   Vocabulary vocabulary;
-  std::size_t max_script_bytes = 1 << 20;         // of one submission
-  std::size_t max_unread_reply_bytes = 64 << 20;  // of one connection
-  std::set<std::string> managers = {"root"};      // may act on all jobs
-  Micros max_wait = 600'000'000;                  // of a status with "wait="
+  std::size_t max_script_bytes = 1 << 20;         // size of the script of one submission
+  std::size_t max_unread_reply_bytes = 64 << 20;  // unsent output of one connection
+  std::set<std::string> managers = {"root"};      // users that may act on all jobs
+  Micros max_wait = 600'000'000;                  // longest wait of a status request with "wait="
 };
 
-// Who is at the other end, as far as the system tells.
+// The peer of a connection, as identified by the operating system.
 struct Peer {
   std::string address;
-  std::string user;    // of the process that opened the connection; empty: unknown
-  bool local = false;  // that user is this daemon's, or root
+  std::string user;    // user of the process that opened the connection; empty if unknown
+  bool local = false;  // whether that user is this daemon's user or root
 };
 
 }  // namespace mountflow::pbs_server
--- a/src/pbs_server/request_handler.hpp
+++ b/src/pbs_server/request_handler.hpp
@@ -1,5 +1,5 @@
-// Handlers of requests that are replied to at once: a table from the type of a request to its handler. The
-// families of handlers are submission_handlers, status_handlers, job_command_handlers and obituary_handler.
+// Dispatch of requests to their handlers, by request type. The handlers, which reply without waiting, are
+// defined in submission_handlers, status_handlers, job_command_handlers and obituary_handler.
 #ifndef MOUNTFLOW_PBS_SERVER_REQUEST_HANDLER_HPP_
 #define MOUNTFLOW_PBS_SERVER_REQUEST_HANDLER_HPP_
 
@@ -15,39 +15,44 @@
 
 namespace mountflow::pbs_server {
 
-// A submission between its QueueJob and its Commit. The job manager does not know of it yet.
+// A submission between its QueueJob and its Commit. The job manager has no job for it yet.
 struct PendingSubmission {
-  std::uint64_t number = 0;
+  std::uint64_t number = 0;  // job number
   std::string id;
   job_manager::JobSpec spec;
 };
 
-// What a handler may use. Valid during one request.
+// Context in which a handler runs. Valid during one request.
 struct RequestContext {
   Micros now;
   job_manager::JobManager& job_manager;
   const PbsServerOptions& options;
   const Peer& peer;
-  std::optional<PendingSubmission>& submission;  // of the connection
+  std::optional<PendingSubmission>& submission;  // the connection's submission in progress
   RequestErrorLog& request_errors;
-  std::string user;  // for whom the request acts, without a host
+  std::string user;  // user that the request acts for, without a host name
 
-  // The user as the job manager's commands take it: empty for managers, who may act on all jobs.
+  // Returns the user to pass to the job manager's commands. It is empty for managers, who may act on all
+  // jobs.
   [[nodiscard]] std::string ActingUser() const { return options.managers.count(user) > 0 ? "" : user; }
 };
 
+// A reply, and whether it may be sent before pending writes are durable.
 struct OutgoingReply {
   pbs_protocol::Reply reply;
-  // It tells of nothing that the job manager stores, so that it need not wait until anything is durable.
+  // Whether the reply reveals nothing that the job manager stores. It may then be sent before pending writes
+  // are durable.
   bool independent_of_job_state = false;
 };
 
+// Returns a reply without a body.
 [[nodiscard]] pbs_protocol::Reply MakeReply(pbs_protocol::Code code);
+// Returns a reply with a text.
 [[nodiscard]] pbs_protocol::Reply MakeReply(pbs_protocol::Code code, std::string text);
-// Success, with an id.
+// Returns a reply that reports success and carries a job id.
 [[nodiscard]] pbs_protocol::Reply MakeReply(pbs_protocol::Choice choice, std::string id);
 
-// Handles a request of any type but kDisconnect, and replies kUnknownRequest to what has no handler.
+// Handles a request of any type except kDisconnect. Replies kUnknownRequest to a type without a handler.
 [[nodiscard]] OutgoingReply HandleRequest(const RequestContext& context,
                                           const pbs_protocol::Request& request);
 
--- a/src/pbs_server/status_handlers.cpp
+++ b/src/pbs_server/status_handlers.cpp
@@ -26,8 +26,8 @@
 
 using JobCounts = std::map<JobState, std::size_t>;
 
-constexpr std::array kShownStates = {JobState::kQueued, JobState::kHeld, JobState::kWaiting,
-                                     JobState::kRunning, JobState::kExiting};
+constexpr std::array kCountedStates = {JobState::kQueued, JobState::kHeld, JobState::kWaiting,
+                                       JobState::kRunning, JobState::kExiting};
 
 bool IsQueue(const Vocabulary& vocabulary, const std::string& name) {
   return std::find(vocabulary.queues.begin(), vocabulary.queues.end(), name) != vocabulary.queues.end();
@@ -43,9 +43,10 @@
   object->attributes.push_back({name, "", std::move(value), pbs_protocol::Op::kSet});
 }
 
-// With the attributes that are wanted by name; all if none is.
-StatusObject ShowJob(const JobManager& job_manager, const Job& job, const Vocabulary& vocabulary,
-                     const pbs_protocol::Attributes& wanted) {
+// Returns the status of a job with the attributes named in `wanted`, or with all attributes if `wanted` is
+// empty.
+StatusObject MakeJobObject(const JobManager& job_manager, const Job& job, const Vocabulary& vocabulary,
+                           const pbs_protocol::Attributes& wanted) {
   StatusObject object;
   object.name = job_manager.JobId(job.number);
   object.attributes = EncodeForStatus(job_manager, job, vocabulary);
@@ -58,10 +59,10 @@
   return object;
 }
 
-// "Q:1 H:0 W:0 R:2 E:0"
-std::string ShowCounts(JobCounts* counts) {
+// Formats counts as in "Q:1 H:0 W:0 R:2 E:0".
+std::string FormatCounts(JobCounts* counts) {
   std::string shown;
-  for (const JobState state : kShownStates) {
+  for (const JobState state : kCountedStates) {
     if (!shown.empty()) shown += ' ';
     shown += static_cast<char>(state);
     shown += ':' + std::to_string((*counts)[state]);
@@ -80,8 +81,8 @@
   }
 }
 
-StatusObject ShowQueue(const JobManager& job_manager, const std::string& name, std::size_t task_class,
-                       JobCounts* counts) {
+StatusObject MakeQueueObject(const JobManager& job_manager, const std::string& name, std::size_t task_class,
+                             JobCounts* counts) {
   const job_manager::JobManagerOptions& options = job_manager.options();
   const TaskClass& settings = options.settings.classes[task_class];
   std::size_t total = 0;
@@ -92,7 +93,7 @@
   AddAttribute(&object, "queue_type", "Execution");
   AddAttribute(&object, "Priority", std::to_string(settings.priority));
   AddAttribute(&object, "total_jobs", std::to_string(total));
-  AddAttribute(&object, "state_count", ShowCounts(counts));
+  AddAttribute(&object, "state_count", FormatCounts(counts));
   AddAttribute(&object, "enabled", "True");
   AddAttribute(&object, "started", "True");
   AddAttribute(&object, "effect", NameOf(settings.idempotency));
@@ -106,7 +107,7 @@
   const Job* job = job_manager.Find(number);
   if (job == nullptr) return {MakeReply(Code::kUnknownJob)};
   pbs_protocol::Reply reply = StatusReply();
-  reply.objects.push_back(ShowJob(job_manager, *job, vocabulary, {}));
+  reply.objects.push_back(MakeJobObject(job_manager, *job, vocabulary, {}));
   return {std::move(reply)};
 }
 
@@ -118,16 +119,16 @@
     const std::uint64_t number = job_manager.ParseJobId(request.id);
     const Job* job = number != 0 ? job_manager.Find(number) : nullptr;
     if (job == nullptr) return {MakeReply(Code::kUnknownJob)};
-    // A wait that is over shows all attributes.
+    // A request with a wait gets all attributes, also if the event has happened already.
     if (request.extension.starts_with(kWaitExtension)) return StatusOfJob(job_manager, number, vocabulary);
-    reply.objects.push_back(ShowJob(job_manager, *job, vocabulary, request.attributes));
+    reply.objects.push_back(MakeJobObject(job_manager, *job, vocabulary, request.attributes));
     return {std::move(reply)};
   }
   const bool with_complete = request.extension.find('x') != std::string::npos;
   job_manager.ForEach(0, [&](const Job& job) {
     if (!request.id.empty() && job.spec->queue != request.id) return true;
     if (!with_complete && job.state == JobState::kComplete) return true;
-    reply.objects.push_back(ShowJob(job_manager, job, vocabulary, request.attributes));
+    reply.objects.push_back(MakeJobObject(job_manager, job, vocabulary, request.attributes));
     return reply.objects.size() < pbs_protocol::kMaxObjects;
   });
   return {std::move(reply)};
@@ -171,7 +172,7 @@
   pbs_protocol::Reply reply = StatusReply();
   for (std::size_t i = 0; i < queues.size(); ++i) {
     if (!request.id.empty() && queues[i] != request.id) continue;
-    reply.objects.push_back(ShowQueue(job_manager, queues[i], i, &counts[queues[i]]));
+    reply.objects.push_back(MakeQueueObject(job_manager, queues[i], i, &counts[queues[i]]));
   }
   return {std::move(reply)};
 }
@@ -193,7 +194,7 @@
   object.name = job_manager.options().server;
   AddAttribute(&object, "server_state", "Active");
   AddAttribute(&object, "total_jobs", std::to_string(total));
-  AddAttribute(&object, "state_count", ShowCounts(&by_state));
+  AddAttribute(&object, "state_count", FormatCounts(&by_state));
   AddAttribute(&object, "complete_jobs", std::to_string(counts.complete));
   AddAttribute(&object, "nodes", std::to_string(nodes));
   AddAttribute(&object, "unsettled_attempts", std::to_string(job_manager.stopping_attempts()));
--- a/src/pbs_server/submission_handlers.cpp
+++ b/src/pbs_server/submission_handlers.cpp
@@ -19,8 +19,9 @@
   return context.submission && (id.empty() || id == context.submission->id);
 }
 
-// Why a submission with an id from the client cannot go on. The id is one that the client got before: it
-// repeats a submission whose result it did not learn.
+// Checks a job id that the client sent with QueueJob. The client may send the id of an earlier submission
+// whose result it does not know. Returns the reply that rejects the submission, or nothing if it may
+// continue.
 std::optional<pbs_protocol::Reply> CheckRepeatedId(const job_manager::JobManager& job_manager,
                                                    std::uint64_t number) {
   if (number == 0) return MakeReply(Code::kUnknownJob);
--- a/src/pbs_server/vocabulary.hpp
+++ b/src/pbs_server/vocabulary.hpp
@@ -1,4 +1,4 @@
-// The names of one deployment that clients may use, and the bounds of what one job may request.
+// Names that clients of one deployment may use, and limits on the resources of one job.
 #ifndef MOUNTFLOW_PBS_SERVER_VOCABULARY_HPP_
 #define MOUNTFLOW_PBS_SERVER_VOCABULARY_HPP_
 
@@ -8,12 +8,12 @@
 namespace mountflow::pbs_server {
 
 struct Vocabulary {
-  std::vector<std::string> queues;   // one a task class, in their order
-  std::vector<std::string> tenants;  // accounts; empty: any account is tenant 0
-  std::string default_queue;         // empty: a job must name one
-  double memory_unit = 1073741824;   // bytes of one unit of memory
-  double max_cores = 4096;           // of one job
-  double max_memory = 1048576;       // units, of one job
+  std::vector<std::string> queues;   // one for each task class, in the same order
+  std::vector<std::string> tenants;  // accounts; if empty, any account belongs to tenant 0
+  std::string default_queue;         // if empty, a job must name its queue
+  double memory_unit = 1073741824;   // bytes in one unit of memory
+  double max_cores = 4096;           // limit of one job
+  double max_memory = 1048576;       // limit of one job, in memory units
 };
 
 }  // namespace mountflow::pbs_server
--- a/tests/pbs_server/admission_queue_test.cpp
+++ b/tests/pbs_server/admission_queue_test.cpp
@@ -21,7 +21,7 @@
   EXPECT_FALSE(queue.TakeFirst());
 }
 
-TEST(AdmissionQueueTest, DoesNotQueueWhatIsRejected) {
+TEST(AdmissionQueueTest, DoesNotQueueRejectedSubmissions) {
   admission::AdmissionOptions options;
   options.max_queue_length = 1;
   admission::AdmissionController controller{options};
--- a/tests/pbs_server/attribute_comparison_test.cpp
+++ b/tests/pbs_server/attribute_comparison_test.cpp
@@ -28,12 +28,12 @@
   EXPECT_TRUE(MatchesValue({"Resource_List", "walltime", "00:01:40"}, "1:39", Op::kGt));
 }
 
-TEST(AttributeComparisonTest, EqualityOfStatesMeansAnyOfThose) {
+TEST(AttributeComparisonTest, EqualityOfStatesMatchesAnyListedState) {
   const Attribute state{"job_state", "", "H"};
   EXPECT_TRUE(MatchesValue(state, "QH", Op::kEq));
   EXPECT_TRUE(MatchesValue(state, "QH", Op::kSet));
   EXPECT_FALSE(MatchesValue(state, "QR", Op::kEq));
-  EXPECT_TRUE(MatchesValue(state, "QH", Op::kNe)) << "as texts";
+  EXPECT_TRUE(MatchesValue(state, "QH", Op::kNe)) << "compared as texts";
 }
 
 TEST(AttributeComparisonTest, ComparesUsersWithoutTheirHosts) {
--- a/tests/pbs_server/attribute_mapping_test.cpp
+++ b/tests/pbs_server/attribute_mapping_test.cpp
@@ -25,7 +25,7 @@
   return decoded ? AttributeError{} : decoded.error();
 }
 
-TEST(AttributeMapping, WhatANodeGetsIsReadAsTheSameJob) {
+TEST(AttributeMapping, AttributesForANodeDecodeToTheSameJob) {
   JobSpec spec;
   spec.name = "n", spec.user = "thandi", spec.service = "s", spec.key = "k";
   spec.cores = 2.5, spec.memory = 3.0, spec.walltime = 90'000'000, spec.client_wait = 5'000'000;
@@ -46,7 +46,7 @@
   EXPECT_EQ(read.passed, spec.passed);
 }
 
-TEST(AttributeMapping, AnErrorNamesTheAttributeItsValueAndWhatWasExpected) {
+TEST(AttributeMapping, AnErrorStatesTheAttributeItsValueAndTheExpectedForm) {
   const AttributeError error = ErrorOf({{"Resource_List", "ncpus", "many", Op::kSet}});
   EXPECT_EQ(error.code, AttributeError::Code::kInvalidValue);
   EXPECT_EQ(Describe(error), "Resource_List.ncpus: expected cores above 0 and up to 4096, got 'many'");
@@ -61,7 +61,7 @@
   EXPECT_EQ(ErrorOf({}, "@server").code, AttributeError::Code::kNoQueueNamed);
 }
 
-TEST(AttributeMapping, AnAlterationMayNotChangeWhatIdentifiesAJob) {
+TEST(AttributeMapping, AnAlterationMayNotChangeAttributesFixedAtSubmission) {
   for (const char* name : {"service", "key", "repeat", "owner_deadline", "earlier_until"}) {
     JobSpec spec;
     const AttributeResult decoded = DecodeAlteration({{name, "", "1", Op::kSet}}, OneQueue(), &spec);
--- a/tests/pbs_server/attribute_values_test.cpp
+++ b/tests/pbs_server/attribute_values_test.cpp
@@ -38,7 +38,7 @@
   }
 }
 
-TEST(AttributeValues, NumbersAndCountsAreTheWholeText) {
+TEST(AttributeValues, NumbersAndCountsMustBeTheWholeText) {
   EXPECT_EQ(ParseNumber("-2.5"), -2.5);
   EXPECT_EQ(ParseCount("18446744073709551615"), UINT64_MAX);
   for (const char* text : {"", "inf", "nan", "1x", " 1"}) EXPECT_FALSE(ParseNumber(text)) << text;
--- a/tests/pbs_server/input_buffer_test.cpp
+++ b/tests/pbs_server/input_buffer_test.cpp
@@ -21,7 +21,7 @@
   return bytes;
 }
 
-TEST(InputBufferTest, ReturnsARequestOnlyOnceItsLastByteIsHere) {
+TEST(InputBufferTest, ReturnsARequestOnlyWhenItIsComplete) {
   const std::string bytes = Bytes(RequestType::kStatusJob, "1.d0");
   InputBuffer buffer;
   Request request;
@@ -54,7 +54,7 @@
   EXPECT_EQ(buffer.Next(&request).state, DisState::kBad);
 }
 
-TEST(InputBufferTest, KnowsWhenTheBytesOfEachRequestArrived) {
+TEST(InputBufferTest, RecordsWhenTheBytesOfEachRequestArrived) {
   const std::string bytes = Bytes(RequestType::kStatusJob, "1.d0");
   InputBuffer buffer;
   EXPECT_EQ(buffer.ArrivalOfLastRequest(7), 7u) << "nothing arrived yet";
@@ -68,7 +68,7 @@
   EXPECT_EQ(buffer.ArrivalOfLastRequest(300), 200u);
 }
 
-TEST(InputBufferTest, CountsFurtherPiecesAsOneThatArrivedWithTheLast) {
+TEST(InputBufferTest, MergesArrivalsBeyondTheLimitIntoTheLastOne) {
   const std::string bytes = Bytes(RequestType::kStatusJob, "1.d0");
   InputBuffer buffer;
   const std::size_t pieces = InputBuffer::kMaxArrivals + 10;
--- a/tests/pbs_server/pbs_server_bytes_test.cpp
+++ b/tests/pbs_server/pbs_server_bytes_test.cpp
@@ -1,6 +1,7 @@
-// Guard of the PBS server: digests of all bytes that it sends, and of all that it tells its caller, over runs
-// drawn from a seed and over grids of attributes. A change of names or structure must leave them; a change of
-// what is sent renews them and says why.
+// Regression test of everything that the PBS server sends to clients and returns to its caller. The server
+// handles random requests from seeded runs and grids of attributes, and the test compares digests of the
+// results with recorded ones. A refactoring must not change the digests. A commit that changes them on
+// purpose records new ones and gives the reason.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -40,7 +41,7 @@
 constexpr std::array kOperators = {Op::kSet, Op::kUnset, Op::kIncr, Op::kDecr, Op::kEq,
                                    Op::kNe,  Op::kGe,    Op::kGt,   Op::kLe,   Op::kLt};
 
-// Attributes with values that are valid and values that are not.
+// An attribute with valid and invalid values.
 struct AttributeSample {
   const char* name;
   const char* resource;
@@ -127,7 +128,7 @@
   return request;
 }
 
-// A server over a job manager whose nodes answer as drawn.
+// A server with a job manager whose simulated nodes answer at random.
 class DrivenServer {
  public:
   DrivenServer(std::uint64_t seed, pbs_server::PbsServerOptions options)
@@ -150,7 +151,7 @@
     HandleOutputs();
   }
 
-  // Passes the job manager's outputs to the server and to the nodes, which answer them at once or never.
+  // Passes the job manager's outputs to the server and to the nodes. A node answers at once or never.
   void HandleOutputs() {
     for (int round = 0; round < 20; ++round) {
       fixture_.Collect();
@@ -167,7 +168,8 @@
     }
   }
 
-  // What the server sent on the connection since the last call, and what it says of the connection.
+  // Returns the replies sent on the connection since the last call. Adds them and the state of the connection
+  // to the digest.
   std::vector<Reply> TakeReplies(std::uint64_t connection) {
     digest.Add(connection);
     digest.Add(server_.WantsClose(connection));
@@ -191,6 +193,7 @@
     return replies;
   }
 
+  // Adds the state of the server to the digest.
   void AddServerState() {
     for (const std::uint64_t connection : server_.TakeConnectionsWithOutput()) digest.Add(connection);
     for (const std::string& line : server_.TakeWarnings(fixture_.now)) {
@@ -240,8 +243,8 @@
   std::vector<AttemptId> running_;
 };
 
-// A run in which clients send any request, whole or in pieces, read late, close, and name wrong jobs and
-// users.
+// A random run in which clients send requests of all types, whole or in pieces, read replies late, close
+// connections, and use wrong job ids and users.
 class DrawnRun {
  public:
   DrawnRun(std::uint64_t seed, pbs_server::PbsServerOptions options) : driven(seed, std::move(options)) {
@@ -277,7 +280,8 @@
 
   void AdvanceTime(Micros by) {
     driven.fixture().Run(driven.fixture().now + by);
-    // What the timers caused: back to where HandleOutputs takes it.
+    // Run() has collected the outputs that the timers caused; moves them back to where HandleOutputs expects
+    // them.
     driven.fixture().job_manager.outputs() = std::exchange(driven.fixture().all, {});
     driven.HandleOutputs();
     driven.server().Tick(driven.fixture().now);
@@ -302,13 +306,13 @@
       unsent_.erase(connection);
       return;
     }
-    if (driven.Chance(3)) LoadTheLoop();
+    if (driven.Chance(3)) SaturateEventLoop();
     std::string bytes = std::exchange(unsent_[connection], {});
     if (bytes.empty()) bytes = DrawInput(drawn->second);
     SendInPieces(connection, bytes);
   }
 
-  void LoadTheLoop() {
+  void SaturateEventLoop() {
     Micros at = driven.fixture().now;
     for (int iteration = 0; iteration < 60; ++iteration) {
       admission_.RecordAnswer();
@@ -456,7 +460,7 @@
   }
 
   admission::AdmissionController admission_{admission::AdmissionOptions{}};
-  std::map<std::uint64_t, std::string> users_;  // of open connections
+  std::map<std::uint64_t, std::string> users_;  // users of open connections, by connection id
   std::map<std::uint64_t, std::string> unsent_;
   std::vector<std::string> ids_;
   std::uint64_t last_connection_ = 0;
@@ -497,8 +501,8 @@
   }
 }
 
-// Every attribute with every sample value, in a submission, shown in its status, and in a change of a held
-// job.
+// Sends every attribute with every sample value in a submission and in an alteration of a held job, and
+// requests the status of both jobs.
 TEST(PbsServerBytesTest, SendsTheRecordedBytesForEveryAttribute) {
   static constexpr std::uint64_t kExpected = 10774787783937152815u;
   pbs_server::PbsServerOptions options = ServerOptions();
@@ -534,8 +538,8 @@
   EXPECT_EQ(driven.digest.Value(), kExpected);
 }
 
-// Every operator on attributes of each type, against equal, lower and higher values and those of another
-// type.
+// Selects jobs with every operator on attributes of each type, compared with equal, lower and higher values
+// and with values of another type.
 TEST(PbsServerBytesTest, SendsTheRecordedBytesForEverySelection) {
   static constexpr std::uint64_t kExpected = 2182024411992345971u;
   DrivenServer driven(2, ServerOptions());
--- a/tests/pbs_server/pbs_server_test.cpp
+++ b/tests/pbs_server/pbs_server_test.cpp
@@ -1,5 +1,5 @@
-// The server's side of the batch protocol over a job manager, without sockets: submissions cut at every byte,
-// users, waits, bounds, malformed input, admission.
+// Tests of the PBS server with a job manager and without sockets: submissions truncated at every byte,
+// permissions of users, waits, limits, malformed input, admission.
 #include "pbs_server/pbs_server.hpp"
 
 #include <gtest/gtest.h>
@@ -40,20 +40,20 @@
     return next;
   }
   static Request Make(RequestType type, const std::string& id = "", const std::string& user = "thandi") {
-    Request r;
-    r.type = type;
-    r.user = user;
-    r.id = id;
-    return r;
+    Request request;
+    request.type = type;
+    request.user = user;
+    request.id = id;
+    return request;
   }
-  static std::string Bytes(const Request& r) {
+  static std::string Bytes(const Request& request) {
     std::string bytes;
-    pbs_protocol::Encode(r, &bytes);
+    pbs_protocol::Encode(request, &bytes);
     return bytes;
   }
-  std::vector<Reply> Replies(std::uint64_t session) {
+  std::vector<Reply> Replies(std::uint64_t connection) {
     std::vector<Reply> replies;
-    std::string* out = server->OutputOf(session);
+    std::string* out = server->OutputOf(connection);
     if (out == nullptr) return replies;
     Reply reply;
     for (;;) {
@@ -65,37 +65,37 @@
     EXPECT_TRUE(out->empty());
     return replies;
   }
-  std::vector<Reply> Send(std::uint64_t session, const std::string& bytes) {
-    server->Receive(fixture.now, session, bytes);
+  std::vector<Reply> Send(std::uint64_t connection, const std::string& bytes) {
+    server->Receive(fixture.now, connection, bytes);
     fixture.Collect();
     for (const auto& a : JobManagerFixture::Of<job_manager::JobAnswered>(fixture.last))
       server->HandleJobAnswered(fixture.now, a);
     for (const auto& e : JobManagerFixture::Of<job_manager::JobCompleted>(fixture.last))
       server->HandleJobCompleted(fixture.now, e);
-    return Replies(session);
+    return Replies(connection);
   }
-  Reply Call(std::uint64_t session, const Request& r) {
-    const auto replies = Send(session, Bytes(r));
+  Reply Call(std::uint64_t connection, const Request& request) {
+    const auto replies = Send(connection, Bytes(request));
     EXPECT_EQ(replies.size(), 1u);
     return replies.empty() ? Reply{} : replies[0];
   }
   static Request Queue(const std::string& queue = "safe", const std::string& key = "",
                        const std::string& user = "thandi") {
-    Request r = Make(RequestType::kQueueJob, "", user);
-    r.destination = queue;
-    r.attributes = {{"Job_Name", "", "recount", pbs_protocol::Op::kSet},
-                    {"Resource_List", "ncpus", "2", pbs_protocol::Op::kSet}};
-    if (!key.empty()) r.attributes.push_back({"key", "", key, pbs_protocol::Op::kSet});
-    return r;
+    Request request = Make(RequestType::kQueueJob, "", user);
+    request.destination = queue;
+    request.attributes = {{"Job_Name", "", "recount", pbs_protocol::Op::kSet},
+                          {"Resource_List", "ncpus", "2", pbs_protocol::Op::kSet}};
+    if (!key.empty()) request.attributes.push_back({"key", "", key, pbs_protocol::Op::kSet});
+    return request;
   }
-  // The four requests of a submission, pipelined without the id.
-  static std::string Whole(const std::string& queue = "safe", const std::string& key = "") {
+  // Returns the four requests of a submission, pipelined, with an empty job id.
+  static std::string PipelinedSubmission(const std::string& queue = "safe", const std::string& key = "") {
     Request script = Make(RequestType::kJobScript);
     script.script = "echo\n";
     return Bytes(Queue(queue, key)) + Bytes(script) + Bytes(Make(RequestType::kReadyToCommit)) +
            Bytes(Make(RequestType::kCommit));
   }
-  std::size_t Jobs() {
+  std::size_t JobCount() {
     std::size_t count = 0;
     fixture.job_manager.ForEach(0, [&count](const job_manager::Job&) { return ++count, true; });
     return count;
@@ -103,55 +103,58 @@
 };
 
 TEST_F(PbsServerTest, ASubmissionTakesFourRequestsOnOneConnection) {
-  const auto s = Open();
-  const Reply queued = Call(s, Queue());
+  const auto connection = Open();
+  const Reply queued = Call(connection, Queue());
   ASSERT_EQ(queued.choice, pbs_protocol::Choice::kQueued);
   Request script = Make(RequestType::kJobScript, queued.text);
   script.script = "echo\n";
-  EXPECT_EQ(Call(s, script).code, Code::kNone);
-  EXPECT_EQ(Call(s, Make(RequestType::kReadyToCommit, queued.text)).choice, pbs_protocol::Choice::kReady);
-  EXPECT_EQ(Jobs(), 0u);
-  EXPECT_EQ(Call(s, Make(RequestType::kCommit, queued.text)).choice, pbs_protocol::Choice::kCommitted);
-  EXPECT_EQ(Jobs(), 1u);
+  EXPECT_EQ(Call(connection, script).code, Code::kNone);
+  EXPECT_EQ(Call(connection, Make(RequestType::kReadyToCommit, queued.text)).choice,
+            pbs_protocol::Choice::kReady);
+  EXPECT_EQ(JobCount(), 0u);
+  EXPECT_EQ(Call(connection, Make(RequestType::kCommit, queued.text)).choice,
+            pbs_protocol::Choice::kCommitted);
+  EXPECT_EQ(JobCount(), 1u);
   const job_manager::Job& job = fixture.Job(fixture.job_manager.ParseJobId(queued.text));
   EXPECT_EQ(job.spec->script, "echo\n");
   EXPECT_EQ(job.spec->cores, 2.0);
   // A repeated commit is replied to with kExists.
-  EXPECT_EQ(Call(s, Make(RequestType::kCommit, queued.text)).code, Code::kExists);
+  EXPECT_EQ(Call(connection, Make(RequestType::kCommit, queued.text)).code, Code::kExists);
 }
 
-// A connection lost before Commit was taken leaves no job; one lost after it leaves one.
+// A connection that is lost before the server has received the whole Commit must leave no job. One that is
+// lost afterwards must leave one job.
 TEST_F(PbsServerTest, AConnectionCutAtAnyByteLeavesNoPartialJob) {
-  const std::string whole = Whole();
-  for (std::size_t cut = 0; cut <= whole.size(); ++cut) {
-    const std::size_t before = Jobs();
-    const auto s = Open();
-    server->Receive(fixture.now, s, std::string_view(whole).substr(0, cut));
-    server->Close(fixture.now, s);
+  const std::string submission = PipelinedSubmission();
+  for (std::size_t cut = 0; cut <= submission.size(); ++cut) {
+    const std::size_t before = JobCount();
+    const auto connection = Open();
+    server->Receive(fixture.now, connection, std::string_view(submission).substr(0, cut));
+    server->Close(fixture.now, connection);
     fixture.Collect();
-    EXPECT_EQ(Jobs() - before, cut == whole.size() ? 1u : 0u) << cut;
+    EXPECT_EQ(JobCount() - before, cut == submission.size() ? 1u : 0u) << cut;
   }
   EXPECT_EQ(server->connections(), 0u);
 }
 
 TEST_F(PbsServerTest, BytesReceivedOneByOneAreHandledLikeAllAtOnce) {
-  const auto s = Open();
+  const auto connection = Open();
   std::size_t replies = 0;
-  for (const char c : Whole()) replies += Send(s, std::string(1, c)).size();
+  for (const char c : PipelinedSubmission()) replies += Send(connection, std::string(1, c)).size();
   EXPECT_EQ(replies, 4u);
-  EXPECT_EQ(Jobs(), 1u);
+  EXPECT_EQ(JobCount(), 1u);
 }
 
 TEST_F(PbsServerTest, ASecondSubmissionOfAKeyIsRepliedToWithTheIdOfTheFirst) {
   const auto first = Open();
-  const auto made = Send(first, Whole("keyed", "k"));
-  ASSERT_EQ(made.size(), 4u);
+  const auto submitted = Send(first, PipelinedSubmission("keyed", "k"));
+  ASSERT_EQ(submitted.size(), 4u);
   const auto again = Open();
   const Reply reply = Call(again, Queue("keyed", "k"));
   EXPECT_EQ(reply.code, Code::kExists);
-  EXPECT_EQ(reply.text, made[3].text);
-  EXPECT_EQ(Jobs(), 1u);
-  // Two submissions of one key at once: the second to commit learns of the first.
+  EXPECT_EQ(reply.text, submitted[3].text);
+  EXPECT_EQ(JobCount(), 1u);
+  // Two concurrent submissions with one key: the second Commit is answered with the id of the first job.
   const auto a = Open(), b = Open();
   const std::string id_a = Call(a, Queue("keyed", "twins")).text,
                     id_b = Call(b, Queue("keyed", "twins")).text;
@@ -163,55 +166,55 @@
 
 TEST_F(PbsServerTest, UsersActOnlyForThemselvesUnlessTheyAreManagers) {
   const auto sipho = Open("sipho");
-  Request r = Queue();
-  r.user = "thandi";
-  EXPECT_EQ(Call(sipho, r).code, Code::kPermission);
+  Request request = Queue();
+  request.user = "thandi";
+  EXPECT_EQ(Call(sipho, request).code, Code::kPermission);
   const auto thandi = Open("thandi");
-  const auto made = Send(thandi, Whole());
-  Request del = Make(RequestType::kDeleteJob, made[3].text, "sipho");
+  const auto submitted = Send(thandi, PipelinedSubmission());
+  Request del = Make(RequestType::kDeleteJob, submitted[3].text, "sipho");
   EXPECT_EQ(Call(sipho, del).code, Code::kPermission);
   const auto root = Open("root");
-  del.user = "sipho";  // root may act for anybody, and sipho still may not
+  del.user = "sipho";  // root may act for any user, but sipho may not delete the job of thandi
   EXPECT_EQ(Call(root, del).code, Code::kPermission);
   del.user = "root";
   EXPECT_EQ(Call(root, del).code, Code::kNone);
   EXPECT_EQ(server->TakeWarnings(fixture.now).size(), 1u);
-  // Reports of ends are for nodes, not for users.
-  Request obit = Make(RequestType::kJobObit, made[3].text + "/1", "node");
+  // Only nodes may send obituaries.
+  Request obit = Make(RequestType::kJobObit, submitted[3].text + "/1", "node");
   EXPECT_EQ(Call(sipho, obit).code, Code::kPermission);
 }
 
-TEST_F(PbsServerTest, AWaitIsRepliedToWithTheFinalAnswerAndHoldsUpLaterRequests) {
-  const auto s = Open();
-  const auto made = Send(s, Whole());
-  const std::string id = made[3].text;
+TEST_F(PbsServerTest, AWaitIsRepliedToWithTheFinalAnswerAndBlocksLaterRequests) {
+  const auto connection = Open();
+  const auto submitted = Send(connection, PipelinedSubmission());
+  const std::string id = submitted[3].text;
   Request wait = Make(RequestType::kStatusJob, id);
   wait.extension = "wait=answer";
-  EXPECT_TRUE(Send(s, Bytes(wait) + Bytes(Make(RequestType::kStatusServer))).empty());
-  const auto ask = *fixture.Last<job_manager::PrepareAttempt>();
-  fixture.Take(job_manager::AttemptPrepared{ask.attempt});
-  fixture.Take(job_manager::AttemptCommitted{ask.attempt});
+  EXPECT_TRUE(Send(connection, Bytes(wait) + Bytes(Make(RequestType::kStatusServer))).empty());
+  const auto prepare = *fixture.Last<job_manager::PrepareAttempt>();
+  fixture.Take(job_manager::AttemptPrepared{prepare.attempt});
+  fixture.Take(job_manager::AttemptCommitted{prepare.attempt});
   for (const auto& a : JobManagerFixture::Of<job_manager::JobAnswered>(fixture.last))
     server->HandleJobAnswered(fixture.now, a);
-  const auto replies = Replies(s);
+  const auto replies = Replies(connection);
   ASSERT_EQ(replies.size(), 2u);
   EXPECT_EQ(pbs_protocol::ValueOf(replies[0].objects[0].attributes, "answer"), "placed");
   EXPECT_EQ(replies[1].objects[0].type, pbs_protocol::ObjectType::kServer);
 }
 
 TEST_F(PbsServerTest, AWaitEndsAtItsDeadlineAndWithItsConnection) {
-  const auto s = Open();
-  const std::string id = Send(s, Whole())[3].text;
+  const auto connection = Open();
+  const std::string id = Send(connection, PipelinedSubmission())[3].text;
   Request wait = Make(RequestType::kStatusJob, id);
   wait.extension = "wait=end,seconds=2";
-  EXPECT_TRUE(Send(s, Bytes(wait)).empty());
+  EXPECT_TRUE(Send(connection, Bytes(wait)).empty());
   EXPECT_EQ(server->NextTimer(), fixture.now + 2 * kSecond);
   server->Tick(fixture.now + 2 * kSecond);
-  const auto replies = Replies(s);
+  const auto replies = Replies(connection);
   ASSERT_EQ(replies.size(), 1u);
   EXPECT_NE(pbs_protocol::ValueOf(replies[0].objects[0].attributes, "job_state"), "C");
-  EXPECT_TRUE(Send(s, Bytes(wait)).empty());
-  server->Close(fixture.now, s);
+  EXPECT_TRUE(Send(connection, Bytes(wait)).empty());
+  server->Close(fixture.now, connection);
   EXPECT_EQ(server->NextTimer(), ~Micros{0});
 }
 
@@ -220,23 +223,23 @@
                                  std::string("+2+1+1+0+0+0"
                                              "3+999"),
                                  std::string(64, '9')}) {
-    const auto s = Open();
-    const auto replies = Send(s, bad);
+    const auto connection = Open();
+    const auto replies = Send(connection, bad);
     ASSERT_EQ(replies.size(), 1u) << bad;
     EXPECT_TRUE(replies[0].code == Code::kProtocol || replies[0].code == Code::kUnknownRequest);
-    EXPECT_TRUE(server->WantsClose(s));
+    EXPECT_TRUE(server->WantsClose(connection));
     EXPECT_EQ(server->TakeWarnings(fixture.now).size(), 1u);
-    EXPECT_TRUE(Send(s, Whole()).empty());  // nothing more is read
+    EXPECT_TRUE(Send(connection, PipelinedSubmission()).empty());  // nothing more is read
   }
 }
 
 TEST_F(PbsServerTest, RepliesNameTheAttributeThatIsOutOfBounds) {
-  const auto s = Open();
+  const auto connection = Open();
   const auto code_of = [&](const char* name, const char* value, const char* resource = "") {
-    Request r = Make(RequestType::kQueueJob);
-    r.destination = "safe";
-    r.attributes = {{name, resource, value, pbs_protocol::Op::kSet}};
-    const Reply reply = Call(s, r);
+    Request request = Make(RequestType::kQueueJob);
+    request.destination = "safe";
+    request.attributes = {{name, resource, value, pbs_protocol::Op::kSet}};
+    const Reply reply = Call(connection, request);
     EXPECT_NE(reply.text.find(name), std::string::npos) << reply.text;
     return reply.code;
   };
@@ -252,56 +255,56 @@
   EXPECT_EQ(code_of("Rerunable", "perhaps"), Code::kBadValue);
   EXPECT_EQ(code_of("job_state", "R"), Code::kReadOnly);
   EXPECT_EQ(code_of("Nonsense", "1"), Code::kNoAttribute);
-  Request r = Queue("no-such-queue");
-  EXPECT_EQ(Call(s, r).code, Code::kUnknownQueue);
-  EXPECT_EQ(Jobs(), 0u);
+  Request request = Queue("no-such-queue");
+  EXPECT_EQ(Call(connection, request).code, Code::kUnknownQueue);
+  EXPECT_EQ(JobCount(), 0u);
 }
 
 TEST_F(PbsServerTest, AScriptBeyondItsBoundDropsTheSubmission) {
-  const auto s = Open();
-  const std::string id = Call(s, Queue()).text;
+  const auto connection = Open();
+  const std::string id = Call(connection, Queue()).text;
   Request script = Make(RequestType::kJobScript, id);
   script.script = std::string(600, 'x');
-  EXPECT_EQ(Call(s, script).code, Code::kNone);
-  EXPECT_EQ(Call(s, script).code, Code::kBadValue);
-  EXPECT_EQ(Call(s, Make(RequestType::kCommit, id)).code, Code::kUnknownJob);
-  EXPECT_EQ(Call(s, Queue()).code, Code::kNone);     // the connection serves on
-  EXPECT_EQ(Call(s, Queue()).code, Code::kTooMany);  // one in progress a connection
+  EXPECT_EQ(Call(connection, script).code, Code::kNone);
+  EXPECT_EQ(Call(connection, script).code, Code::kBadValue);
+  EXPECT_EQ(Call(connection, Make(RequestType::kCommit, id)).code, Code::kUnknownJob);
+  EXPECT_EQ(Call(connection, Queue()).code, Code::kNone);     // the connection is still usable
+  EXPECT_EQ(Call(connection, Queue()).code, Code::kTooMany);  // one submission in progress at most
 }
 
 TEST_F(PbsServerTest, JobsAreSelectedModifiedMovedAndReleased) {
-  const auto s = Open();
+  const auto connection = Open();
   Request held = Queue();
   held.attributes.push_back({"Hold_Types", "", "u", pbs_protocol::Op::kSet});
-  const std::string id = Call(s, held).text;
-  Call(s, Make(RequestType::kCommit, id));
+  const std::string id = Call(connection, held).text;
+  Call(connection, Make(RequestType::kCommit, id));
   Request select = Make(RequestType::kSelectJobs);
   select.attributes = {{"job_state", "", "H", pbs_protocol::Op::kEq},
                        {"Resource_List", "ncpus", "2", pbs_protocol::Op::kGe}};
-  EXPECT_EQ(Call(s, select).ids, std::vector<std::string>{id});
+  EXPECT_EQ(Call(connection, select).ids, std::vector<std::string>{id});
   select.attributes[1].op = pbs_protocol::Op::kGt;
-  EXPECT_TRUE(Call(s, select).ids.empty());
+  EXPECT_TRUE(Call(connection, select).ids.empty());
   Request alter = Make(RequestType::kModifyJob, id);
   alter.command = 2;
   alter.attributes = {{"Resource_List", "mem", "3gb", pbs_protocol::Op::kSet},
                       {"Job_Name", "", "renamed", pbs_protocol::Op::kSet}};
-  EXPECT_EQ(Call(s, alter).code, Code::kNone);
+  EXPECT_EQ(Call(connection, alter).code, Code::kNone);
   alter.attributes = {{"key", "", "other", pbs_protocol::Op::kSet}};
-  EXPECT_EQ(Call(s, alter).code, Code::kReadOnly);
+  EXPECT_EQ(Call(connection, alter).code, Code::kReadOnly);
   Request move = Make(RequestType::kMoveJob, id);
   move.destination = "unsafe";
-  EXPECT_EQ(Call(s, move).code, Code::kNone);
-  const Reply status = Call(s, Make(RequestType::kStatusJob, id));
+  EXPECT_EQ(Call(connection, move).code, Code::kNone);
+  const Reply status = Call(connection, Make(RequestType::kStatusJob, id));
   EXPECT_EQ(pbs_protocol::ValueOf(status.objects[0].attributes, "queue"), "unsafe");
   EXPECT_EQ(pbs_protocol::ValueOf(status.objects[0].attributes, "Resource_List", "mem"), "3gb");
   EXPECT_EQ(pbs_protocol::ValueOf(status.objects[0].attributes, "Job_Name"), "renamed");
-  Request operators = Make(RequestType::kHoldJob, id);
-  operators.attributes = {{"Hold_Types", "", "o", pbs_protocol::Op::kSet}};
-  EXPECT_EQ(Call(s, operators).code, Code::kPermission);
-  EXPECT_EQ(Call(s, Make(RequestType::kRerunJob, id)).code, Code::kNotRunning);
-  EXPECT_EQ(Call(s, Make(RequestType::kStatusJob, "1.other")).code, Code::kUnknownJob);
-  EXPECT_EQ(Call(s, Make(RequestType::kStatusQueue)).objects.size(), 3u);
-  EXPECT_EQ(Call(s, Make(RequestType::kReleaseJob, id)).code, Code::kNone);
+  Request operator_hold = Make(RequestType::kHoldJob, id);
+  operator_hold.attributes = {{"Hold_Types", "", "o", pbs_protocol::Op::kSet}};
+  EXPECT_EQ(Call(connection, operator_hold).code, Code::kPermission);
+  EXPECT_EQ(Call(connection, Make(RequestType::kRerunJob, id)).code, Code::kNotRunning);
+  EXPECT_EQ(Call(connection, Make(RequestType::kStatusJob, "1.other")).code, Code::kUnknownJob);
+  EXPECT_EQ(Call(connection, Make(RequestType::kStatusQueue)).objects.size(), 3u);
+  EXPECT_EQ(Call(connection, Make(RequestType::kReleaseJob, id)).code, Code::kNone);
   EXPECT_EQ(fixture.All<job_manager::PrepareAttempt>().size(), 1u);
 }
 
@@ -314,7 +317,8 @@
     PbsServerTest::SetUp();
     server->SetAdmission(&admission_controller);
   }
-  // The loop works without a pause, 5 ms a job: a hundred ahead are half a second.
+  // Simulates an event loop that is never idle and spends 5 ms on each job, so that 100 queued jobs take half
+  // a second.
   void Saturate() {
     Micros at = fixture.now;
     for (int i = 0; i < 400; ++i) {
@@ -324,36 +328,37 @@
     }
     fixture.now = at;
   }
-  std::vector<Reply> Admit(std::uint64_t session) {
+  std::vector<Reply> Admit(std::uint64_t connection) {
     server->AdmitWaiting(fixture.now);
-    return Replies(session);
+    return Replies(connection);
   }
 };
 
 TEST_F(PbsServerAdmissionTest, ASubmissionIsQueuedUntilRequestsForOtherJobsAreHandled) {
   const auto a = Open(), b = Open();
-  EXPECT_TRUE(Send(a, Whole()).empty());
+  EXPECT_TRUE(Send(a, PipelinedSubmission()).empty());
   EXPECT_EQ(server->awaiting_admission(), 1u);
-  EXPECT_EQ(Call(b, Make(RequestType::kStatusServer)).code, Code::kNone) << "others go on";
+  EXPECT_EQ(Call(b, Make(RequestType::kStatusServer)).code, Code::kNone)
+      << "requests of other connections are handled";
   const auto replies = Admit(a);
-  ASSERT_EQ(replies.size(), 4u) << "and what was pipelined behind it follows";
+  ASSERT_EQ(replies.size(), 4u) << "the requests pipelined after it follow";
   EXPECT_EQ(replies[3].choice, pbs_protocol::Choice::kCommitted);
   EXPECT_EQ(fixture.job_manager.Count().queued, 1u);
 }
 
 TEST_F(PbsServerAdmissionTest, ASubmissionThatWouldWaitTooLongIsRejectedAtOnceWithARetryTime) {
   Saturate();
-  std::vector<std::uint64_t> sessions;
+  std::vector<std::uint64_t> connections;
   std::size_t rejected = 0;
   std::int64_t last = 0;
   for (int i = 0; i < 300; ++i) {
-    const auto session = Open();
-    server->Receive(fixture.now, session, Bytes(Queue()));
-    const auto replies = Replies(session);
+    const auto connection = Open();
+    server->Receive(fixture.now, connection, Bytes(Queue()));
+    const auto replies = Replies(connection);
     if (replies.empty()) continue;  // queued
     ++rejected;
     EXPECT_NE(replies[0].code, Code::kNone);
-    EXPECT_GE(replies[0].auxiliary, last) << "not all at one time";
+    EXPECT_GE(replies[0].auxiliary, last) << "the retry times are spread";
     last = replies[0].auxiliary;
     EXPECT_NE(replies[0].text.find("ask again in " + std::to_string(last) + " ms"), std::string::npos);
   }
@@ -363,7 +368,7 @@
   EXPECT_EQ(fixture.job_manager.Count().queued, 0u) << "the job manager saw none of them";
 }
 
-TEST_F(PbsServerAdmissionTest, ASubmissionThatWasQueuedForTooLongIsRejectedAtTheHead) {
+TEST_F(PbsServerAdmissionTest, ASubmissionThatWasQueuedForTooLongIsRejectedAtTheHeadOfTheQueue) {
   const auto a = Open();
   server->Receive(fixture.now, a, Bytes(Queue()));
   fixture.now += 700'000;
@@ -375,9 +380,10 @@
 
 TEST_F(PbsServerAdmissionTest, ASubmissionBeyondItsClientsDeadlineIsRejectedWithoutARetryTime) {
   const auto a = Open();
-  Request r = Queue();
-  r.attributes.push_back({"owner_deadline", "", std::to_string(fixture.now - 1), pbs_protocol::Op::kSet});
-  const auto replies = Send(a, Bytes(r));
+  Request request = Queue();
+  request.attributes.push_back(
+      {"owner_deadline", "", std::to_string(fixture.now - 1), pbs_protocol::Op::kSet});
+  const auto replies = Send(a, Bytes(request));
   ASSERT_EQ(replies.size(), 1u);
   EXPECT_EQ(replies[0].auxiliary, 0);
   EXPECT_NE(replies[0].text.find("owner's time was over"), std::string::npos);
@@ -388,13 +394,13 @@
   server->Receive(fixture.now, a, Bytes(Queue()), fixture.now - 600'000);
   EXPECT_EQ(Replies(a).size(), 1u) << "read late: rejected at once";
   server->Receive(fixture.now, a, Bytes(Queue()), fixture.now);
-  EXPECT_TRUE(Replies(a).empty()) << "the next request's bytes came now";
+  EXPECT_TRUE(Replies(a).empty()) << "the bytes of the next request arrived now";
 }
 
 TEST_F(PbsServerAdmissionTest, AConnectionClosedWhileQueuedLeavesNoJob) {
   const auto a = Open(), b = Open();
-  server->Receive(fixture.now, a, Whole());
-  server->Receive(fixture.now, b, Whole());
+  server->Receive(fixture.now, a, PipelinedSubmission());
+  server->Receive(fixture.now, b, PipelinedSubmission());
   server->Close(fixture.now, a);
   EXPECT_EQ(Admit(b).size(), 4u);
   EXPECT_EQ(fixture.job_manager.Count().queued, 1u);
--- a/tests/pbs_server/request_error_log_test.cpp
+++ b/tests/pbs_server/request_error_log_test.cpp
@@ -9,7 +9,7 @@
 namespace mountflow::testing {
 namespace {
 
-TEST(RequestErrorLogTest, AFloodIsOneLineAKindAndSecondWithItsCount) {
+TEST(RequestErrorLogTest, CoalescesErrorsOfOneKindWithinASecond) {
   pbs_server::RequestErrorLog request_errors;
   Micros now = 100 * kSecond;
   for (int i = 0; i < 10'000; ++i)
