--- a/src/pbs_client/connection.cpp
+++ b/src/pbs_client/connection.cpp
@@ -20,7 +20,7 @@
 constexpr int kDefaultPort = 15001;
 constexpr int kMaxPort = 65535;
 constexpr std::size_t kReceiveBuffer = 64 << 10;
-constexpr Micros kMaxPollMs = 1'000'000;  // one poll; a longer wait takes several
+constexpr Micros kMaxPollMs = 1'000'000;  // timeout of one poll call; a longer wait uses several calls
 
 std::error_code SystemError(int number) { return {number, std::generic_category()}; }
 
@@ -32,7 +32,7 @@
   return tl::make_unexpected(ConnectionError{ConnectionErrorCode::kSystem, "", "", SystemError(number)});
 }
 
-// Waits for `events` on a socket. False when the deadline has passed, or on an error.
+// Waits for `events` on a socket. Returns false if the deadline passes first or on an error.
 bool WaitForSocket(int fd, short events, Micros deadline) {
   for (;;) {
     const Micros now = MonotonicTime();
@@ -154,7 +154,7 @@
 }
 
 tl::expected<pbs_protocol::Reply, ConnectionError> BatchConnection::Receive(Micros deadline) {
-  std::size_t needed = 1;  // bytes, before another attempt to decode is worthwhile
+  std::size_t needed = 1;  // received bytes that the next attempt to decode requires
   for (;;) {
     if (input_.size() >= needed) {
       pbs_protocol::Reply reply;
--- a/src/pbs_client/host.hpp
+++ b/src/pbs_client/host.hpp
@@ -1,4 +1,4 @@
-// What a client says of itself and of the time.
+// Clocks, and the names of the current user and host.
 #ifndef MOUNTFLOW_PBS_CLIENT_HOST_HPP_
 #define MOUNTFLOW_PBS_CLIENT_HOST_HPP_
 
@@ -8,10 +8,13 @@
 
 namespace mountflow::pbs_client {
 
-[[nodiscard]] Micros WallTime();       // since the epoch
-[[nodiscard]] Micros MonotonicTime();  // for time-outs
-[[nodiscard]] std::string UserName();  // of the effective user; the number of one without a name
-[[nodiscard]] std::string HostName();  // of this host
+// Returns the time since the epoch, in microseconds.
+[[nodiscard]] Micros WallTime();
+// Returns the time, in microseconds, of a clock that never goes backwards. Use it for timeouts.
+[[nodiscard]] Micros MonotonicTime();
+// Returns the name of the effective user, or the user id as text if the user has no name.
+[[nodiscard]] std::string UserName();
+[[nodiscard]] std::string HostName();
 
 }  // namespace mountflow::pbs_client
 
--- a/src/pbs_client/submission.cpp
+++ b/src/pbs_client/submission.cpp
@@ -18,11 +18,11 @@
 using Result = tl::expected<SubmittedJob, SubmitError>;
 
 constexpr std::size_t kScriptChunk = 64 << 10;
-constexpr Micros kMaxRetryAfterMs = 60'000;         // of what a server may demand
-constexpr Micros kDefaultClientTime = 600'000'000;  // how long a job without a deadline may still start
+constexpr Micros kMaxRetryAfterMs = 60'000;         // longest delay that a server may demand
+constexpr Micros kDefaultClientTime = 600'000'000;  // time in which a job without a deadline may still start
 
-// Rejected by a server that says when to retry. The random part keeps clients that were rejected together
-// from coming back together.
+// Waits before the next attempt for as long as the server demanded. A random extra delay of up to a quarter
+// keeps clients that were rejected together from retrying together.
 void SleepForRetryAfter(Micros retry_after_ms) {
   const Micros wait = std::min(retry_after_ms, kMaxRetryAfterMs) * 1000;
   std::random_device random;
@@ -33,6 +33,7 @@
   request->attributes.push_back({name, "", std::move(value), pbs_protocol::Op::kSet});
 }
 
+// Runs the attempts of one submission, which must outlive it.
 class Submitter {
  public:
   explicit Submitter(const Submission& submission) : submission_(submission) {}
@@ -47,7 +48,7 @@
   }
 
  private:
-  // One attempt at one server. Empty: the next attempt is due.
+  // Makes one attempt at one server. Returns nothing if the submission should be retried.
   std::optional<Result> Attempt(const std::string& server, bool is_last) {
     attempt_ends_at_ = MonotonicTime() + submission_.answer_timeout;
     BatchConnection connection;
@@ -61,7 +62,7 @@
     if (queued->code == pbs_protocol::Code::kExists && queued->choice == pbs_protocol::Choice::kText) {
       return SubmittedJob{queued->text, server, true};
     }
-    if (queued->code != pbs_protocol::Code::kNone) return Rejected(*queued, is_last);
+    if (queued->code != pbs_protocol::Code::kNone) return HandleRejection(*queued, is_last);
 
     Request request;
     request.user = submission_.user;
@@ -71,7 +72,7 @@
       request.type = pbs_protocol::RequestType::kReadyToCommit;
       reply = Call(&connection, request);
     }
-    if (!reply) return std::nullopt;  // without a commit there is no job
+    if (!reply) return std::nullopt;  // no job exists, because no commit was sent
     if (reply->code != pbs_protocol::Code::kNone) return Fail(*reply);
     return Commit(&connection, &request, server);
   }
@@ -84,7 +85,7 @@
     request.attributes = submission_.attributes;
     if (!submission_.key.empty()) PutAttribute(&request, "key", submission_.key);
     if (job_deadline_ != 0) PutAttribute(&request, "owner_deadline", std::to_string(job_deadline_));
-    // The same server gets it too: it may have restarted and know nothing of the earlier attempt.
+    // Also sent to the same server again: it may have restarted and lost all record of the earlier attempt.
     if (earlier_attempt_until_ != 0) {
       PutAttribute(&request, "repeat", "true");
       PutAttribute(&request, "earlier_until", std::to_string(earlier_attempt_until_));
@@ -92,7 +93,7 @@
     return request;
   }
 
-  // Sends the script in chunks, an empty one as one empty chunk. Returns the last reply.
+  // Sends the script in chunks, and an empty script as one empty chunk. Returns the last reply.
   std::optional<Reply> SendScript(BatchConnection* connection, Request* request) {
     request->type = pbs_protocol::RequestType::kJobScript;
     std::optional<Reply> reply;
@@ -111,7 +112,8 @@
     request->type = pbs_protocol::RequestType::kCommit;
     const std::optional<Reply> reply = Call(connection, *request);
     if (!reply) {
-      // Danger: the job may exist. Without a key no server could tell a retry from a second job.
+      // The job may exist. Without a key, a server could not distinguish a retry from a second job, so the
+      // submission is not retried.
       if (submission_.key.empty()) {
         error_.reason += "; the job may have been taken as " + request->id;
         return tl::make_unexpected(error_);
@@ -127,8 +129,9 @@
     return SubmittedJob{request->id, server, false};
   }
 
-  // A reply with a time to retry leaves the next attempt due, after that time.
-  std::optional<Result> Rejected(const Reply& reply, bool is_last) {
+  // Handles a reply that rejects the submission. If it states a time to retry and attempts are left, waits
+  // for that time and returns nothing.
+  std::optional<Result> HandleRejection(const Reply& reply, bool is_last) {
     Result failure = Fail(reply);
     if (reply.auxiliary <= 0 || is_last) return failure;
     SleepForRetryAfter(static_cast<Micros>(reply.auxiliary));
@@ -155,11 +158,12 @@
   }
 
   const Submission& submission_;
-  SubmitError error_;           // of the attempts so far
+  SubmitError error_;           // describes the most recent failure
   Micros attempt_ends_at_ = 0;  // monotonic time
-  Micros job_deadline_ = 0;     // wall time; 0: none
-  Micros earlier_attempt_until_ =
-      0;  // wall time until which a job of an earlier attempt may start; 0: there is none
+  Micros job_deadline_ = 0;     // wall time; 0 for no deadline
+  // Wall time until which a job of an earlier attempt may start; 0 if no earlier attempt can have created a
+  // job.
+  Micros earlier_attempt_until_ = 0;
 };
 
 }  // namespace
--- a/src/pbs_client/submission.hpp
+++ b/src/pbs_client/submission.hpp
@@ -1,4 +1,4 @@
-// Submits a job to one of several batch servers, with retries.
+// Submission of a job to one of several batch servers, with retries.
 #ifndef MOUNTFLOW_PBS_CLIENT_SUBMISSION_HPP_
 #define MOUNTFLOW_PBS_CLIENT_SUBMISSION_HPP_
 
@@ -13,36 +13,37 @@
 
 struct Submission {
   std::string user;
-  std::string destination;  // queue
+  std::string destination;  // queue name; empty for the default queue
   pbs_protocol::Attributes attributes;
   std::string script;
-  std::string key;                     // deduplicates retries; without one a lost commit is not retried
-  Micros answer_timeout = 10'000'000;  // of one attempt at one server
-  Micros client_time = 0;              // sets the job's deadline; 0: none is stated
-  unsigned max_attempts = 1;           // over the servers in their order
+  std::string key;                     // deduplicates retries; without a key, a lost commit is not retried
+  Micros answer_timeout = 10'000'000;  // limit of one attempt at one server
+  Micros client_time = 0;              // from connecting until the job's deadline; 0 for no deadline
+  unsigned max_attempts = 1;           // attempts at all servers, which are tried in turn
 };
 
 struct SubmittedJob {
   std::string id;
-  std::string server;            // address of the server that has it
-  bool already_existed = false;  // from an earlier attempt
+  std::string server;            // address of the server that has the job
+  bool already_existed = false;  // whether an earlier submission created the job
 };
 
 struct SubmitError {
-  // Of the last reply that rejected the submission; kNone where no server replied so.
+  // Code of the last reply that rejected the submission; kNone if no server rejected it.
   pbs_protocol::Code reply_code = pbs_protocol::Code::kNone;
   std::string reason;  // why the last attempt failed
 };
 
-// The reason, behind the meaning of the reply's code where it does not say that itself.
+// Returns the reason, preceded by the meaning of the reply code unless the two are equal.
 [[nodiscard]] std::string Describe(const SubmitError& error);
 
-// Sends QueueJob, JobScript, RdytoCommit and Commit; blocks until a server has the job or the attempts are
-// used up.
+// Submits a job with the requests QueueJob, JobScript, RdytoCommit and Commit. Blocks until a server has
+// accepted the job, has rejected it for good, or no attempts are left.
 //
-// When the reply to a commit is lost the job may exist. The next server, which may be the same one, gets the
-// same key, learns that this is a retry, and until when the earlier attempt may still start; it waits
-// accordingly. A server that rejects a submission with a time to retry is obeyed before the next attempt.
+// If the reply to a commit is lost, the job may exist. The next attempt, which may use the same server, sends
+// the same key and states that it is a retry and until when the job of the earlier attempt may still start,
+// so that the server can wait for it. If a server rejects a submission with a time to retry, the next attempt
+// is delayed by that time.
 [[nodiscard]] tl::expected<SubmittedJob, SubmitError> Submit(const std::vector<std::string>& servers,
                                                              const Submission& submission);
 
--- a/tests/pbs_client/pbs_client_test.cpp
+++ b/tests/pbs_client/pbs_client_test.cpp
@@ -1,4 +1,4 @@
-// The client of the batch protocol against a server on loopback that replies by a script.
+// Tests of the PBS client with a fake server on the loopback interface.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -26,8 +26,8 @@
 
 constexpr Micros kTimeout = 10'000'000;
 
-// Accepts connections one after another. `answer` makes the reply to each request; without one the connection
-// is closed.
+// Serves one connection at a time, on a thread of its own. `answer` returns the reply to each request. If it
+// returns nothing, the server closes the connection.
 class FakeServer {
  public:
   using Answer = std::function<std::optional<Reply>(const Request& request)>;
@@ -53,7 +53,7 @@
   FakeServer& operator=(const FakeServer&) = delete;
 
   const std::string& address() const { return address_; }
-  // Read when no client is connected any more.
+  // Not synchronised: call it only when no client is connected.
   const std::vector<Request>& requests() const { return requests_; }
 
  private:
@@ -137,7 +137,7 @@
   EXPECT_EQ(Describe(bad_host.error()), "nowhere:1: expected an IP address");
 }
 
-TEST(BatchConnection, ReportsRefusedConnectionAndCallWithoutOne) {
+TEST(BatchConnection, ReportsConnectionErrorAndCallWithoutConnection) {
   BatchConnection connection;
   std::string address;
   {
@@ -174,14 +174,14 @@
   EXPECT_EQ(Describe(reply.error()), "connection closed by the daemon");
   EXPECT_EQ(connection.Call(Request{}, kTimeout).error().code, ConnectionErrorCode::kNotConnected);
 
-  std::promise<void> client_gave_up;
-  FakeServer slow([&client_gave_up](const Request&) {
-    client_gave_up.get_future().wait();
+  std::promise<void> client_timed_out;
+  FakeServer slow([&client_timed_out](const Request&) {
+    client_timed_out.get_future().wait();
     return Reply{};
   });
   ASSERT_TRUE(connection.Connect(slow.address(), kTimeout));
   reply = connection.Call(Request{}, 20'000);
-  client_gave_up.set_value();
+  client_timed_out.set_value();
   ASSERT_FALSE(reply);
   EXPECT_EQ(reply.error().code, ConnectionErrorCode::kReplyTimeout);
 }
@@ -225,7 +225,7 @@
   EXPECT_EQ(server.requests().size(), 1u);
 }
 
-TEST(Submit, RetriesAfterTheTimeThatServerAsksFor) {
+TEST(Submit, RetriesAfterTheTimeThatServerStates) {
   int rejections = 1;
   FakeServer server([&rejections](const Request& request) {
     return rejections-- > 0 ? Rejecting(Code::kSystem, "busy", 1) : Accept(request);
@@ -235,7 +235,7 @@
   EXPECT_TRUE(Submit({server.address()}, submission));
 }
 
-TEST(Submit, TellsNextServerOfCommitWithoutReply) {
+TEST(Submit, InformsNextServerOfCommitWithoutReply) {
   FakeServer first([](const Request& request) -> std::optional<Reply> {
     if (request.type == RequestType::kCommit) return std::nullopt;
     return Accept(request);
@@ -248,10 +248,10 @@
   const auto job = Submit({first.address(), second.address()}, submission);
   ASSERT_TRUE(job) << Describe(job.error());
   EXPECT_EQ(job->server, second.address());
-  const pbs_protocol::Attributes& told = second.requests()[0].attributes;
-  EXPECT_EQ(pbs_protocol::ValueOf(told, "key"), "k");
-  EXPECT_EQ(pbs_protocol::ValueOf(told, "repeat"), "true");
-  EXPECT_EQ(pbs_protocol::ValueOf(told, "earlier_until"),
+  const pbs_protocol::Attributes& attributes = second.requests()[0].attributes;
+  EXPECT_EQ(pbs_protocol::ValueOf(attributes, "key"), "k");
+  EXPECT_EQ(pbs_protocol::ValueOf(attributes, "repeat"), "true");
+  EXPECT_EQ(pbs_protocol::ValueOf(attributes, "earlier_until"),
             pbs_protocol::ValueOf(first.requests()[0].attributes, "owner_deadline"));
 }
 
