--- a/src/cli/commands.hpp
+++ b/src/cli/commands.hpp
@@ -1,6 +1,6 @@
 // Entry points of the batch commands of POSIX.1 (Shell & Utilities, chapter 3). Each takes the arguments of a
-// main function with the command's name first, and returns the exit status: 0, or another after a message on
-// standard error.
+// main function, with the command's name first, and returns the exit status, which is 0 on success. On
+// failure, it writes a message to standard error.
 #ifndef MOUNTFLOW_CLI_COMMANDS_HPP_
 #define MOUNTFLOW_CLI_COMMANDS_HPP_
 
--- a/src/cli/directives.cpp
+++ b/src/cli/directives.cpp
@@ -16,7 +16,7 @@
  public:
   explicit WordSplitter(std::vector<std::string>* words) : words_(words) {}
 
-  // Appends the words of `line`. False when a quote is not closed.
+  // Appends the words of `line`. Returns false if a quote is not closed.
   bool Split(std::string_view line) {
     for (std::size_t i = 0; i < line.size(); ++i) {
       const char character = line[i];
@@ -31,7 +31,7 @@
       } else if (IsBlank(character)) {
         EndWord();
       } else if (character == '#' && !in_word_) {
-        break;  // the rest is a comment
+        break;  // the remainder of the line is a comment
       } else {
         Append(character);
       }
@@ -62,8 +62,8 @@
 
   std::vector<std::string>* words_;
   std::string word_;
-  bool in_word_ = false;  // also of an empty word in quotes
-  char quote_ = 0;        // the one that is open
+  bool in_word_ = false;  // true also for an empty word in quotes
+  char quote_ = 0;        // the quote character that is open; 0 if none
 };
 
 }  // namespace
--- a/src/cli/directives.hpp
+++ b/src/cli/directives.hpp
@@ -1,4 +1,4 @@
-// Options that a job script carries in its first lines.
+// Directives: options of qsub in the first lines of a job script.
 #ifndef MOUNTFLOW_CLI_DIRECTIVES_HPP_
 #define MOUNTFLOW_CLI_DIRECTIVES_HPP_
 
@@ -10,22 +10,23 @@
 
 namespace mountflow::cli {
 
-inline constexpr std::size_t kMaxDirectives = 1000;          // lines
-inline constexpr std::size_t kMaxDirectiveLineBytes = 8192;  // of one line
+inline constexpr std::size_t kMaxDirectives = 1000;          // in one script
+inline constexpr std::size_t kMaxDirectiveLineBytes = 8192;  // without surrounding blanks
 
 enum class DirectiveErrorCode { kLineTooLong, kTooManyDirectives, kOpenQuote };
 
 struct DirectiveError {
   DirectiveErrorCode code = DirectiveErrorCode::kOpenQuote;
-  std::size_t line = 0;  // of the script, from 1
+  std::size_t line = 0;  // line number in the script, from 1
 };
+// Returns a message for users.
 [[nodiscard]] std::string Describe(const DirectiveError& error);
 
 // Returns the arguments of the directives in `script`, as on a command line.
 //
-// A line is a directive when what begins with its first non-blank character starts with `prefix`. The first
-// line that is neither a directive, nor a comment, nor blank ends them. With an empty prefix there are no
-// directives. Arguments are split at blanks, with ' " and \ as in the shell; nothing is expanded.
+// A line is a directive if `prefix` begins at its first non-blank character. Directives end at the first line
+// that is neither a directive, nor a comment, nor blank. If the prefix is empty, there are no directives.
+// Arguments are split at blanks; the characters ' " and \ quote as in the shell. Nothing is expanded.
 [[nodiscard]] tl::expected<std::vector<std::string>, DirectiveError> ReadDirectives(std::string_view script,
                                                                                     std::string_view prefix);
 
--- a/src/cli/job_commands.cpp
+++ b/src/cli/job_commands.cpp
@@ -15,18 +15,19 @@
 using pbs_protocol::Request;
 using pbs_protocol::RequestType;
 
-// Command numbers of the Manage requests.
+// Command numbers in Manage requests.
 constexpr int kDeleteCommand = 1;
 constexpr int kSetCommand = 2;
 
-// The option of a command that has one.
+// An option with a value.
 struct ValueOption {
   const char* flag;
   const char* help;
-  std::string value;  // the default, then the one that is given
+  std::string value;  // the default value until the option is parsed
 };
 
-// A command with at most one option; `make` gets the option's value.
+// Runs a command that has at most one option. `option` may be null. `make` returns the request for one job;
+// its second argument is the value of the option. Returns the exit status.
 int RunJobCommand(int argc, char** argv, const std::string& name, const std::string& purpose,
                   ValueOption* option,
                   const std::function<Request(const JobReference&, const std::string&)>& make) {
@@ -43,7 +44,7 @@
   return CallForEachJob(name, jobs, [&](const JobReference& reference) { return make(reference, value); });
 }
 
-// qhold and qrls.
+// Runs qhold or qrls.
 int RunHoldCommand(int argc, char** argv, const std::string& name, const std::string& purpose,
                    RequestType type) {
   ValueOption types{"-h", "hold types, letters of u, o, s", "u"};
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,5 +1,5 @@
-// One program for all batch commands: the name under which it is called, or its first argument, selects the
-// command.
+// Main program of all batch commands. The name under which it is called, or else its first argument, selects
+// the command.
 #include <cstdio>
 #include <string_view>
 
--- a/src/cli/option_values.cpp
+++ b/src/cli/option_values.cpp
@@ -10,15 +10,15 @@
 namespace mountflow::cli {
 namespace {
 
-// Lengths of the forms of a date and time without seconds.
+// Numbers of digits in the forms of a date and time, without seconds.
 constexpr std::size_t kHourMinute = 4;
 constexpr std::size_t kWithDay = 6;
 constexpr std::size_t kWithMonth = 8;
 constexpr std::size_t kWithYear = 10;
 constexpr std::size_t kWithCentury = 12;
 
-constexpr int kFirstYear = 1900;  // of tm_year
-constexpr int kPivotYear = 69;    // two digits below it are of the century from 2000
+constexpr int kFirstYear = 1900;  // year in which tm_year is 0
+constexpr int kPivotYear = 69;    // two-digit years below it are in the century from 2000
 
 tl::unexpected<OptionError> Unexpected(const char* option, const char* expected, std::string got) {
   return tl::make_unexpected(OptionError{option, expected, std::move(got)});
@@ -40,7 +40,7 @@
          length == kWithCentury;
 }
 
-// Puts the digits of [[CC]YY]MMDDhhmm into `when`. False where a part is out of its range.
+// Parses the digits of [[CC]YY]MMDDhhmm into `when`. Returns false if a part is out of range.
 bool SetDateTime(const std::string& digits, tm* when) {
   const auto two_digits = [&digits](std::size_t from_end) {
     return std::atoi(digits.substr(digits.size() - from_end, 2).c_str());
@@ -58,7 +58,8 @@
          when->tm_mon >= 0 && when->tm_mon <= 11;
 }
 
-// The first time that is not past and has the parts that a text of `length` digits states.
+// Returns the time `when`, of which `length` digits were given. If it is past and the year was not given,
+// advances the smallest part that was not given by one.
 time_t NextTime(tm when, std::size_t length, time_t now) {
   when.tm_isdst = -1;
   time_t result = mktime(&when);
@@ -70,7 +71,7 @@
   return mktime(&when);
 }
 
-// The seconds of ".SS", 0 where there are none, or nothing where they are malformed.
+// Parses the seconds ".SS" at position `dot`. Returns 0 if there are none, and nothing if they are malformed.
 std::optional<int> ParseSeconds(const std::string& text, std::size_t dot) {
   if (dot == std::string::npos) return 0;
   const std::string digits = text.substr(dot + 1);
@@ -111,7 +112,7 @@
 
 tl::expected<void, OptionError> AddAttributes(const std::string& text, pbs_protocol::Attributes* list) {
   std::string item;
-  char quote = '\0';  // the one that is open
+  char quote = '\0';  // the quote character that is open; '\0' if none
   for (const char character : text) {
     const bool is_quote = quote != '\0' ? character == quote : character == '"' || character == '\'';
     if (is_quote) {
--- a/src/cli/option_values.hpp
+++ b/src/cli/option_values.hpp
@@ -1,4 +1,4 @@
-// Values of options that several commands share.
+// Parsing of option values that several commands share.
 #ifndef MOUNTFLOW_CLI_OPTION_VALUES_HPP_
 #define MOUNTFLOW_CLI_OPTION_VALUES_HPP_
 
@@ -11,28 +11,30 @@
 
 namespace mountflow::cli {
 
-// An option's value that cannot be used.
+// An invalid value of an option.
 struct OptionError {
-  std::string option;              // as "-l"
-  std::string expected;            // may be empty
-  std::optional<std::string> got;  // where it helps
+  std::string option;              // for example "-l"
+  std::string expected;            // description of a valid value; may be empty
+  std::optional<std::string> got;  // the invalid value, if the message should quote it
 };
+// Returns a message for users.
 [[nodiscard]] std::string Describe(const OptionError& error);
 
-// Sets the attribute `name`, or its part `resource`, in `list`.
+// Sets an attribute in `list`, or one resource of an attribute. Replaces an earlier value.
 void SetAttribute(pbs_protocol::Attributes* list, const std::string& name, const std::string& value,
                   const std::string& resource = "");
 
-// Adds "ncpus=2,mem=1gb" to `list` as parts of Resource_List.
+// Parses resources such as "ncpus=2,mem=1gb" and adds them to `list` as resources of Resource_List.
 [[nodiscard]] tl::expected<void, OptionError> AddResources(const std::string& text,
                                                            pbs_protocol::Attributes* list);
 
-// Adds "a=b,c=d" to `list`. Commas within quotes belong to the value.
+// Parses attributes such as "a=b,c=d" and adds them to `list`. Commas within quotes belong to the value.
 [[nodiscard]] tl::expected<void, OptionError> AddAttributes(const std::string& text,
                                                             pbs_protocol::Attributes* list);
 
-// Reads the time [[CC]YY]MMDDhhmm[.SS] of the POSIX touch command as seconds since the epoch. What the short
-// forms leave out is chosen so that the time is not past: the next day, month or year.
+// Parses a time of the form [[CC]YY]MMDDhhmm[.SS], as in the POSIX touch command, where MM and DD may be
+// omitted as well. Returns seconds since the epoch. If the year, month or day is omitted, the result is the
+// next such time that is not past.
 [[nodiscard]] tl::expected<std::uint64_t, OptionError> ParseDateTime(const std::string& text);
 
 }  // namespace mountflow::cli
--- a/src/cli/qalter.cpp
+++ b/src/cli/qalter.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr char kCommand[] = "qalter";
-constexpr int kSetCommand = 2;  // command number of the Manage requests
+constexpr int kSetCommand = 2;  // command number in Manage requests
 
 struct QalterOptions {
   std::optional<std::string> date, account, error_path, hold, join, name, output_path, rerun;
--- a/src/cli/qselect.cpp
+++ b/src/cli/qselect.cpp
@@ -16,7 +16,7 @@
 using pbs_protocol::Op;
 
 constexpr char kCommand[] = "qselect";
-constexpr std::size_t kOperatorLength = 4;  // of ".eq."
+constexpr std::size_t kOperatorLength = 4;  // length of ".eq."
 
 struct QselectOptions {
   std::optional<std::string> date, account, hold, name, priority, destination, rerun, states, users;
@@ -41,7 +41,7 @@
   std::string value;
 };
 
-// Reads "[.op.]value", the operator as POSIX writes it. Nothing where the operator is unknown.
+// Parses "[.op.]value", with the operators of POSIX. Returns nothing if the operator is unknown.
 std::optional<Comparison> ParseComparison(const std::string& text) {
   static constexpr std::pair<const char*, Op> kOperators[] = {{".eq.", Op::kEq}, {".ne.", Op::kNe},
                                                               {".ge.", Op::kGe}, {".gt.", Op::kGt},
@@ -93,7 +93,7 @@
   return {};
 }
 
-// "resource.op.value" or "resource=value".
+// Adds the criterion "resource.op.value" or "resource=value".
 Result AddResource(const std::string& text, pbs_protocol::Attributes* criteria) {
   const std::size_t dot = text.find('.');
   const bool has_operator =
@@ -122,7 +122,7 @@
   return {};
 }
 
-// The criteria in the order in which they are sent, but for the queue.
+// Adds all criteria except for the queue, in the order in which they are sent.
 Result AddCriteria(const QselectOptions& options, pbs_protocol::Attributes* criteria) {
   Result added;
   if (options.date) added = AddDate(*options.date, criteria);
--- a/src/cli/qstat.cpp
+++ b/src/cli/qstat.cpp
@@ -20,7 +20,7 @@
   std::vector<std::string> operands;
 };
 
-// The request of one operand, and the server that it goes to.
+// The request for one operand, and the address of the server to which it is sent.
 struct Query {
   pbs_protocol::Request request;
   std::string address;
@@ -70,7 +70,7 @@
   }
 }
 
-// Returns the exit status.
+// Prints the status of one operand. Returns the exit status.
 int ShowStatus(const std::string& operand, const QstatOptions& options, bool* has_heading) {
   const auto query = MakeQuery(operand, options);
   if (!query) return PrintError(kCommand, Describe(query.error()));
@@ -101,7 +101,7 @@
   }
   if (options.operands.empty()) options.operands.emplace_back();
   int status = 0;
-  bool has_heading = false;  // of the table of jobs
+  bool has_heading = false;  // whether the heading of the table of jobs has been printed
   for (const std::string& operand : options.operands) {
     if (ShowStatus(operand, options, &has_heading) != 0) status = kFailure;
   }
--- a/src/cli/qsub.cpp
+++ b/src/cli/qsub.cpp
@@ -35,21 +35,21 @@
 constexpr std::size_t kMaxPathBytes = 4096;
 constexpr int kMaxRetries = 100;
 constexpr double kMinAnswerSeconds = 0.001;
-constexpr Micros kRetriedClientTime = 8'000'000;  // of a job that may be retried
+constexpr Micros kRetriedClientTime = 8'000'000;  // client time of a submission that may be retried
 constexpr Micros kConnectTimeout = 10'000'000;
-constexpr Micros kStatusTimeout = 330'000'000;  // of one wait for a job's status
-constexpr char kStatusWait[] = ",seconds=300";  // after which the server replies anyway
+constexpr Micros kStatusTimeout = 330'000'000;  // for one status request that waits for the job
+constexpr char kStatusWait[] = ",seconds=300";  // the server replies after this time in any case
 
 int Fail(const std::string& text) { return PrintError(kCommand, text); }
 
-// ---- What is submitted ----
+// ---- Script and options ----
 
 struct Script {
   std::string text;
   std::string name;  // the default name of the job
 };
 
-// The script of the operands; nothing if its file cannot be opened.
+// Reads the script that the operands name, or standard input. Returns nothing if the file cannot be opened.
 std::optional<Script> ReadScript(const std::vector<std::string>& operands) {
   Script script;
   if (operands.empty() || operands[0] == "-") {
@@ -71,16 +71,16 @@
   return stated != nullptr ? stated : kDefaultDirectivePrefix;
 }
 
-// Merges the options of the script's directives and then those of the command line, which win. The error is
-// the message.
+// Merges the options of the script's directives into `options`, then those of the command line, which take
+// precedence. The error is a message for users.
 tl::expected<void, std::string> MergeOptions(const std::string& script,
                                              const std::vector<std::string>& command_line,
                                              QsubOptions* options) {
   const auto directives = ReadDirectives(script, DirectivePrefix(*options));
   if (!directives) return tl::make_unexpected(Describe(directives.error()));
-  const auto parsed = ParseOver(*directives, options);
+  const auto parsed = MergeArguments(*directives, options);
   if (!parsed) return tl::make_unexpected("directive: " + parsed.error());
-  return ParseOver(command_line, options);
+  return MergeArguments(command_line, options);
 }
 
 std::optional<std::string> CurrentDirectory() {
@@ -91,7 +91,7 @@
 
 // ---- Attributes ----
 
-// The value of Variable_List, with commas and backslashes escaped.
+// Builds the value of Variable_List. Commas and backslashes in the values of variables are escaped.
 class VariableList {
  public:
   void Add(const std::string& name, const std::string& value) {
@@ -102,14 +102,14 @@
     }
   }
 
-  // "NAME=VALUE"; skipped without a name.
+  // Adds "NAME=VALUE". Has no effect if NAME is empty.
   void AddAssignment(const std::string& assignment) {
     const std::size_t equals = assignment.find('=');
     if (equals != std::string::npos && equals > 0)
       Add(assignment.substr(0, equals), assignment.substr(equals + 1));
   }
 
-  // A variable of the environment; skipped if it is not set.
+  // Adds a variable of the environment. Has no effect if it is not set.
   void AddFromEnvironment(const std::string& name, const std::string& prefix = "") {
     if (const char* value = std::getenv(name.c_str()); value != nullptr) Add(prefix + name, value);
   }
@@ -120,7 +120,7 @@
   std::string text_;
 };
 
-// "NAME" or "NAME=VALUE" of option -v; an empty NAME before "=" is kept.
+// Adds "NAME" or "NAME=VALUE" from option -v. Unlike AddAssignment, accepts "=VALUE" with an empty name.
 void AddStatedVariable(const std::string& stated, VariableList* list) {
   const std::size_t equals = stated.find('=');
   if (equals == std::string::npos) {
@@ -146,7 +146,7 @@
   return list.text();
 }
 
-// HOST:PATH of an output; a path that ends in a slash gets the usual file name at the node.
+// Returns HOST:PATH for an output file. If the path ends in a slash, the node appends the default file name.
 std::string OutputPath(const std::optional<std::string>& stated, const std::string& directory) {
   if (!stated) return pbs_client::HostName() + ":" + directory + "/";
   const std::size_t colon = stated->find(':');
@@ -160,7 +160,7 @@
   return tl::make_unexpected(Describe(OptionError{option, expected, std::nullopt}));
 }
 
-using Result = tl::expected<void, std::string>;  // the error is the message
+using Result = tl::expected<void, std::string>;  // the error is a message for users
 
 Result AddNameAndResources(const QsubOptions& options, const std::string& default_name,
                            pbs_protocol::Attributes* list) {
@@ -176,7 +176,7 @@
   return {};
 }
 
-Result AddHowToRun(const QsubOptions& options, pbs_protocol::Attributes* list) {
+Result AddExecutionAttributes(const QsubOptions& options, pbs_protocol::Attributes* list) {
   if (options.account) SetAttribute(list, "Account_Name", *options.account);
   if (options.priority) SetAttribute(list, "Priority", std::to_string(*options.priority));
   if (options.rerun) {
@@ -203,7 +203,8 @@
   return {};
 }
 
-Result AddOthers(const QsubOptions& options, const std::string& queue, pbs_protocol::Attributes* list) {
+Result AddRemainingAttributes(const QsubOptions& options, const std::string& queue,
+                              pbs_protocol::Attributes* list) {
   SetAttribute(list, "Variable_List", MakeVariableList(options, queue));
   const std::pair<const char*, const std::optional<std::string>&> texts[] = {
       {"Mail_Points", options.mail},
@@ -224,14 +225,14 @@
 Result AddAllAttributes(const QsubOptions& options, const std::string& default_name, const std::string& queue,
                         pbs_protocol::Attributes* list) {
   return AddNameAndResources(options, default_name, list)
-      .and_then([&] { return AddHowToRun(options, list); })
+      .and_then([&] { return AddExecutionAttributes(options, list); })
       .and_then([&] { return AddOutputs(options, list); })
-      .and_then([&] { return AddOthers(options, queue, list); });
+      .and_then([&] { return AddRemainingAttributes(options, queue, list); });
 }
 
-// ---- Attributes that are for this command ----
+// ---- Attributes that qsub itself interprets ----
 
-// What the command waits for after the submission.
+// The event that the command waits for after the submission.
 enum class Wait { kNothing, kAnswer, kEnd };
 
 std::optional<Wait> ParseWait(const std::string& block) {
@@ -241,7 +242,8 @@
   return std::nullopt;
 }
 
-// Moves the attributes that are for this command out of the list.
+// Removes the attributes that qsub itself interprets from the submission and applies them. Returns the event
+// to wait for; the error is a message for users.
 tl::expected<Wait, std::string> TakeCommandAttributes(pbs_client::Submission* submission) {
   Wait wait = Wait::kNothing;
   pbs_protocol::Attributes remaining;
@@ -279,8 +281,8 @@
   return !pbs_protocol::ValueOf(job, "answer").empty();
 }
 
-// Waits until the job has its final answer, or its end. Returns its attributes then, or the message of an
-// error.
+// Waits until the job has its final answer or is complete, depending on `wait`. Returns the job's attributes;
+// the error is a message for users.
 tl::expected<pbs_protocol::Attributes, std::string> WaitFor(const pbs_client::SubmittedJob& job, Wait wait) {
   pbs_protocol::Request request = MakeRequest(pbs_protocol::RequestType::kStatusJob, job.id);
   request.extension = std::string(wait == Wait::kEnd ? "wait=end" : "wait=answer") + kStatusWait;
@@ -299,7 +301,8 @@
   }
 }
 
-// Waits for the job's final answer; the error is a message, also that of a negative answer.
+// Waits as WaitFor does. Returns the job's attributes if its final answer reports success. The error, also
+// for any other final answer, is a message for users.
 tl::expected<pbs_protocol::Attributes, std::string> WaitForSuccess(const pbs_client::SubmittedJob& job,
                                                                    Wait wait) {
   auto attributes = WaitFor(job, wait);
@@ -310,7 +313,8 @@
                              std::string(pbs_protocol::ValueOf(*attributes, "comment")));
 }
 
-// Returns the exit status: that of the job, where its end is waited for.
+// Waits for the job and returns the exit status. If the command waits for the job's completion, it is that of
+// the job.
 int WaitForJob(const pbs_client::SubmittedJob& job, Wait wait) {
   const auto answered = WaitForSuccess(job, Wait::kAnswer);
   if (!answered) return Fail(answered.error());
--- a/src/cli/qsub_options.cpp
+++ b/src/cli/qsub_options.cpp
@@ -17,7 +17,7 @@
   const char* help;
 };
 
-// In the order of the help text.
+// All options, in the order of the help text.
 constexpr OptionRow kOptions[] = {
     {"-a", &QsubOptions::date, "not to be run before [[CC]YY]MMDDhhmm[.SS]"},
     {"-A", &QsubOptions::account, "account (tenant)"},
@@ -75,7 +75,8 @@
   app->add_option("script", options->operands, "script file; - or nothing: standard input")->expected(0, 1);
 }
 
-tl::expected<void, std::string> ParseOver(const std::vector<std::string>& arguments, QsubOptions* options) {
+tl::expected<void, std::string> MergeArguments(const std::vector<std::string>& arguments,
+                                               QsubOptions* options) {
   CLI::App app{"qsub"};
   app.set_help_flag("--help");
   QsubOptions parsed;
--- a/src/cli/qsub_options.hpp
+++ b/src/cli/qsub_options.hpp
@@ -1,4 +1,4 @@
-// The options of qsub, from the command line and from a script's directives.
+// Options of qsub, from the command line and from the directives of a script.
 #ifndef MOUNTFLOW_CLI_QSUB_OPTIONS_HPP_
 #define MOUNTFLOW_CLI_QSUB_OPTIONS_HPP_
 
@@ -10,7 +10,8 @@
 
 namespace mountflow::cli {
 
-// One field an option of the POSIX command, which is why there are so many; empty where it is not given.
+// Values of the options and operands of qsub. There is one field for each option of the POSIX command. A
+// field is empty if its option is not given.
 struct QsubOptions {
   std::optional<std::string> date;
   std::optional<std::string> account;
@@ -38,13 +39,13 @@
   std::vector<std::string> operands;
 };
 
-// Makes `app` parse into `options`.
+// Adds the options of qsub to `app`, which stores their values in `options`. `options` must outlive `app`.
 void BindOptions(CLI::App* app, QsubOptions* options);
 
-// Parses arguments over `options`: single values and flags replace what is there, lists are appended to, the
-// operands stay. The error is the parser's sentence.
-[[nodiscard]] tl::expected<void, std::string> ParseOver(const std::vector<std::string>& arguments,
-                                                        QsubOptions* options);
+// Parses arguments and merges them into `options`. Single values replace the existing ones, flags are set,
+// and lists are appended. The operands of `options` do not change. The error is the parser's message.
+[[nodiscard]] tl::expected<void, std::string> MergeArguments(const std::vector<std::string>& arguments,
+                                                             QsubOptions* options);
 
 }  // namespace mountflow::cli
 
--- a/src/cli/requests.cpp
+++ b/src/cli/requests.cpp
@@ -8,9 +8,9 @@
 namespace mountflow::cli {
 namespace {
 
-constexpr Micros kTimeout = 10'000'000;  // of connecting, and again of the reply
+constexpr Micros kTimeout = 10'000'000;  // for connecting, and again for the request and its reply
 
-// Returns the exit status.
+// Sends the request for one job. Returns the exit status.
 int CallForJob(const std::string& command, const std::string& job_identifier,
                const std::function<pbs_protocol::Request(const JobReference&)>& make) {
   const auto reference = ParseJobReference(job_identifier);
--- a/src/cli/server_address.cpp
+++ b/src/cli/server_address.cpp
@@ -66,8 +66,7 @@
     reference.address = ServerAddress(text.substr(separator + 1));
     return reference;
   }
-  // The name of the server in the identifier leads there when its address is known; else the default server
-  // is asked.
+  // Uses the server named in the identifier if its address is known, else the default server.
   reference.address = DefaultServers().front();
   const std::string server = dot == std::string::npos ? "" : reference.id.substr(dot + 1);
   if (!server.empty()) {
--- a/src/cli/server_address.hpp
+++ b/src/cli/server_address.hpp
@@ -1,4 +1,4 @@
-// Where servers are, and which server a job identifier leads to.
+// Addresses of servers, and parsing of destinations and job identifiers.
 #ifndef MOUNTFLOW_CLI_SERVER_ADDRESS_HPP_
 #define MOUNTFLOW_CLI_SERVER_ADDRESS_HPP_
 
@@ -9,32 +9,35 @@
 
 namespace mountflow::cli {
 
-// The parts of `text` between the separators; at least one, which may be empty.
+// Splits `text` at each separator. Returns at least one part; parts may be empty.
 [[nodiscard]] std::vector<std::string> Split(const std::string& text, char separator);
 
-// The servers that the environment variable PBS_DEFAULT names, "ip:port" or names, with commas; else the
-// default port on this host. At least one.
+// Returns the addresses of the servers in the environment variable PBS_DEFAULT, a comma-separated list of
+// names or "ip:port". Without any, returns the address of the default port on this
+// host.
 [[nodiscard]] std::vector<std::string> DefaultServers();
 
-// The address for "@SERVER" of an identifier or destination: an address, or a name that the environment
-// variable PBS_SERVERS="name=ip:port,..." tells.
+// Returns the address of SERVER in an identifier or destination "...@SERVER". SERVER may be an address with a
+// port, a name that the environment variable PBS_SERVERS="name=ip:port,..." defines, or else a host, which
+// gets the default port.
 [[nodiscard]] std::string ServerAddress(const std::string& server);
 
-// QUEUE, @SERVER or QUEUE@SERVER.
+// A destination: QUEUE, @SERVER or QUEUE@SERVER.
 struct Destination {
   std::string queue;    // may be empty
-  std::string address;  // empty: no server is named
+  std::string address;  // address of the server; empty if the destination names none
 };
 [[nodiscard]] Destination ParseDestination(const std::string& text);
 
 // A job identifier: sequence_number[.server_name][@server].
 struct JobReference {
-  std::string id;       // as it is sent
-  std::string address;  // of the server
+  std::string id;       // the identifier without "@server", as sent in requests
+  std::string address;  // address of the server to which requests are sent
 };
 struct BadJobIdentifier {
   std::string text;
 };
+// Returns a message for users.
 [[nodiscard]] std::string Describe(const BadJobIdentifier& error);
 [[nodiscard]] tl::expected<JobReference, BadJobIdentifier> ParseJobReference(const std::string& text);
 
--- a/src/cli/status_output.cpp
+++ b/src/cli/status_output.cpp
@@ -16,7 +16,7 @@
   return "Server";
 }
 
-// The value of an attribute, cut to the width of its column.
+// Returns the value of an attribute, truncated to the width of its column.
 std::string Cell(const StatusObject& object, const char* attribute, std::size_t width) {
   return std::string(pbs_protocol::ValueOf(object.attributes, attribute).substr(0, width));
 }
--- a/src/cli/status_output.hpp
+++ b/src/cli/status_output.hpp
@@ -1,4 +1,4 @@
-// Prints the status of jobs, queues and servers to standard output, in the forms of qstat.
+// Output of qstat: prints the status of jobs, queues and servers to standard output.
 #ifndef MOUNTFLOW_CLI_STATUS_OUTPUT_HPP_
 #define MOUNTFLOW_CLI_STATUS_OUTPUT_HPP_
 
@@ -8,14 +8,14 @@
 
 namespace mountflow::cli {
 
-// All attributes, one a line.
+// Prints all attributes of an object, one on each line.
 void PrintInFull(const pbs_protocol::StatusObject& object);
 
-// The heading of the table of jobs, and its rows.
+// Print the heading and the rows of the table of jobs.
 void PrintJobHeading();
 void PrintJobs(const std::vector<pbs_protocol::StatusObject>& jobs);
 
-// Tables with their headings.
+// Print a table of queues or servers with its heading.
 void PrintQueues(const std::vector<pbs_protocol::StatusObject>& queues);
 void PrintServers(const std::vector<pbs_protocol::StatusObject>& servers);
 
--- a/tests/cli/cli_options_test.cpp
+++ b/tests/cli/cli_options_test.cpp
@@ -1,4 +1,4 @@
-// Options and operands of the batch commands.
+// Tests of the options and operands of the batch commands.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -44,8 +44,8 @@
 
 TEST(QsubOptions, LaterArgumentsReplaceValuesAndAddToLists) {
   QsubOptions options;
-  ASSERT_TRUE(ParseOver({"-N", "first", "-l", "ncpus=1", "-p", "3", "-h", "-q", "late"}, &options));
-  ASSERT_TRUE(ParseOver({"-N", "second", "-l", "mem=1gb", "-N", "third", "-V"}, &options));
+  ASSERT_TRUE(MergeArguments({"-N", "first", "-l", "ncpus=1", "-p", "3", "-h", "-q", "late"}, &options));
+  ASSERT_TRUE(MergeArguments({"-N", "second", "-l", "mem=1gb", "-N", "third", "-V"}, &options));
   EXPECT_EQ(options.name, "third");
   EXPECT_EQ(options.resources, (Arguments{"ncpus=1", "mem=1gb"}));
   EXPECT_EQ(options.priority, 3);
@@ -57,8 +57,8 @@
 
 TEST(QsubOptions, ReportsUnknownOptionsAndBadNumbers) {
   QsubOptions options;
-  EXPECT_FALSE(ParseOver({"-x", "1"}, &options));
-  EXPECT_FALSE(ParseOver({"-p", "high"}, &options));
+  EXPECT_FALSE(MergeArguments({"-x", "1"}, &options));
+  EXPECT_FALSE(MergeArguments({"-p", "high"}, &options));
   EXPECT_FALSE(options.priority);
 }
 
--- a/tests/cli/directives_test.cpp
+++ b/tests/cli/directives_test.cpp
@@ -1,4 +1,4 @@
-// Directives in job scripts.
+// Tests of directives in job scripts.
 #include "cli/directives.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace mountflow {
 namespace {
 
-TEST(Directives, EndWithTheFirstLineThatIsACommand) {
+TEST(Directives, EndAtTheFirstCommandLine) {
   const auto arguments = cli::ReadDirectives(
       "#!/bin/sh\n# a comment\n\n  #PBS -N recount -l ncpus=2\n#PBS -v \"A=x y\",B='z'\necho\n#PBS -q late\n",
       "#PBS");
--- a/tests/cli/option_values_test.cpp
+++ b/tests/cli/option_values_test.cpp
@@ -1,4 +1,4 @@
-// Values of the batch commands' options and operands.
+// Tests of the option and operand values of the batch commands.
 #include "cli/option_values.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace mountflow {
 namespace {
 
-TEST(OptionValues, AreReadAsPosixStates) {
+TEST(OptionValues, AreParsedAsInPosix) {
   const auto seconds = cli::ParseDateTime("203012312359.30");
   ASSERT_TRUE(seconds);
   EXPECT_GT(*seconds, 1'924'900'000u);
