--- a/tests/pbs_protocol/pbs_protocol_test.cpp
+++ b/tests/pbs_protocol/pbs_protocol_test.cpp
@@ -1,4 +1,5 @@
-// DIS and the messages of the batch protocol: bytes as published, bounds, and every cut of a message.
+// Tests of DIS and of the messages of the batch protocol: the published encoding, limits, and messages
+// truncated at every byte.
 #include <gtest/gtest.h>
 
 #include "pbs_protocol/dis.hpp"
@@ -56,13 +57,13 @@
   EXPECT_EQ(state("2"), DisState::kMore);
   EXPECT_EQ(state("2+1"), DisState::kMore);
   EXPECT_EQ(state("x"), DisState::kBad);
-  EXPECT_EQ(state("-5"), DisState::kBad);                         // not unsigned
+  EXPECT_EQ(state("-5"), DisState::kBad);                         // a negative sign
   EXPECT_EQ(state("2+07"), DisState::kBad);                       // leading zero
   EXPECT_EQ(state("0+"), DisState::kBad);                         // count zero
-  EXPECT_EQ(state("1+5"), DisState::kBad);                        // a count of one is never written
+  EXPECT_EQ(state("1+5"), DisState::kBad);                        // a digit count of one is not valid
   EXPECT_EQ(state("221+123456789012345678901"), DisState::kBad);  // 21 digits
   EXPECT_EQ(state("220+18446744073709551616"), DisState::kBad);   // 2^64
-  EXPECT_EQ(state("9999999999999999"), DisState::kBad);           // endless digits end early
+  EXPECT_EQ(state("9999999999999999"), DisState::kBad);           // a count above 20 digits
   EXPECT_EQ(state("222222222222222222222222222222222"), DisState::kBad);
 }
 
@@ -73,7 +74,7 @@
   DisReader some("3+100abc");
   some.Text(1000);
   EXPECT_EQ(some.state(), DisState::kMore);
-  EXPECT_EQ(some.needs(), 105u);  // so that a slow writer does not make us parse it byte by byte
+  EXPECT_EQ(some.needs(), 105u);  // the whole value, so that slow input is not decoded at every byte
 }
 
 Request Sample(RequestType type) {
@@ -132,7 +133,7 @@
 
 class EachRequest : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(EachRequest, RoundTripsAndWaitsForMoreWhereverItIsCut) {
+TEST_P(EachRequest, RoundTripsAndIsIncompleteAtEveryCut) {
   const unsigned type = GetParam();
   Request sent = Sample(static_cast<RequestType>(type));
   for (const char* extension : {"", "wait=answer"}) {
@@ -182,7 +183,7 @@
 
 class EachReply : public ::testing::TestWithParam<Reply> {};
 
-TEST_P(EachReply, RoundTripsAndWaitsForMoreWhereverItIsCut) {
+TEST_P(EachReply, RoundTripsAndIsIncompleteAtEveryCut) {
   const Reply& sent = GetParam();
   std::string bytes;
   Encode(sent, &bytes);
@@ -209,7 +210,7 @@
   EXPECT_EQ(unknown.code, DecodeErrorCode::kUnknownRequestType);
   EXPECT_EQ(unknown.request_type, 77u);
   EXPECT_EQ(Describe(unknown), "a known request type, got 77");
-  // 99 attributes of the largest size are within each bound but for that of the whole request.
+  // 99 attributes of the largest size exceed no limit except for that of the whole request.
   Request large;
   large.type = RequestType::kSelectJobs;
   large.attributes.assign(99, {"a", "", std::string(kMaxValue, 'x'), Op::kSet});
@@ -233,10 +234,10 @@
   EXPECT_NE(expected("+2+12+77+0").find("known request type, got 77"), std::string::npos);
   EXPECT_EQ(Decode("+2+12+77+0", &r).error.code, DecodeErrorCode::kUnknownRequestType);
   EXPECT_NE(expected("+2+12+16+03+257").find("attribute list of at most 256"), std::string::npos);
-  // A size that does not fit what follows it.
+  // An attribute whose stated size differs from the size of its strings.
   EXPECT_NE(expected("+2+12+16+0+1+9+1a+0+1b+4+0").find("stated size"), std::string::npos);
   EXPECT_NE(expected("+2+12+16+0+1+4+1a+0+1b2+12+0").find("operator"), std::string::npos);
-  // A piece whose size and bytes differ.
+  // A script chunk whose stated size differs from its length.
   EXPECT_NE(expected("+2+1+3+0+0+0+5+0+1x+0").find("stated size"), std::string::npos);
   EXPECT_NE(expected("+2+1+5+0+0+7").find("0 or 1"), std::string::npos);
 }
