--- a/src/cli/directives.cpp
+++ b/src/cli/directives.cpp
@@ -75,7 +75,7 @@
       return where + "a directive of at most " + std::to_string(kMaxDirectiveLineBytes) + " bytes";
     case DirectiveErrorCode::kTooManyDirectives:
       return where + "at most " + std::to_string(kMaxDirectives) + " directives";
-    case DirectiveErrorCode::kOpenQuote:
+    case DirectiveErrorCode::kUnclosedQuote:
       return where + "a closing quote";
   }
   return where;
@@ -102,7 +102,7 @@
       return tl::make_unexpected(DirectiveError{DirectiveErrorCode::kTooManyDirectives, number});
     }
     if (!WordSplitter(&arguments).Split(line.substr(prefix.size()))) {
-      return tl::make_unexpected(DirectiveError{DirectiveErrorCode::kOpenQuote, number});
+      return tl::make_unexpected(DirectiveError{DirectiveErrorCode::kUnclosedQuote, number});
     }
   }
   return arguments;
--- a/src/cli/directives.hpp
+++ b/src/cli/directives.hpp
@@ -13,10 +13,10 @@
 inline constexpr std::size_t kMaxDirectives = 1000;          // in one script
 inline constexpr std::size_t kMaxDirectiveLineBytes = 8192;  // without surrounding blanks
 
-enum class DirectiveErrorCode { kLineTooLong, kTooManyDirectives, kOpenQuote };
+enum class DirectiveErrorCode { kLineTooLong, kTooManyDirectives, kUnclosedQuote };
 
 struct DirectiveError {
-  DirectiveErrorCode code = DirectiveErrorCode::kOpenQuote;
+  DirectiveErrorCode code = DirectiveErrorCode::kUnclosedQuote;
   std::size_t line = 0;  // line number in the script, from 1
 };
 // Returns a message for users.
--- a/src/cli/status_output.cpp
+++ b/src/cli/status_output.cpp
@@ -10,7 +10,7 @@
 
 constexpr char kJobRow[] = "%-30s %-16s %-16s %-8s %s %s\n";
 
-const char* Title(pbs_protocol::ObjectType type) {
+const char* TypeTitle(pbs_protocol::ObjectType type) {
   if (type == pbs_protocol::ObjectType::kJob) return "Job Id";
   if (type == pbs_protocol::ObjectType::kQueue) return "Queue";
   return "Server";
@@ -28,7 +28,7 @@
 }  // namespace
 
 void PrintInFull(const StatusObject& object) {
-  std::printf("%s: %s\n", Title(object.type), object.name.c_str());
+  std::printf("%s: %s\n", TypeTitle(object.type), object.name.c_str());
   for (const pbs_protocol::Attribute& attribute : object.attributes) {
     const std::string& resource = attribute.resource;
     const std::string name = resource.empty() ? attribute.name : attribute.name + "." + resource;
--- a/src/pbs_client/connection.cpp
+++ b/src/pbs_client/connection.cpp
@@ -19,7 +19,7 @@
 
 constexpr int kDefaultPort = 15001;
 constexpr int kMaxPort = 65535;
-constexpr std::size_t kReceiveBuffer = 64 << 10;
+constexpr std::size_t kReceiveBufferBytes = 64 << 10;
 constexpr Micros kMaxPollMs = 1'000'000;  // timeout of one poll call; a longer wait uses several calls
 
 std::error_code SystemError(int number) { return {number, std::generic_category()}; }
@@ -45,7 +45,7 @@
   }
 }
 
-bool MayContinue(int number) { return number == EAGAIN || number == EINTR; }
+bool IsTransientError(int number) { return number == EAGAIN || number == EINTR; }
 
 tl::expected<sockaddr_in, ConnectionError> ParseAddress(const std::string& text) {
   const std::size_t colon = text.rfind(':');
@@ -130,7 +130,7 @@
     const ssize_t count = send(fd_, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
     if (count > 0) {
       sent += static_cast<std::size_t>(count);
-    } else if (count < 0 && MayContinue(errno)) {
+    } else if (count < 0 && IsTransientError(errno)) {
       if (!WaitForSocket(fd_, POLLOUT, deadline)) return Error(ConnectionErrorCode::kSendTimeout);
     } else {
       return SystemFailure(errno);
@@ -140,7 +140,7 @@
 }
 
 tl::expected<void, ConnectionError> BatchConnection::ReceiveMore(Micros deadline) {
-  char buffer[kReceiveBuffer];
+  char buffer[kReceiveBufferBytes];
   for (;;) {
     const ssize_t count = recv(fd_, buffer, sizeof buffer, 0);
     if (count > 0) {
@@ -148,7 +148,7 @@
       return {};
     }
     if (count == 0) return Error(ConnectionErrorCode::kClosedByServer);
-    if (!MayContinue(errno)) return SystemFailure(errno);
+    if (!IsTransientError(errno)) return SystemFailure(errno);
     if (!WaitForSocket(fd_, POLLIN, deadline)) return Error(ConnectionErrorCode::kReplyTimeout);
   }
 }
--- a/src/pbs_client/host.cpp
+++ b/src/pbs_client/host.cpp
@@ -7,7 +7,7 @@
 namespace mountflow::pbs_client {
 namespace {
 
-constexpr std::size_t kMaxHostName = 255;
+constexpr std::size_t kMaxHostNameBytes = 255;
 
 Micros Now(clockid_t clock) {
   timespec now{};
@@ -27,8 +27,8 @@
 }
 
 std::string HostName() {
-  char name[kMaxHostName + 1] = "";
-  gethostname(name, kMaxHostName);
+  char name[kMaxHostNameBytes + 1] = "";
+  gethostname(name, kMaxHostNameBytes);
   return name;
 }
 
--- a/src/pbs_client/submission.cpp
+++ b/src/pbs_client/submission.cpp
@@ -17,7 +17,7 @@
 using pbs_protocol::Request;
 using Result = tl::expected<SubmittedJob, SubmitError>;
 
-constexpr std::size_t kScriptChunk = 64 << 10;
+constexpr std::size_t kScriptChunkBytes = 64 << 10;
 constexpr Micros kMaxRetryAfterMs = 60'000;         // longest delay that a server may demand
 constexpr Micros kDefaultClientTime = 600'000'000;  // time in which a job without a deadline may still start
 
@@ -29,7 +29,7 @@
   std::this_thread::sleep_for(std::chrono::microseconds(wait + random() % (wait / 4 + 1)));
 }
 
-void PutAttribute(Request* request, const char* name, std::string value) {
+void AddAttribute(Request* request, const char* name, std::string value) {
   request->attributes.push_back({name, "", std::move(value), pbs_protocol::Op::kSet});
 }
 
@@ -83,12 +83,12 @@
     request.user = submission_.user;
     request.destination = submission_.destination;
     request.attributes = submission_.attributes;
-    if (!submission_.key.empty()) PutAttribute(&request, "key", submission_.key);
-    if (job_deadline_ != 0) PutAttribute(&request, "owner_deadline", std::to_string(job_deadline_));
+    if (!submission_.key.empty()) AddAttribute(&request, "key", submission_.key);
+    if (job_deadline_ != 0) AddAttribute(&request, "owner_deadline", std::to_string(job_deadline_));
     // Also sent to the same server again: it may have restarted and lost all record of the earlier attempt.
     if (earlier_attempt_until_ != 0) {
-      PutAttribute(&request, "repeat", "true");
-      PutAttribute(&request, "earlier_until", std::to_string(earlier_attempt_until_));
+      AddAttribute(&request, "repeat", "true");
+      AddAttribute(&request, "earlier_until", std::to_string(earlier_attempt_until_));
     }
     return request;
   }
@@ -99,7 +99,7 @@
     std::optional<Reply> reply;
     std::size_t sent = 0;
     do {
-      request->script = submission_.script.substr(sent, kScriptChunk);
+      request->script = submission_.script.substr(sent, kScriptChunkBytes);
       sent += request->script.size();
       reply = Call(connection, *request);
       ++request->sequence;
--- a/src/pbs_protocol/dis.cpp
+++ b/src/pbs_protocol/dis.cpp
@@ -50,7 +50,7 @@
   expected_ = expected;
 }
 
-bool DisReader::Need(std::size_t total) {
+bool DisReader::RequireBytes(std::size_t total) {
   if (bytes_.size() >= total) return true;
   state_ = DisState::kMore;
   needs_ = total;
@@ -75,7 +75,7 @@
   const char first = bytes_[at_];
   if (!IsDigit(first)) return Fail("a digit or a sign"), false;
   if (first == '0') return Fail("a count without a leading zero"), false;
-  if (!Need(at_ + *count)) return false;
+  if (!RequireBytes(at_ + *count)) return false;
   if (!ReadDigits(*count, "a digit of a count", count)) return false;
   if (*count < 2) return Fail("a count of two or more"), false;
   if (*count > kMaxDigits) return Fail("a count of at most 20 digits"), false;
@@ -86,7 +86,7 @@
 bool DisReader::ReadSign(bool* negative, std::uint64_t* digits) {
   *digits = 1;
   for (int level = 0;; ++level) {
-    if (!Need(at_ + 1)) return false;
+    if (!RequireBytes(at_ + 1)) return false;
     const char next = bytes_[at_];
     if (next == '+' || next == '-') {
       *negative = next == '-';
@@ -101,7 +101,7 @@
 bool DisReader::ReadNumber(bool* negative, std::uint64_t* magnitude) {
   if (!ok()) return false;
   std::uint64_t digits = 0;
-  if (!ReadSign(negative, &digits) || !Need(at_ + digits)) return false;
+  if (!ReadSign(negative, &digits) || !RequireBytes(at_ + digits)) return false;
   if (digits > 1 && bytes_[at_] == '0') return Fail("a number without a leading zero"), false;
   return ReadDigits(digits, "a digit", magnitude);
 }
@@ -127,7 +127,7 @@
   const std::uint64_t length = Unsigned();
   if (!ok()) return {};
   if (length > max_bytes) return Fail("a string within its stated length"), std::string_view{};
-  if (!Need(at_ + length)) return {};
+  if (!RequireBytes(at_ + length)) return {};
   const std::string_view text = bytes_.substr(at_, length);
   at_ += length;
   return text;
--- a/src/pbs_protocol/dis.hpp
+++ b/src/pbs_protocol/dis.hpp
@@ -70,7 +70,7 @@
   bool ReadCount(std::uint64_t* count);
   bool ReadDigits(std::uint64_t count, const char* expected, std::uint64_t* value);
   // Checks that the input has at least `total` bytes.
-  bool Need(std::size_t total);
+  bool RequireBytes(std::size_t total);
 
   std::string_view bytes_;
   std::size_t at_ = 0;
--- a/src/pbs_protocol/message_parts.cpp
+++ b/src/pbs_protocol/message_parts.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::uint64_t kProtocolType = 2;
 constexpr std::uint64_t kWrittenVersion = 1;
-constexpr std::uint64_t kOtherVersion = 2;  // accepted from peers, never written
+constexpr std::uint64_t kCompatibleVersion = 2;  // accepted from peers, never written
 
 // Returns the size that the encoded attribute states: the length of each of its strings plus one byte each.
 std::size_t StatedSize(const Attribute& attribute, bool has_resource) {
@@ -30,11 +30,11 @@
 Attribute ReadAttribute(DisReader* reader) {
   Attribute attribute;
   const std::uint64_t stated_size = reader->Unsigned();
-  attribute.name = reader->Text(kMaxName);
+  attribute.name = reader->Text(kMaxNameBytes);
   const std::uint64_t has_resource = reader->Unsigned();
   if (reader->ok() && has_resource > 1) reader->Fail("0 or 1 before a resource");
-  if (has_resource == 1) attribute.resource = reader->Text(kMaxName);
-  attribute.value = reader->Text(kMaxValue);
+  if (has_resource == 1) attribute.resource = reader->Text(kMaxNameBytes);
+  attribute.value = reader->Text(kMaxValueBytes);
   const std::uint64_t operation = reader->Unsigned();
   if (!reader->ok()) return attribute;
   if (operation > static_cast<unsigned>(Op::kLt)) {
@@ -58,7 +58,7 @@
   if (reader->ok() && type != kProtocolType) reader->Fail("protocol type 2");
   const std::uint64_t version = reader->Unsigned();
   if (!reader->ok()) return;
-  if (version != kWrittenVersion && version != kOtherVersion) reader->Fail("protocol version 1 or 2");
+  if (version != kWrittenVersion && version != kCompatibleVersion) reader->Fail("protocol version 1 or 2");
 }
 
 void WriteAttributes(const Attributes& list, DisWriter* writer) {
@@ -80,7 +80,7 @@
   }
 }
 
-DecodeResult Finish(const DisReader& reader, std::size_t max_bytes) {
+DecodeResult MakeDecodeResult(const DisReader& reader, std::size_t max_bytes) {
   DecodeResult result;
   result.state = reader.state();
   result.used = reader.at();
--- a/src/pbs_protocol/message_parts.hpp
+++ b/src/pbs_protocol/message_parts.hpp
@@ -19,7 +19,7 @@
 
 // Returns the result of decoding one message. `reader` has read the message to its end or to the first error.
 // A message that needs more than `max_bytes` is an error (kTooLarge).
-[[nodiscard]] DecodeResult Finish(const DisReader& reader, std::size_t max_bytes);
+[[nodiscard]] DecodeResult MakeDecodeResult(const DisReader& reader, std::size_t max_bytes);
 
 }  // namespace mountflow::pbs_protocol
 
--- a/src/pbs_protocol/protocol.hpp
+++ b/src/pbs_protocol/protocol.hpp
@@ -16,13 +16,13 @@
 namespace mountflow::pbs_protocol {
 
 // Limits of one request or reply. A message that exceeds any of them is malformed.
-inline constexpr std::size_t kMaxName = 256;             // bytes of a name, id, user or destination
-inline constexpr std::size_t kMaxValue = 64 << 10;       // bytes of an attribute value or a reply text
-inline constexpr std::size_t kMaxAttributes = 256;       // attributes in one list
-inline constexpr std::size_t kMaxScriptChunk = 1 << 20;  // bytes of one chunk of a script
-inline constexpr std::size_t kMaxObjects = 1 << 20;      // objects or ids in a status or select reply
-inline constexpr std::size_t kMaxRequest = 4 << 20;      // bytes of a whole request
-inline constexpr std::size_t kMaxReply = 512u << 20;     // bytes of a whole reply
+inline constexpr std::size_t kMaxNameBytes = 256;             // a name, id, user or destination
+inline constexpr std::size_t kMaxValueBytes = 64 << 10;       // an attribute value or a reply text
+inline constexpr std::size_t kMaxAttributes = 256;            // in one list
+inline constexpr std::size_t kMaxScriptChunkBytes = 1 << 20;  // one chunk of a script
+inline constexpr std::size_t kMaxObjects = 1 << 20;           // objects or ids in a status or select reply
+inline constexpr std::size_t kMaxRequestBytes = 4 << 20;      // a whole request
+inline constexpr std::size_t kMaxReply = 512u << 20;          // a whole reply
 
 enum class RequestType : unsigned {
   kConnect = 0,
--- a/src/pbs_protocol/reply_codec.cpp
+++ b/src/pbs_protocol/reply_codec.cpp
@@ -31,7 +31,7 @@
     const std::uint64_t type = reader->Unsigned();
     if (reader->ok() && type > kLastObjectType) reader->Fail("an object type of 0 to 2");
     object.type = static_cast<ObjectType>(type);
-    object.name = reader->Text(kMaxName);
+    object.name = reader->Text(kMaxNameBytes);
     ReadAttributes(reader, &object.attributes);
     if (reader->ok()) objects->push_back(std::move(object));
   }
@@ -40,7 +40,7 @@
 void ReadIds(DisReader* reader, std::vector<std::string>* ids) {
   const std::uint64_t count = reader->Unsigned();
   if (reader->ok() && count > kMaxObjects) reader->Fail("a bounded count of ids");
-  for (std::uint64_t i = 0; i < count && reader->ok(); ++i) ids->emplace_back(reader->Text(kMaxName));
+  for (std::uint64_t i = 0; i < count && reader->ok(); ++i) ids->emplace_back(reader->Text(kMaxNameBytes));
 }
 
 void ReadBody(DisReader* reader, Reply* reply) {
@@ -52,7 +52,7 @@
     case Choice::kCommitted:
     case Choice::kText:
     case Choice::kLocate:
-      reply->text = reader->Text(kMaxValue);
+      reply->text = reader->Text(kMaxValueBytes);
       break;
     case Choice::kSelected:
       ReadIds(reader, &reply->ids);
@@ -101,10 +101,10 @@
   decoded.auxiliary = reader.Signed();
   const std::uint64_t choice = reader.Unsigned();
   if (reader.ok() && (choice < kFirstChoice || choice > kLastChoice)) reader.Fail("a choice of 1 to 8");
-  if (!reader.ok()) return Finish(reader, kMaxReply);
+  if (!reader.ok()) return MakeDecodeResult(reader, kMaxReply);
   decoded.choice = static_cast<Choice>(choice);
   ReadBody(&reader, &decoded);
-  DecodeResult result = Finish(reader, kMaxReply);
+  DecodeResult result = MakeDecodeResult(reader, kMaxReply);
   if (result.state == DisState::kOk) *reply = std::move(decoded);
   return result;
 }
--- a/src/pbs_protocol/request_codec.cpp
+++ b/src/pbs_protocol/request_codec.cpp
@@ -58,22 +58,22 @@
     case RequestType::kDisconnect:
       return true;
     case RequestType::kQueueJob:
-      codec.Text(request.id, kMaxName);
-      codec.Text(request.destination, kMaxName);
+      codec.Text(request.id, kMaxNameBytes);
+      codec.Text(request.destination, kMaxNameBytes);
       codec.List(request.attributes);
       return true;
     case RequestType::kJobScript:
       codec.Count(request.sequence);
       codec.Count(request.kind);
       codec.Size(request.script);
-      codec.Text(request.id, kMaxName);
-      codec.Text(request.script, kMaxScriptChunk);
+      codec.Text(request.id, kMaxNameBytes);
+      codec.Text(request.script, kMaxScriptChunkBytes);
       codec.CheckSize(request.script);
       return true;
     case RequestType::kReadyToCommit:
     case RequestType::kCommit:
     case RequestType::kRerunJob:
-      codec.Text(request.id, kMaxName);
+      codec.Text(request.id, kMaxNameBytes);
       return true;
     case RequestType::kDeleteJob:
     case RequestType::kHoldJob:
@@ -81,28 +81,28 @@
     case RequestType::kReleaseJob:
       codec.Count(request.command, kMaxManageNumber);
       codec.Count(request.object, kMaxManageNumber);
-      codec.Text(request.id, kMaxName);
+      codec.Text(request.id, kMaxNameBytes);
       codec.List(request.attributes);
       return true;
     case RequestType::kMoveJob:
-      codec.Text(request.id, kMaxName);
-      codec.Text(request.destination, kMaxName);
+      codec.Text(request.id, kMaxNameBytes);
+      codec.Text(request.destination, kMaxNameBytes);
       return true;
     case RequestType::kSelectJobs:
       codec.List(request.attributes);
       return true;
     case RequestType::kSignalJob:
-      codec.Text(request.id, kMaxName);
-      codec.Text(request.signal, kMaxName);
+      codec.Text(request.id, kMaxNameBytes);
+      codec.Text(request.signal, kMaxNameBytes);
       return true;
     case RequestType::kStatusJob:
     case RequestType::kStatusQueue:
     case RequestType::kStatusServer:
-      codec.Text(request.id, kMaxName);
+      codec.Text(request.id, kMaxNameBytes);
       codec.List(request.attributes);
       return true;
     case RequestType::kJobObit:
-      codec.Text(request.id, kMaxName);
+      codec.Text(request.id, kMaxNameBytes);
       codec.Signed(request.status);
       codec.List(request.attributes);
       return true;
@@ -137,14 +137,14 @@
   if (reader.ok() && type > kMaxRequestType) reader.Fail("a request type");
   Request decoded;
   decoded.type = static_cast<RequestType>(type);
-  decoded.user = reader.Text(kMaxName);
-  if (!reader.ok()) return Finish(reader, kMaxRequest);
+  decoded.user = reader.Text(kMaxNameBytes);
+  if (!reader.ok()) return MakeDecodeResult(reader, kMaxRequestBytes);
   // The length of a request of unknown type is unknown, so the input after it cannot be decoded.
   if (!ProcessBody(BodyReader{&reader}, decoded)) return UnknownRequestType(type);
   const std::uint64_t has_extension = reader.Unsigned();
   if (reader.ok() && has_extension > 1) reader.Fail("0 or 1 before the extension");
-  if (has_extension == 1) decoded.extension = reader.Text(kMaxValue);
-  DecodeResult result = Finish(reader, kMaxRequest);
+  if (has_extension == 1) decoded.extension = reader.Text(kMaxValueBytes);
+  DecodeResult result = MakeDecodeResult(reader, kMaxRequestBytes);
   if (result.state == DisState::kOk) *request = std::move(decoded);
   return result;
 }
--- a/src/pbs_server/attribute_mapping.cpp
+++ b/src/pbs_server/attribute_mapping.cpp
@@ -296,7 +296,7 @@
 
 // ---- Encoding ----
 
-void Put(Attributes* attributes, const char* name, std::string value) {
+void AddAttribute(Attributes* attributes, const char* name, std::string value) {
   attributes->push_back({name, "", std::move(value), pbs_protocol::Op::kSet});
 }
 
@@ -347,7 +347,7 @@
     if (value.empty() && row.may_be_absent) continue;
     attributes.push_back({row.name, row.resource, std::move(value), pbs_protocol::Op::kSet});
   }
-  for (const auto& [name, value] : spec.passed) Put(&attributes, name.c_str(), value);
+  for (const auto& [name, value] : spec.passed) AddAttribute(&attributes, name.c_str(), value);
   return attributes;
 }
 
@@ -356,24 +356,24 @@
   const JobSpec& spec = *job.spec;
   Attributes attributes = EncodeForNode(spec, vocabulary);
   std::erase_if(attributes, [](const Attribute& attribute) { return attribute.name == "Rerunable"; });
-  Put(&attributes, "job_state", std::string(1, static_cast<char>(job.state)));
-  Put(&attributes, "queue", spec.queue);
-  Put(&attributes, "server", job_manager.options().server);
-  Put(&attributes, "Rerunable", spec.rerunnable ? "True" : "False");
-  Put(&attributes, "Priority", std::to_string(spec.priority));
-  Put(&attributes, "Hold_Types", spec.hold.empty() ? "n" : spec.hold);
-  if (spec.due != 0) Put(&attributes, "Execution_Time", FormatSeconds(spec.due));
-  Put(&attributes, "ctime", FormatSeconds(job.created));
-  Put(&attributes, "qtime", FormatSeconds(job.queued));
-  Put(&attributes, "mtime", FormatSeconds(job.changed));
-  if (job.placed != 0) Put(&attributes, "stime", FormatSeconds(job.placed));
-  if (!job.node.empty()) Put(&attributes, "exec_host", job.node + "/0");
+  AddAttribute(&attributes, "job_state", std::string(1, static_cast<char>(job.state)));
+  AddAttribute(&attributes, "queue", spec.queue);
+  AddAttribute(&attributes, "server", job_manager.options().server);
+  AddAttribute(&attributes, "Rerunable", spec.rerunnable ? "True" : "False");
+  AddAttribute(&attributes, "Priority", std::to_string(spec.priority));
+  AddAttribute(&attributes, "Hold_Types", spec.hold.empty() ? "n" : spec.hold);
+  if (spec.due != 0) AddAttribute(&attributes, "Execution_Time", FormatSeconds(spec.due));
+  AddAttribute(&attributes, "ctime", FormatSeconds(job.created));
+  AddAttribute(&attributes, "qtime", FormatSeconds(job.queued));
+  AddAttribute(&attributes, "mtime", FormatSeconds(job.changed));
+  if (job.placed != 0) AddAttribute(&attributes, "stime", FormatSeconds(job.placed));
+  if (!job.node.empty()) AddAttribute(&attributes, "exec_host", job.node + "/0");
   if (job.answer != job_manager::FinalAnswer::kNone) {
-    Put(&attributes, "answer", job_manager::Name(job.answer));
+    AddAttribute(&attributes, "answer", job_manager::Name(job.answer));
   }
-  if (!job.comment.empty()) Put(&attributes, "comment", job.comment);
-  if (job.has_exit) Put(&attributes, "exit_status", std::to_string(job.exit_status));
-  if (job.attempts_made != 0) Put(&attributes, "run_count", std::to_string(job.attempts_made));
+  if (!job.comment.empty()) AddAttribute(&attributes, "comment", job.comment);
+  if (job.has_exit) AddAttribute(&attributes, "exit_status", std::to_string(job.exit_status));
+  if (job.attempts_made != 0) AddAttribute(&attributes, "run_count", std::to_string(job.attempts_made));
   return attributes;
 }
 
--- a/tests/cli/cli_options_test.cpp
+++ b/tests/cli/cli_options_test.cpp
@@ -27,7 +27,7 @@
 TEST(ReadDirectives, ReportsCodeAndLineOfError) {
   const auto open_quote = ReadDirectives("\n#PBS 'a\n", "#PBS");
   ASSERT_FALSE(open_quote);
-  EXPECT_EQ(open_quote.error().code, DirectiveErrorCode::kOpenQuote);
+  EXPECT_EQ(open_quote.error().code, DirectiveErrorCode::kUnclosedQuote);
   EXPECT_EQ(Describe(open_quote.error()), "script line 2: expected a closing quote");
   const auto too_long = ReadDirectives("#PBS " + std::string(kMaxDirectiveLineBytes, 'x'), "#PBS");
   ASSERT_FALSE(too_long);
--- a/tests/pbs_client/pbs_client_test.cpp
+++ b/tests/pbs_client/pbs_client_test.cpp
@@ -94,14 +94,14 @@
   std::thread thread_;
 };
 
-Reply QueuedAs(const std::string& id) {
+Reply QueuedReply(const std::string& id) {
   Reply reply;
   reply.choice = Choice::kQueued;
   reply.text = id;
   return reply;
 }
 
-Reply Rejecting(Code code, const std::string& text, std::int64_t auxiliary = 0) {
+Reply RejectionReply(Code code, const std::string& text, std::int64_t auxiliary = 0) {
   Reply reply;
   reply.code = code;
   reply.auxiliary = auxiliary;
@@ -112,7 +112,7 @@
 
 // Accepts a submission as job "7.d0".
 Reply Accept(const Request& request) {
-  return request.type == RequestType::kQueueJob ? QueuedAs("7.d0") : Reply{};
+  return request.type == RequestType::kQueueJob ? QueuedReply("7.d0") : Reply{};
 }
 
 Submission MakeSubmission() {
@@ -154,7 +154,7 @@
 }
 
 TEST(BatchConnection, ReturnsReplyWhateverItsCode) {
-  FakeServer server([](const Request&) { return Rejecting(Code::kPermission, "no"); });
+  FakeServer server([](const Request&) { return RejectionReply(Code::kPermission, "no"); });
   BatchConnection connection;
   ASSERT_TRUE(connection.Connect(server.address(), kTimeout));
   for (int i = 0; i < 2; ++i) {
@@ -207,7 +207,7 @@
 }
 
 TEST(Submit, ReturnsJobThatAlreadyExists) {
-  FakeServer server([](const Request&) { return Rejecting(Code::kExists, "5.d0"); });
+  FakeServer server([](const Request&) { return RejectionReply(Code::kExists, "5.d0"); });
   const auto job = Submit({server.address()}, MakeSubmission());
   ASSERT_TRUE(job);
   EXPECT_EQ(job->id, "5.d0");
@@ -215,7 +215,7 @@
 }
 
 TEST(Submit, ReportsRejectionWithoutRetryAfterAtOnce) {
-  FakeServer server([](const Request&) { return Rejecting(Code::kBadValue, "bad"); });
+  FakeServer server([](const Request&) { return RejectionReply(Code::kBadValue, "bad"); });
   Submission submission = MakeSubmission();
   submission.max_attempts = 3;
   const auto job = Submit({server.address()}, submission);
@@ -228,7 +228,7 @@
 TEST(Submit, RetriesAfterTheTimeThatServerStates) {
   int rejections = 1;
   FakeServer server([&rejections](const Request& request) {
-    return rejections-- > 0 ? Rejecting(Code::kSystem, "busy", 1) : Accept(request);
+    return rejections-- > 0 ? RejectionReply(Code::kSystem, "busy", 1) : Accept(request);
   });
   Submission submission = MakeSubmission();
   submission.max_attempts = 2;
--- a/tests/pbs_protocol/pbs_protocol_test.cpp
+++ b/tests/pbs_protocol/pbs_protocol_test.cpp
@@ -213,10 +213,10 @@
   // 99 attributes of the largest size exceed no limit except for that of the whole request.
   Request large;
   large.type = RequestType::kSelectJobs;
-  large.attributes.assign(99, {"a", "", std::string(kMaxValue, 'x'), Op::kSet});
+  large.attributes.assign(99, {"a", "", std::string(kMaxValueBytes, 'x'), Op::kSet});
   std::string bytes;
   Encode(large, &bytes);
-  const DecodeResult result = Decode(std::string_view(bytes).substr(0, kMaxRequest), &request);
+  const DecodeResult result = Decode(std::string_view(bytes).substr(0, kMaxRequestBytes), &request);
   EXPECT_EQ(result.state, DisState::kBad);
   EXPECT_EQ(result.error.code, DecodeErrorCode::kTooLarge);
   EXPECT_EQ(Describe(result.error), "a message of at most 4194304 bytes");
