--- a/src/cli/server_address.hpp
+++ b/src/cli/server_address.hpp
@@ -13,8 +13,7 @@
 [[nodiscard]] std::vector<std::string> Split(const std::string& text, char separator);
 
 // Returns the addresses of the servers in the environment variable PBS_DEFAULT, a comma-separated list of
-// names or "ip:port". Without any, returns the address of the default port on this
-// host.
+// names or "ip:port". If there are none, returns one address: this host with the default port.
 [[nodiscard]] std::vector<std::string> DefaultServers();
 
 // Returns the address of SERVER in an identifier or destination "...@SERVER". SERVER may be an address with a
--- a/src/pbs_server/job_command_handlers.cpp
+++ b/src/pbs_server/job_command_handlers.cpp
@@ -19,7 +19,8 @@
   return ReplyOf(command(number));
 }
 
-// The hold types of a request that its user may set and release.
+// Returns the hold types that a request states, or "u" if it states none, without the type "n". The error is
+// the reply if a type is unknown or if the user may not set or release it.
 tl::expected<std::string, pbs_protocol::Reply> ReadHoldTypes(const RequestContext& context,
                                                              const pbs_protocol::Request& request) {
   std::string types(pbs_protocol::ValueOf(request.attributes, "Hold_Types"));
