--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -173,7 +173,7 @@
 // True when any submission was admitted or rejected.
 bool Daemon::AdmitSubmissions() {
   const ScopedCpuTimer timer(&cpu_profile_, &CpuTimes::pbs_server);
-  return pbs_server_.AdmitWaiting(loop_->Now());
+  return pbs_server_.AdmitQueuedSubmissions(loop_->Now());
 }
 
 // Sends the output of the PBS server's sessions, or holds it until the turn is durable. True when there may
--- a/src/node_sessions/node_sessions.hpp
+++ b/src/node_sessions/node_sessions.hpp
@@ -9,7 +9,7 @@
 //
 // Bounds, for each node: `max_connections` attempts at once, `max_waiting` more that wait (beyond: reported
 // as broken before the commit, so never run), `max_controls` control requests without a reply (beyond: each
-// is reported as failed), replies of pbs_protocol::kMaxReply bytes.
+// is reported as failed), replies of pbs_protocol::kMaxReplyBytes bytes.
 #ifndef MOUNTFLOW_NODE_SESSIONS_NODE_SESSIONS_HPP_
 #define MOUNTFLOW_NODE_SESSIONS_NODE_SESSIONS_HPP_
 
--- a/src/node_sessions/reply_reader.hpp
+++ b/src/node_sessions/reply_reader.hpp
@@ -17,7 +17,7 @@
   kMalformed,   // no further byte can make it valid
 };
 
-// Holds at most one incomplete reply, of at most pbs_protocol::kMaxReply bytes, and what came behind it.
+// Holds at most one incomplete reply, of at most pbs_protocol::kMaxReplyBytes bytes, and what came behind it.
 class ReplyReader {
  public:
   void Append(std::string_view bytes) { input_.append(bytes); }
--- a/src/pbs_protocol/protocol.hpp
+++ b/src/pbs_protocol/protocol.hpp
@@ -22,7 +22,7 @@
 inline constexpr std::size_t kMaxScriptChunkBytes = 1 << 20;  // one chunk of a script
 inline constexpr std::size_t kMaxObjects = 1 << 20;           // objects or ids in a status or select reply
 inline constexpr std::size_t kMaxRequestBytes = 4 << 20;      // a whole request
-inline constexpr std::size_t kMaxReply = 512u << 20;          // a whole reply
+inline constexpr std::size_t kMaxReplyBytes = 512u << 20;     // a whole reply
 
 enum class RequestType : unsigned {
   kConnect = 0,
--- a/src/pbs_protocol/reply_codec.cpp
+++ b/src/pbs_protocol/reply_codec.cpp
@@ -101,10 +101,10 @@
   decoded.auxiliary = reader.Signed();
   const std::uint64_t choice = reader.Unsigned();
   if (reader.ok() && (choice < kFirstChoice || choice > kLastChoice)) reader.Fail("a choice of 1 to 8");
-  if (!reader.ok()) return MakeDecodeResult(reader, kMaxReply);
+  if (!reader.ok()) return MakeDecodeResult(reader, kMaxReplyBytes);
   decoded.choice = static_cast<Choice>(choice);
   ReadBody(&reader, &decoded);
-  DecodeResult result = MakeDecodeResult(reader, kMaxReply);
+  DecodeResult result = MakeDecodeResult(reader, kMaxReplyBytes);
   if (result.state == DisState::kOk) *reply = std::move(decoded);
   return result;
 }
--- a/src/pbs_server/pbs_server.cpp
+++ b/src/pbs_server/pbs_server.cpp
@@ -77,7 +77,7 @@
   return connection != nullptr && connection->ProcessInput(now);
 }
 
-bool PbsServer::AdmitWaiting(Micros now) {
+bool PbsServer::AdmitQueuedSubmissions(Micros now) {
   if (!admission_queue_.enabled()) return false;
   bool decided_any = false;
   std::size_t admitted = 0;
--- a/src/pbs_server/pbs_server.hpp
+++ b/src/pbs_server/pbs_server.hpp
@@ -8,8 +8,8 @@
 // connection.
 //
 // With an admission controller, a new submission is queued when it is read, at most one for each connection.
-// It starts when the caller calls AdmitWaiting, after it has handled the other requests of the same event
-// loop iteration. The reply to a rejected client may say when to submit again.
+// It starts when the caller calls AdmitQueuedSubmissions, after it has handled the other requests of the same
+// event loop iteration. The reply to a rejected client may say when to submit again.
 //
 // Memory is bounded by the limits of submission_handlers.hpp and pbs_connection.hpp, and by the maximum size
 // of one request in each input buffer. Not thread-safe.
@@ -84,7 +84,7 @@
   void SetAdmission(admission::AdmissionController* admission) { admission_queue_.SetController(admission); }
   // Admits or rejects queued submissions, up to the number that may be admitted in one event loop iteration.
   // Returns true if it decided on any.
-  bool AdmitWaiting(Micros now);
+  bool AdmitQueuedSubmissions(Micros now);
   // Returns the length of the admission queue.
   [[nodiscard]] std::size_t awaiting_admission() const { return admission_queue_.size(); }
   [[nodiscard]] std::size_t connections() const { return connections_.size(); }
--- a/tests/pbs_server/pbs_server_bytes_test.cpp
+++ b/tests/pbs_server/pbs_server_bytes_test.cpp
@@ -255,7 +255,7 @@
     for (int step = 0; step < steps; ++step) {
       DrawStep();
       if (driven.Chance(70)) {
-        driven.digest.Add(driven.server().AdmitWaiting(driven.fixture().now));
+        driven.digest.Add(driven.server().AdmitQueuedSubmissions(driven.fixture().now));
         driven.HandleOutputs();
       }
       if (driven.Chance(30)) AdvanceTime(driven.Draw(400 * kMs));
--- a/tests/pbs_server/pbs_server_test.cpp
+++ b/tests/pbs_server/pbs_server_test.cpp
@@ -329,7 +329,7 @@
     fixture.now = at;
   }
   std::vector<Reply> Admit(std::uint64_t connection) {
-    server->AdmitWaiting(fixture.now);
+    server->AdmitQueuedSubmissions(fixture.now);
     return Replies(connection);
   }
 };
@@ -404,7 +404,7 @@
   server->Close(fixture.now, a);
   EXPECT_EQ(Admit(b).size(), 4u);
   EXPECT_EQ(fixture.job_manager.Count().queued, 1u);
-  EXPECT_FALSE(server->AdmitWaiting(fixture.now));
+  EXPECT_FALSE(server->AdmitQueuedSubmissions(fixture.now));
 }
 
 }  // namespace
