--- a/src/cli/directives.cpp
+++ b/src/cli/directives.cpp
@@ -16,7 +16,7 @@
  public:
   explicit WordSplitter(std::vector<std::string>* words) : words_(words) {}
 
-  // Appends the words of `line`. False when a quote is not closed.
+  // Appends the words of `line`. Returns false if a quote is not closed.
   bool Split(std::string_view line) {
     for (std::size_t i = 0; i < line.size(); ++i) {
       const char character = line[i];
@@ -31,7 +31,7 @@
       } else if (IsBlank(character)) {
         EndWord();
       } else if (character == '#' && !in_word_) {
-        break;  // the rest is a comment
+        break;  // the remainder of the line is a comment
       } else {
         Append(character);
       }
@@ -62,8 +62,8 @@
 
   std::vector<std::string>* words_;
   std::string word_;
-  bool in_word_ = false;  // also of an empty word in quotes
-  char quote_ = 0;        // the one that is open
+  bool in_word_ = false;  // true also for an empty word in quotes
+  char quote_ = 0;        // the quote character that is open; 0 if none
 };
 
 }  // namespace
@@ -75,7 +75,7 @@
       return where + "a directive of at most " + std::to_string(kMaxDirectiveLineBytes) + " bytes";
     case DirectiveErrorCode::kTooManyDirectives:
       return where + "at most " + std::to_string(kMaxDirectives) + " directives";
-    case DirectiveErrorCode::kOpenQuote:
+    case DirectiveErrorCode::kUnclosedQuote:
       return where + "a closing quote";
   }
   return where;
@@ -102,7 +102,7 @@
       return tl::make_unexpected(DirectiveError{DirectiveErrorCode::kTooManyDirectives, number});
     }
     if (!WordSplitter(&arguments).Split(line.substr(prefix.size()))) {
-      return tl::make_unexpected(DirectiveError{DirectiveErrorCode::kOpenQuote, number});
+      return tl::make_unexpected(DirectiveError{DirectiveErrorCode::kUnclosedQuote, number});
     }
   }
   return arguments;
--- a/src/node_sessions/node_sessions.hpp
+++ b/src/node_sessions/node_sessions.hpp
@@ -12,7 +12,7 @@
 //   - `max_waiting` further attempts that wait; attempts beyond that are reported as disconnected before the
 //     commit, so they never run;
 //   - `max_controls` control requests without a reply; requests beyond that are reported as failed;
-//   - pbs_protocol::kMaxReply bytes in a reply.
+//   - pbs_protocol::kMaxReplyBytes bytes in a reply.
 #ifndef MOUNTFLOW_NODE_SESSIONS_NODE_SESSIONS_HPP_
 #define MOUNTFLOW_NODE_SESSIONS_NODE_SESSIONS_HPP_
 
--- a/src/node_sessions/reply_reader.hpp
+++ b/src/node_sessions/reply_reader.hpp
@@ -19,7 +19,7 @@
 };
 
 // Buffers received bytes and decodes replies from them. An incomplete reply takes at most
-// pbs_protocol::kMaxReply bytes of the buffer.
+// pbs_protocol::kMaxReplyBytes bytes of the buffer.
 class ReplyReader {
  public:
   // Adds received bytes to the end of the buffer.
--- a/src/pbs_client/connection.cpp
+++ b/src/pbs_client/connection.cpp
@@ -19,8 +19,8 @@
 
 constexpr int kDefaultPort = 15001;
 constexpr int kMaxPort = 65535;
-constexpr std::size_t kReceiveBuffer = 64 << 10;
-constexpr Micros kMaxPollMs = 1'000'000;  // one poll; a longer wait takes several
+constexpr std::size_t kReceiveBufferBytes = 64 << 10;
+constexpr Micros kMaxPollMs = 1'000'000;  // timeout of one poll call; a longer wait uses several calls
 
 std::error_code SystemError(int number) { return {number, std::generic_category()}; }
 
@@ -32,7 +32,7 @@
   return tl::make_unexpected(ConnectionError{ConnectionErrorCode::kSystem, "", "", SystemError(number)});
 }
 
-// Waits for `events` on a socket. False when the deadline has passed, or on an error.
+// Waits for `events` on a socket. Returns false if the deadline passes first or on an error.
 bool WaitForSocket(int fd, short events, Micros deadline) {
   for (;;) {
     const Micros now = MonotonicTime();
@@ -45,7 +45,7 @@
   }
 }
 
-bool MayContinue(int number) { return number == EAGAIN || number == EINTR; }
+bool IsTransientError(int number) { return number == EAGAIN || number == EINTR; }
 
 tl::expected<sockaddr_in, ConnectionError> ParseAddress(const std::string& text) {
   const std::size_t colon = text.rfind(':');
@@ -130,7 +130,7 @@
     const ssize_t count = send(fd_, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
     if (count > 0) {
       sent += static_cast<std::size_t>(count);
-    } else if (count < 0 && MayContinue(errno)) {
+    } else if (count < 0 && IsTransientError(errno)) {
       if (!WaitForSocket(fd_, POLLOUT, deadline)) return Error(ConnectionErrorCode::kSendTimeout);
     } else {
       return SystemFailure(errno);
@@ -140,7 +140,7 @@
 }
 
 tl::expected<void, ConnectionError> BatchConnection::ReceiveMore(Micros deadline) {
-  char buffer[kReceiveBuffer];
+  char buffer[kReceiveBufferBytes];
   for (;;) {
     const ssize_t count = recv(fd_, buffer, sizeof buffer, 0);
     if (count > 0) {
@@ -148,13 +148,13 @@
       return {};
     }
     if (count == 0) return Error(ConnectionErrorCode::kClosedByServer);
-    if (!MayContinue(errno)) return SystemFailure(errno);
+    if (!IsTransientError(errno)) return SystemFailure(errno);
     if (!WaitForSocket(fd_, POLLIN, deadline)) return Error(ConnectionErrorCode::kReplyTimeout);
   }
 }
 
 tl::expected<pbs_protocol::Reply, ConnectionError> BatchConnection::Receive(Micros deadline) {
-  std::size_t needed = 1;  // bytes, before another attempt to decode is worthwhile
+  std::size_t needed = 1;  // received bytes that the next attempt to decode requires
   for (;;) {
     if (input_.size() >= needed) {
       pbs_protocol::Reply reply;
--- a/src/pbs_protocol/dis.cpp
+++ b/src/pbs_protocol/dis.cpp
@@ -6,8 +6,8 @@
 namespace mountflow::pbs_protocol {
 namespace {
 
-constexpr std::uint64_t kMaxDigits = 20;  // of a 64-bit number
-constexpr int kMaxCountLevels = 2;        // of a number with kMaxDigits digits
+constexpr std::uint64_t kMaxDigits = 20;  // digits of the largest 64-bit number
+constexpr int kMaxCountLevels = 2;        // digit counts in front of a number with kMaxDigits digits
 
 bool IsDigit(char byte) { return byte >= '0' && byte <= '9'; }
 
@@ -17,7 +17,8 @@
   char digits[24];
   const auto end = std::to_chars(digits, digits + sizeof digits, magnitude).ptr;
   const std::string_view number(digits, static_cast<std::size_t>(end - digits));
-  // Counts in front of the number, the outermost first: 123 has 3 digits, 1234567890 has 10, which has 2.
+  // Writes the digit counts: 123 has 3 digits, so it becomes "3+123". 1234567890 has 10 digits, and 10 has 2
+  // digits, so it becomes "210+1234567890".
   if (number.size() > 1) {
     char count[4];
     const auto count_end = std::to_chars(count, count + sizeof count, number.size()).ptr;
@@ -33,7 +34,7 @@
 
 void DisWriter::Signed(std::int64_t value) {
   const bool negative = value < 0;
-  // Negated as unsigned: the least number has no positive counterpart.
+  // Negates in unsigned arithmetic, because the smallest signed value has no positive counterpart.
   const auto bits = static_cast<std::uint64_t>(value);
   Digits(negative ? '-' : '+', negative ? ~bits + 1 : bits);
 }
@@ -49,7 +50,7 @@
   expected_ = expected;
 }
 
-bool DisReader::Need(std::size_t total) {
+bool DisReader::RequireBytes(std::size_t total) {
   if (bytes_.size() >= total) return true;
   state_ = DisState::kMore;
   needs_ = total;
@@ -74,18 +75,18 @@
   const char first = bytes_[at_];
   if (!IsDigit(first)) return Fail("a digit or a sign"), false;
   if (first == '0') return Fail("a count without a leading zero"), false;
-  if (!Need(at_ + *count)) return false;
+  if (!RequireBytes(at_ + *count)) return false;
   if (!ReadDigits(*count, "a digit of a count", count)) return false;
   if (*count < 2) return Fail("a count of two or more"), false;
   if (*count > kMaxDigits) return Fail("a count of at most 20 digits"), false;
   return true;
 }
 
-// Counts of counts could go on for ever; a 64-bit number needs two levels, and a third is rejected.
+// The encoding allows any depth of counts. A 64-bit number needs at most two levels, so a third is rejected.
 bool DisReader::ReadSign(bool* negative, std::uint64_t* digits) {
   *digits = 1;
   for (int level = 0;; ++level) {
-    if (!Need(at_ + 1)) return false;
+    if (!RequireBytes(at_ + 1)) return false;
     const char next = bytes_[at_];
     if (next == '+' || next == '-') {
       *negative = next == '-';
@@ -100,7 +101,7 @@
 bool DisReader::ReadNumber(bool* negative, std::uint64_t* magnitude) {
   if (!ok()) return false;
   std::uint64_t digits = 0;
-  if (!ReadSign(negative, &digits) || !Need(at_ + digits)) return false;
+  if (!ReadSign(negative, &digits) || !RequireBytes(at_ + digits)) return false;
   if (digits > 1 && bytes_[at_] == '0') return Fail("a number without a leading zero"), false;
   return ReadDigits(digits, "a digit", magnitude);
 }
@@ -126,7 +127,7 @@
   const std::uint64_t length = Unsigned();
   if (!ok()) return {};
   if (length > max_bytes) return Fail("a string within its stated length"), std::string_view{};
-  if (!Need(at_ + length)) return {};
+  if (!RequireBytes(at_ + length)) return {};
   const std::string_view text = bytes_.substr(at_, length);
   at_ += length;
   return text;
