--- a/src/event_loop/event_loop.hpp
+++ b/src/event_loop/event_loop.hpp
@@ -76,8 +76,7 @@
   // while reading is paused and while bytes sent before the close are unread.
   [[nodiscard]] bool PeerClosed(ConnId connection) const;
   void PauseReading(ConnId connection, bool pause);
-  // Closes the connection; no callback follows. With `flush`, unsent bytes are still written, for at most 10
-  // s.
+  // Closes the connection; no callback follows. With `flush`, unsent bytes are still written for up to 10 s.
   void Close(ConnId connection, bool flush = false);
   // Closes the connection with a reset; no callback follows.
   void Abort(ConnId connection);
--- a/src/event_loop/libev_watchers.hpp
+++ b/src/event_loop/libev_watchers.hpp
@@ -1,4 +1,4 @@
-// Owning wrappers of libev's watchers. No other module uses libev.
+// Owning wrappers of libev's watchers. No other file uses libev directly.
 //
 // Each wrapper starts and stops its watcher. It does not access its members after it has called its callback,
 // so a callback may destroy the wrapper. Wrappers must not outlive their LibevLoop.
--- a/src/tls/context.cpp
+++ b/src/tls/context.cpp
@@ -38,7 +38,7 @@
   return address != nullptr;
 }
 
-// Makes the handshake fail unless the other side's certificate bears this name.
+// Makes the handshake fail unless the peer's certificate contains this name.
 void RequirePeerName(SSL* ssl, const std::string& name) {
   X509_VERIFY_PARAM* verification = SSL_get0_param(ssl);
   if (IsIpAddress(name)) {
@@ -53,8 +53,9 @@
 
 struct Context::Loaded {
   SslContextPointer context;    // null before the first successful Load
-  std::int64_t own_expiry = 0;  // 0: no certificate
-  std::shared_ptr<std::int64_t> peer_expiry = std::make_shared<std::int64_t>(0);  // 0: none seen
+  std::int64_t own_expiry = 0;  // seconds since 1970; 0: no certificate
+  std::shared_ptr<std::int64_t> peer_expiry =
+      std::make_shared<std::int64_t>(0);  // seconds since 1970; 0: no handshake yet
 };
 
 Context::Context(Side side, Options options)
@@ -92,7 +93,7 @@
   if (loaded_->own_expiry != 0)
     expiries.push_back({"certificate " + options_.certificate, loaded_->own_expiry});
   if (*loaded_->peer_expiry != 0)
-    expiries.push_back({"the other side's certificate or its CA", *loaded_->peer_expiry});
+    expiries.push_back({"the peer's certificate or its CA", *loaded_->peer_expiry});
   return expiries;
 }
 
--- a/src/tls/context.hpp
+++ b/src/tls/context.hpp
@@ -1,6 +1,6 @@
-// TLS by OpenSSL (1.2 and later), without I/O of its own: sessions turn bytes into bytes through memory. A
-// client always checks the other side: its chain to the CA, its validity and its name. A server that is given
-// a CA demands a certificate signed by it.
+// TLS (1.2 and later) with OpenSSL. Does no I/O of its own: sessions encrypt and decrypt bytes in memory. A
+// client always verifies the server's certificate: its chain to the CA, its validity period and its name. A
+// server that has a CA requires a client certificate signed by it.
 #ifndef MOUNTFLOW_TLS_CONTEXT_HPP_
 #define MOUNTFLOW_TLS_CONTEXT_HPP_
 
@@ -14,22 +14,25 @@
 
 namespace mountflow::tls {
 
+// Key files and the expected peer name of one side. TLS is off if no file is set.
 struct Options {
-  std::string ca;           // PEM file: who may sign for the other side
-  std::string certificate;  // PEM file: own chain; empty: none is shown
-  std::string key;          // PEM file: own key
-  std::string name;         // DNS name or IP that the other's certificate must bear; empty: as connected to
+  std::string ca;           // PEM file: CA certificates that the peer's chain must end in
+  std::string certificate;  // PEM file: own chain; empty: no certificate is sent
+  std::string key;          // PEM file: own private key
+  std::string name;         // DNS name or IP in the server's certificate; empty: the host connected to
   bool on() const { return !ca.empty() || !certificate.empty(); }
 };
 
 enum class Side { kClient, kServer };
 
+// The end of a certificate's validity.
 struct Expiry {
-  std::string what;            // for operators
+  std::string description;     // certificate's name for operators
   std::int64_t not_after = 0;  // seconds since 1970
 };
 
-// Not thread-safe. Sessions do not refer to the context and may outlive it.
+// Loads the key files of one side and creates its sessions. Not thread-safe. Sessions do not refer to the
+// context and may outlive it.
 class Context {
  public:
   Context(Side side, Options options);
@@ -37,12 +40,14 @@
   Context(const Context&) = delete;
   Context& operator=(const Context&) = delete;
 
-  // Loads all files or none: after an error what was loaded before stays in use. Sessions that are under way
-  // keep the keys that they began with.
+  // Loads all files or none: after an error, the previously loaded ones stay in use. Existing sessions
+  // continue with the keys that they started with.
   [[nodiscard]] TlsStatus Load();
-  // `host`: the address that is connected to, without its port. Null before the first successful Load.
+  // Creates the session of one connection. `host` is the address connected to, without its port. Returns null
+  // before the first successful Load.
   [[nodiscard]] std::unique_ptr<event_loop::ConnectionFilter> NewSession(const std::string& host);
-  // Of the own certificate, and the earliest of the other side's chain as last seen.
+  // Returns the expiry of the own certificate, and the earliest one in the peer's chain of the last completed
+  // handshake.
   [[nodiscard]] std::vector<Expiry> Expiries() const;
   const Options& options() const { return options_; }
 
--- a/src/tls/keys.hpp
+++ b/src/tls/keys.hpp
@@ -1,5 +1,5 @@
-// The key files of one side on disk: loads them, checks them for changes when Renewal says so, and makes
-// sessions.
+// The key files of one side on disk: loads them, checks them for changes at the times that Renewal
+// determines, and creates sessions.
 #ifndef MOUNTFLOW_TLS_KEYS_HPP_
 #define MOUNTFLOW_TLS_KEYS_HPP_
 
@@ -14,27 +14,30 @@
 
 namespace mountflow::tls {
 
-// Not thread-safe. Without TLS (options without files) it does nothing and makes no sessions.
+// A Context whose files are reloaded when they change. Without TLS (options without files) it does nothing
+// and creates no sessions. Not thread-safe.
 class Keys {
  public:
   explicit Keys(Options options, Side side = Side::kClient)
       : on_(options.on()), context_(side, std::move(options)) {}
+  // Reports whether TLS is configured.
   bool on() const { return on_; }
-  // The first load.
+  // Loads the files for the first time. `now` is in microseconds.
   [[nodiscard]] TlsStatus Start(Micros now);
-  // Checks the files if that is due, and loads changed ones. Errors become warnings.
+  // Checks the files if a check is due, and loads them if they have changed. Reports errors as warnings.
   void Poll(Micros now);
   // Makes the next Poll check the files.
   void CheckNow() { renewal_.CheckNow(); }
-  // When Poll has something to do; the greatest time without TLS.
+  // Returns when Poll must be called next, in microseconds; the largest value without TLS.
   Micros NextTimer() const { return on_ ? renewal_.NextTimer() : ~Micros{0}; }
-  // Text for operators since the last call.
+  // Returns and clears the warnings for operators.
   std::vector<std::string> TakeWarnings() { return renewal_.TakeWarnings(); }
-  // For a connection to IP:PORT; null without TLS.
+  // Creates the session for a connection to IP:PORT. Returns null without TLS.
   std::unique_ptr<event_loop::ConnectionFilter> Session(const std::string& address);
 
  private:
-  // Time, size and inode of all files: one that was replaced or written differs in one of them.
+  // Returns modification time, size and inode of all files as text. At least one of them changes when a file
+  // is replaced or written.
   std::string FileStamp() const;
 
   bool on_;
--- a/src/tls/openssl_pointers.hpp
+++ b/src/tls/openssl_pointers.hpp
@@ -1,4 +1,4 @@
-// Owning pointers to OpenSSL's objects. Included by the sources of this package only.
+// Owning pointers to OpenSSL objects. Only the sources of this package include this header.
 #ifndef MOUNTFLOW_TLS_OPENSSL_POINTERS_HPP_
 #define MOUNTFLOW_TLS_OPENSSL_POINTERS_HPP_
 
--- a/src/tls/renewal.cpp
+++ b/src/tls/renewal.cpp
@@ -10,7 +10,7 @@
 constexpr std::int64_t kSecondsPerHour = 3'600;
 constexpr Micros kMicrosPerSecond = 1'000'000;
 constexpr std::size_t kMaxWarnings = 64;
-constexpr std::size_t kMaxRememberedExpiries = 64;  // beyond, all are forgotten and warned of again
+constexpr std::size_t kMaxRememberedExpiries = 64;  // beyond it, all are forgotten and reported again
 
 }  // namespace
 
@@ -31,12 +31,12 @@
     failed_stamp_.clear();
   } else if (failed_stamp_ != checked_stamp_) {
     failed_stamp_ = checked_stamp_;
-    AddWarning("keys not loaded, those from before stay: " + Describe(status.error()));
+    AddWarning("keys not loaded, the previous ones stay in use: " + Describe(status.error()));
   }
 }
 
 std::int64_t Renewal::ReachedThreshold(std::int64_t seconds_left, std::int64_t none) const {
-  // Past the expiry 0, -1, ... for each day, so that the result only falls as time passes.
+  // Returns 0, -1, ... for each day after the expiry, so that the result only decreases as time passes.
   if (seconds_left <= 0) return seconds_left / kSecondsPerDay;
   std::int64_t reached = none;
   for (const int days : options_.warning_days) {
@@ -50,16 +50,17 @@
   const std::int64_t no_threshold = options_.warning_days.empty() ? 1 : options_.warning_days[0] + 1;
   if (last_warnings_.size() > kMaxRememberedExpiries) last_warnings_.clear();
   for (const Expiry& expiry : expiries) {
-    LastWarning& last = last_warnings_[expiry.what];
+    LastWarning& last = last_warnings_[expiry.description];
     if (last.not_after != expiry.not_after) last = {expiry.not_after, no_threshold};
     const std::int64_t seconds_left = expiry.not_after - now_seconds;
     const std::int64_t reached = ReachedThreshold(seconds_left, last.days_left);
     if (reached >= last.days_left) continue;
     last.days_left = reached;
     if (seconds_left <= 0) {
-      AddWarning(expiry.what + " has ended");
+      AddWarning(expiry.description + " has expired");
     } else {
-      AddWarning(expiry.what + " ends in " + std::to_string(seconds_left / kSecondsPerHour) + " hours");
+      AddWarning(expiry.description + " expires in " + std::to_string(seconds_left / kSecondsPerHour) +
+                 " hours");
     }
   }
 }
--- a/src/tls/renewal.hpp
+++ b/src/tls/renewal.hpp
@@ -1,9 +1,9 @@
-// Decides when key files are loaded again and warns of certificates that expire. Free of I/O and clock.
+// Decides when key files are reloaded, and warns of expiring certificates. Does no I/O and reads no clock.
 //
-// Files are checked every `check_interval`. Changed ones are loaded. When that fails (a certificate is there
-// before its key), the old ones stay in use and loading is retried at each check until it succeeds, with one
-// warning for each state of the files. There is one warning when a certificate expires in each of
-// `warning_days`, and one a day after it has expired.
+// Files are checked every `check_interval` and reloaded if they have changed. If that fails (for example
+// because a certificate was replaced before its key), the old ones stay in use. Loading is then retried at
+// each check until it succeeds, with one warning for each state of the files. There is one warning when the
+// time to a certificate's expiry falls to each of `warning_days`, and one a day after it has expired.
 #ifndef MOUNTFLOW_TLS_RENEWAL_HPP_
 #define MOUNTFLOW_TLS_RENEWAL_HPP_
 
@@ -20,40 +20,47 @@
 namespace mountflow::tls {
 
 struct RenewalOptions {
-  Micros check_interval = 10'000'000;
-  std::vector<int> warning_days = {30, 14, 7, 3, 1};  // falling
+  Micros check_interval = 10'000'000;                 // microseconds
+  std::vector<int> warning_days = {30, 14, 7, 3, 1};  // days before the expiry, in descending order
 };
 
+// Tracks the state of the key files and the warnings given. All times are in microseconds unless stated
+// otherwise.
 class Renewal {
  public:
   explicit Renewal(RenewalOptions options = {}) : options_(std::move(options)) {}
 
+  // Reports whether the files must be checked now.
   bool Due(Micros now) const { return now >= next_check_; }
+  // Returns when the next check is due.
   Micros NextTimer() const { return next_check_; }
+  // Makes the next check due at once.
   void CheckNow() { next_check_ = 0; }
-  // `stamp` differs whenever the files do. True: load them now, and report the result to OnLoaded.
+  // Records a check of the files. `stamp` identifies their present state. Returns true if the caller must
+  // load them now and pass the result to OnLoaded.
   bool CheckFiles(Micros now, const std::string& stamp);
+  // Records the result of a load.
   void OnLoaded(const TlsStatus& status);
-  // All expiries that are known now.
+  // Adds a warning for each expiry that has reached a new threshold. `expiries` holds all that are known now.
   void CheckExpiries(Micros now, const std::vector<Expiry>& expiries);
-  // Text for operators since the last call; a bounded number.
+  // Returns and clears the warnings for operators, of which a bounded number is stored.
   std::vector<std::string> TakeWarnings();
 
  private:
   struct LastWarning {
-    std::int64_t not_after = 0;
-    std::int64_t days_left = 0;  // the threshold that was last warned of; 0 and below: days since the expiry
+    std::int64_t not_after = 0;  // seconds since 1970
+    std::int64_t days_left = 0;  // threshold of the last warning; 0 or less: minus the days since the expiry
   };
-  // The lowest threshold that this time left has reached; `none` when there is none.
+  // Returns the lowest threshold that `seconds_left` has reached; `none` if it has reached none.
   std::int64_t ReachedThreshold(std::int64_t seconds_left, std::int64_t none) const;
   void AddWarning(std::string text);
 
   const RenewalOptions options_;
   Micros next_check_ = 0;
-  std::string checked_stamp_;                         // of the last check
-  std::string loaded_stamp_;                          // of what is in use; empty: nothing yet
-  std::string failed_stamp_;                          // of what could not be loaded, and was warned of
-  std::map<std::string, LastWarning> last_warnings_;  // by Expiry::what
+  std::string checked_stamp_;  // state of the files at the last check
+  std::string loaded_stamp_;   // state of the files in use; empty before the first load
+  std::string failed_stamp_;   // state of the files of the last warning about a failed load
+  std::map<std::string, LastWarning> last_warnings_;  // by Expiry::description
   std::vector<std::string> warnings_;
 };
 
--- a/src/tls/session.cpp
+++ b/src/tls/session.cpp
@@ -10,7 +10,7 @@
 namespace mountflow::tls {
 namespace {
 
-constexpr std::size_t kBufferSize = 16'384;                  // a TLS record
+constexpr std::size_t kBufferSize = 16'384;                  // bytes; the maximum size of a TLS record
 constexpr std::size_t kMaxWriteSize = std::size_t{1} << 30;  // SSL_write takes an int
 
 }  // namespace
@@ -27,7 +27,7 @@
       peer_expiry_(std::move(peer_expiry)),
       received_(BIO_new(BIO_s_mem())),
       to_send_(BIO_new(BIO_s_mem())) {
-  BIO_set_mem_eof_return(received_, -1);  // when empty: wait for more
+  BIO_set_mem_eof_return(received_, -1);  // an empty BIO means retry later, not end of file
   SSL_set_bio(ssl_.get(), received_, to_send_);
   if (side_ == Side::kClient) {
     SSL_set_connect_state(ssl_.get());
@@ -46,14 +46,14 @@
   BIO_write(received_, bytes.data(), static_cast<int>(bytes.size()));
   if (!ready_) Handshake();
   if (ready_) ReadPlain(plain);
-  TakeOutput(out);  // after an error: an alert
+  TakeOutput(out);  // after an error, the output is an alert
   return error_.empty();
 }
 
 bool Session::Send(std::string_view plain, std::string* out) {
   if (!ready_ || !error_.empty()) return false;
   ERR_clear_error();
-  // The output is memory: everything is taken at once, in records of at most 16 KiB.
+  // The output is a memory BIO, which accepts everything at once, in records of at most 16 KiB.
   while (!plain.empty()) {
     const auto size = static_cast<int>(std::min(plain.size(), kMaxWriteSize));
     const int written = SSL_write(ssl_.get(), plain.data(), size);
@@ -86,7 +86,7 @@
   if (verified == X509_V_OK) {
     error_ = "TLS: " + TakeOpenSslReason();
   } else {
-    error_ = std::string("TLS: the other side's certificate: ") + X509_verify_cert_error_string(verified);
+    error_ = std::string("TLS: the peer's certificate: ") + X509_verify_cert_error_string(verified);
   }
   ERR_clear_error();
 }
--- a/src/tls/session.hpp
+++ b/src/tls/session.hpp
@@ -1,4 +1,4 @@
-// One TLS connection through memory.
+// The TLS state of one connection, with input and output in memory.
 #ifndef MOUNTFLOW_TLS_SESSION_HPP_
 #define MOUNTFLOW_TLS_SESSION_HPP_
 
@@ -13,13 +13,16 @@
 
 namespace mountflow::tls {
 
-// The end of a certificate's validity in seconds since 1970; 0 when it is null or has none.
+// Returns the end of a certificate's validity in seconds since 1970; 0 if `certificate` is null or its time
+// cannot be read.
 [[nodiscard]] std::int64_t ExpiryOf(const X509* certificate);
 
-// Not thread-safe. After an error nothing more is received or sent.
+// A connection filter that encrypts and decrypts with TLS. After an error, it receives and sends nothing
+// more. Not thread-safe.
 class Session : public event_loop::ConnectionFilter {
  public:
-  // `peer_expiry` is set after the handshake to the earliest expiry in the other side's chain.
+  // `peer_expiry` is set after the handshake to the earliest expiry in the peer's chain, in seconds since
+  // 1970.
   Session(SslPointer ssl, Side side, std::shared_ptr<std::int64_t> peer_expiry);
 
   void Start(std::string* out) override;
@@ -40,7 +43,7 @@
   const std::shared_ptr<std::int64_t> peer_expiry_;
   BIO* received_ = nullptr;  // owned by ssl_, as is to_send_
   BIO* to_send_ = nullptr;
-  bool ready_ = false;  // the handshake is done
+  bool ready_ = false;  // whether the handshake is complete
   std::string error_;
 };
 
--- a/src/tls/tls_error.hpp
+++ b/src/tls/tls_error.hpp
@@ -8,25 +8,27 @@
 namespace mountflow::tls {
 
 enum class TlsErrorCode {
-  kNoCa,            // a client without a CA's file
-  kBadCa,           // the CA's file cannot be read or has no PEM certificates
-  kBadCertificate,  // likewise the own certificate
-  kBadKey,          // the key cannot be read or is not the certificate's
+  kNoCa,            // a client has no CA file
+  kBadCa,           // the CA file cannot be read or contains no PEM certificates
+  kBadCertificate,  // the own certificate's file cannot be read or contains no PEM certificate
+  kBadKey,          // the key cannot be read or does not match the certificate
 };
 
+// An error of loading key files.
 struct TlsError {
   TlsErrorCode code = TlsErrorCode::kNoCa;
   std::string file;      // empty for kNoCa
-  std::string expected;  // what was expected in it
-  std::string reason;    // of OpenSSL; may be empty
+  std::string expected;  // the expected content of the file
+  std::string reason;    // OpenSSL's error text; may be empty
 };
 
 using TlsStatus = tl::expected<void, TlsError>;
 
-// "FILE: expected X (REASON)"
+// Returns the error as text: "FILE: expected X (REASON)".
 [[nodiscard]] std::string Describe(const TlsError& error);
 
-// The text of OpenSSL's last error on this thread, which is cleared. Never empty.
+// Returns the text of OpenSSL's last error on this thread and clears its error queue. Never returns an empty
+// string.
 [[nodiscard]] std::string TakeOpenSslReason();
 
 }  // namespace mountflow::tls
--- a/tests/tls/tls_renewal_test.cpp
+++ b/tests/tls/tls_renewal_test.cpp
@@ -26,10 +26,10 @@
     EXPECT_TRUE(renewal.CheckFiles(now += 10 * kSecond, "b"));
     renewal.OnLoaded(LoadFailed());
   }
-  EXPECT_EQ(
-      renewal.TakeWarnings(),
-      std::vector<std::string>{"keys not loaded, those from before stay: a.key: expected the PEM key of "
-                               "a.pem (half written)"});
+  EXPECT_EQ(renewal.TakeWarnings(),
+            std::vector<std::string>{
+                "keys not loaded, the previous ones stay in use: a.key: expected the PEM key of "
+                "a.pem (half written)"});
   EXPECT_TRUE(renewal.CheckFiles(now += 10 * kSecond, "c"));
   renewal.OnLoaded({});
   EXPECT_FALSE(renewal.CheckFiles(now += 10 * kSecond, "c"));
