--- a/src/event_loop/address.hpp
+++ b/src/event_loop/address.hpp
@@ -9,6 +9,7 @@
 
 namespace mountflow::event_loop {
 
+// The two parts of a "HOST:PORT" address.
 struct HostAndPort {
   std::string host;
   int port = 0;
--- a/src/event_loop/connection_handler.hpp
+++ b/src/event_loop/connection_handler.hpp
@@ -11,6 +11,7 @@
 using ConnId = std::uint64_t;
 using ListenerId = std::uint64_t;
 
+// The other end of an accepted connection.
 struct PeerInfo {
   std::string address;    // IP:PORT
   bool has_uid = false;   // whether `uid` is known from the kernel
--- a/src/event_loop/connection_table.hpp
+++ b/src/event_loop/connection_table.hpp
@@ -1,5 +1,4 @@
-// The connections of an event loop: reads and writes them, runs the handshakes of their filters, and closes
-// them.
+// The connections of an event loop: reading, writing, filter handshakes and closing.
 #ifndef MOUNTFLOW_EVENT_LOOP_CONNECTION_TABLE_HPP_
 #define MOUNTFLOW_EVENT_LOOP_CONNECTION_TABLE_HPP_
 
@@ -33,8 +32,7 @@
 
   // Takes ownership of a socket whose connect() is in progress. OnConnected or OnClosed follows.
   void AddConnecting(ConnId id, int fd, ConnectionHandler* handler, std::unique_ptr<ConnectionFilter> filter);
-  // Takes ownership of an accepted socket. Calls OnAccepted at once, or with `filters` once its filter is
-  // ready.
+  // Takes ownership of an accepted socket. Calls OnAccepted at once, or once its filter is ready.
   void AddAccepted(ListenerId listener, int fd, ConnectionHandler* handler, const PeerInfo& peer,
                    const FilterFactory& filters);
 
@@ -60,8 +58,7 @@
   Connection& Add(ConnId id, int fd, ConnectionHandler* handler, ConnectionState state);
   void Remove(ConnId id, CloseMode mode);
   // Removes the connection and calls OnClosed, unless the handler has not been notified of the connection yet
-  // or has closed it already. `reason` must not refer to a string inside the connection, which is destroyed
-  // first.
+  // or has closed it already. `reason` must not refer to a string inside the connection.
   void Fail(const Connection& connection, const std::string& reason);
   // Removes the connection and calls OnClosed from a timer, so that the handler is not called inside the
   // user's own call.
--- a/src/event_loop/event_loop.hpp
+++ b/src/event_loop/event_loop.hpp
@@ -55,7 +55,9 @@
                                                                 FilterFactory filters = {});
   // Returns the bound port; 0 if the listener is closed.
   [[nodiscard]] int PortOf(ListenerId listener) const;
+  // Closes the listener. Connections that it accepted stay open.
   void CloseListener(ListenerId listener);
+  // Pauses or resumes accepting. While paused, new connections wait in the listen queue of the kernel.
   void PauseAccepting(ListenerId listener, bool pause);
   // Sets whether PeerInfo contains the user that owns the other end of an accepted connection. Default true.
   void SetReportPeerUid(bool report);
@@ -65,6 +67,7 @@
   // be new; otherwise the loop chooses one. Bytes sent before OnConnected are buffered.
   ConnId Connect(const std::string& address, ConnectionHandler* handler, ConnId id = 0,
                  std::unique_ptr<ConnectionFilter> filter = nullptr);
+  // Returns an unused id for Connect().
   [[nodiscard]] ConnId NewConnectionId();
   // Queues bytes for sending. Never calls the handler inside this call: if the connection fails, OnClosed is
   // called later.
@@ -75,6 +78,7 @@
   // Reports whether the peer has closed or reset the connection, or it no longer exists. Detects this also
   // while reading is paused and while bytes sent before the close are unread.
   [[nodiscard]] bool PeerClosed(ConnId connection) const;
+  // Pauses or resumes reading. While paused, received bytes wait in the receive buffer of the socket.
   void PauseReading(ConnId connection, bool pause);
   // Closes the connection; no callback follows. With `flush`, unsent bytes are still written for up to 10 s.
   void Close(ConnId connection, bool flush = false);
@@ -84,6 +88,7 @@
   // Sets how many closed connections may be flushing at a time. One more resets the oldest of them. Default
   // 1024, at least 1.
   void SetMaxClosing(std::size_t max);
+  // Returns the number of closed connections that are flushing.
   [[nodiscard]] std::size_t closing_count() const;
   // Sets how many bytes may wait to be written on one connection. Default 64 MiB.
   void SetMaxUnsentBytes(std::size_t bytes);
@@ -93,6 +98,7 @@
   // Calls `callback` once, at or soon after `due`. Timers run in the order of their due times; those with
   // equal due times run in the order in which they were added.
   TimerId AddTimer(Micros due, std::function<void()> callback);
+  // Cancels a timer that has not run yet.
   void CancelTimer(TimerId timer);
   // Sets the main timer, one further timer that is moved often. It runs once at `due`, or never if `due` is
   // the largest value. An empty callback leaves the previous one in place.
--- a/src/event_loop/event_loop_error.hpp
+++ b/src/event_loop/event_loop_error.hpp
@@ -13,6 +13,7 @@
   kListenFailed,    // a system call failed; `system_error` has the cause
 };
 
+// The error of EventLoop::Listen.
 struct EventLoopError {
   EventLoopErrorCode code = EventLoopErrorCode::kInvalidAddress;
   std::string address;           // as passed by the caller
--- a/src/event_loop/libev_watchers.hpp
+++ b/src/event_loop/libev_watchers.hpp
@@ -30,6 +30,7 @@
 // The events of one turn are served in descending order of priority.
 enum class EventPriority : std::int8_t { kNormal = 0, kRaised = 1, kHighest = EV_MAXPRI };
 
+// Events of a file descriptor, either to watch for or that have occurred.
 struct IoEvents {
   bool readable = false;
   bool writable = false;
--- a/src/tls/renewal.hpp
+++ b/src/tls/renewal.hpp
@@ -24,8 +24,7 @@
   std::vector<int> warning_days = {30, 14, 7, 3, 1};  // days before the expiry, in descending order
 };
 
-// Tracks the state of the key files and the warnings given. All times are in microseconds unless stated
-// otherwise.
+// Tracks the state of the key files and the warnings given. All times are in microseconds unless noted.
 class Renewal {
  public:
   explicit Renewal(RenewalOptions options = {}) : options_(std::move(options)) {}
--- a/src/tls/session.hpp
+++ b/src/tls/session.hpp
@@ -21,8 +21,7 @@
 // more. Not thread-safe.
 class Session : public event_loop::ConnectionFilter {
  public:
-  // `peer_expiry` is set after the handshake to the earliest expiry in the peer's chain, in seconds since
-  // 1970.
+  // After the handshake, sets `peer_expiry` to the earliest expiry in the peer's chain (seconds since 1970).
   Session(SslPointer ssl, Side side, std::shared_ptr<std::int64_t> peer_expiry);
 
   void Start(std::string* out) override;
