--- a/src/logging/event_table.hpp
+++ b/src/logging/event_table.hpp
@@ -1,4 +1,4 @@
-// The table of log events, for the programs that write them and for the page that explains them
+// The table of log events, used by the programs that write them and by the page that documents them
 // (docs/on-call.md, which a test compares with this table).
 #ifndef MOUNTFLOW_LOGGING_EVENT_TABLE_HPP_
 #define MOUNTFLOW_LOGGING_EVENT_TABLE_HPP_
@@ -14,37 +14,40 @@
 
 enum class LogLevel { kInfo, kWarning };
 
-// Which program writes an event.
+// The program that writes an event.
 enum class LogProgram { kDaemon, kPlatform, kBoth };
 
 inline constexpr std::size_t kMaxFields = 4;
 
-// All texts are constants.
+// One row of the table. All texts are constants with static storage duration.
 struct EventInfo {
   LogEvent event;
-  std::string_view name;  // on the line
+  std::string_view name;  // as written to the log
   LogProgram program;
   LogLevel level;
-  std::array<std::string_view, kMaxFields>
-      fields;  // beside the name; empty ones at the end. Any may be absent
+  // Field names beside the event's name, of which a record may omit any. Unused elements at the end are
+  // empty.
+  std::array<std::string_view, kMaxFields> fields;
   std::string_view meaning;
-  std::string_view action;  // what the engineer on call does
+  std::string_view action;  // for the engineer on call
 };
 
 using EventTable = std::array<EventInfo, kLogEventCount>;
 
-// In the order of LogEvent.
+// Returns the rows in the order of LogEvent.
 [[nodiscard]] const EventTable& AllEvents();
 
+// Returns the row of `event`.
 [[nodiscard]] const EventInfo& InfoOf(LogEvent event);
+// Return the names as they appear in the log or the table.
 [[nodiscard]] std::string_view Name(LogEvent event);
 [[nodiscard]] std::string_view Name(LogProgram program);
 [[nodiscard]] std::string_view Name(LogLevel level);
 
-// Whether records of `event` may have a field of this name.
+// Reports whether records of `event` may have a field named `field`.
 [[nodiscard]] bool HasField(LogEvent event, std::string_view field);
 
-// The table as Markdown, a row an event, each line ended by a line feed.
+// Returns the table as Markdown with one row for each event. Each line ends with a line feed.
 [[nodiscard]] std::string EventTableMarkdown();
 
 }  // namespace mountflow::logging
--- a/src/logging/log_event.hpp
+++ b/src/logging/log_event.hpp
@@ -1,6 +1,6 @@
-// The events that the programs log. Each has a name that operators search for; the table in event_table.hpp
-// says its level and fields, what it means and what the engineer on call does. A renamed event is a change
-// for everybody who searches the logs: it belongs in the changelog.
+// The events that the programs log. Each has a name that operators search for. The table in event_table.hpp
+// contains its level, its fields, its meaning and the action for the engineer on call. Renaming an event
+// affects everybody who searches the logs, so it must be mentioned in the changelog.
 #ifndef MOUNTFLOW_LOGGING_LOG_EVENT_HPP_
 #define MOUNTFLOW_LOGGING_LOG_EVENT_HPP_
 
@@ -8,120 +8,121 @@
 
 namespace mountflow::logging {
 
-// The order is that of the table of events. The level does not depend on where an event is written.
+// Log events, in the order of the event table. Each event has one level, wherever it is written.
 enum class LogEvent {
   // ---- mountflowd: the program ----
 
-  // Once, when all ports are open and the state is restored: the daemon serves.
+  // Written once, when all ports are open, the state is restored and the daemon accepts requests.
   kStarted,
-  // Once, at the end of a graceful shutdown. `jobs` counts those without a running task.
+  // Written once, at the end of a graceful shutdown. `jobs` is the number of jobs without a running task.
   kStopped,
 
   // ---- mountflowd: jobs ----
 
-  // A submission was accepted and has its number.
+  // A submission was accepted and has been assigned its number.
   kSubmitted,
-  // A job has its final answer, which does not change any more.
+  // A job has its final answer, which never changes.
   kAnswered,
-  // A job has ended and is in the history.
+  // A job has ended and is stored in the history.
   kComplete,
-  // A user or the operator deleted a job. Its task, if it has one, is being stopped.
+  // A user or the operator deleted a job. Its running task, if any, is being stopped.
   kDeleted,
-  // At the start, when the jobs of the state directory are loaded.
+  // Written at startup, when the jobs of the state directory are loaded.
   kRestored,
 
   // ---- mountflowd: attempts and running tasks ----
 
   // A node rejected an attempt before its task began. The scheduler may try another node.
   kAttemptRejected,
-  // An attempt that should be stopped is forgotten, because too many wait for their nodes to confirm it. Its
-  // task may still run.
+  // A cancelled attempt is no longer tracked, because too many such attempts wait for confirmation by their
+  // nodes. Its task may still run.
   kAttemptAbandoned,
-  // A running task is gone: its node was removed, restarted or does not know it.
+  // A running task is lost because its node was removed, restarted or does not know the task.
   kLost,
-  // A running task found at its node after a restart of the daemon counts as ours.
+  // A running task that its node reported after a restart of the daemon is tracked again.
   kAdopted,
-  // A node reports a task that cannot be adopted. It goes on running there.
+  // A node reports a task that cannot be adopted. The task continues to run there.
   kTaskNotAdopted,
-  // The scheduler wanted to migrate a running task whose job may not be run again.
+  // The scheduler did not migrate a running task because its job may not be run again.
   kMigrationSkipped,
 
-  // ---- mountflowd: nodes, their list and the group of daemons ----
+  // ---- mountflowd: nodes, the node list and the group of daemons ----
 
-  // A node left the node list, or the list marks it as gone.
+  // A node is no longer in the node list, or the list marks it as removed.
   kNodeRemoved,
-  // A node of the list is not used.
+  // A node of the node list is ignored, for the reason in the text.
   kNodeSkipped,
-  // The registry cannot be read, or an entry of it cannot be used.
+  // The registry cannot be read, or one of its entries is invalid.
   kNodeList,
-  // At the start: the node list of the last run was loaded from its file.
+  // Written at startup: the node list of the previous run was loaded from its file.
   kNodeListCacheLoaded,
-  // At the start: there is no node list of an earlier run, or its file cannot be used.
+  // Written at startup: there is no node list of a previous run, or its file cannot be used.
   kNodeListCacheNotLoaded,
   // The node list could not be written to its file.
   kNodeListCacheNotSaved,
-  // The number of daemons, or the index of this one among them, changed.
+  // The number of daemons in the group, or the index of this daemon in it, changed.
   kGroupChanged,
-  // The same, and this daemon does not know its index at present: it sends nothing to nodes that warm up.
+  // The group changed, and this daemon does not know its index in it at present. It sends nothing to nodes
+  // that are warming up.
   kGroupIndexUnknown,
-  // Entries of daemons in the registry: our own cannot be written or renewed, or the others cannot be read.
+  // This daemon's registry entry cannot be written or renewed, or those of other daemons cannot be read.
   kGroupRegistry,
   // The keys for the registry expire soon or cannot be loaded.
   kTlsKeys,
 
   // ---- mountflowd: requests, durable state ----
 
-  // A client sent what cannot be read or what it may not do.
+  // A client sent a malformed request or one that it is not permitted to make.
   kRequestError,
-  // Opening the state directory found and mended what a crash left.
+  // Opening the state directory found and repaired the inconsistencies that a crash left.
   kStorageRecovery,
-  // Commits to disk fail or work again.
+  // Commits to disk fail, or succeed again after a failure.
   kStorageCommit,
-  // The use of an attempt is not in the ledger.
+  // The resource usage of an attempt could not be added to the ledger.
   kUsageNotCounted,
-  // A record of the ledger does not fit what is in its book.
+  // A ledger record is inconsistent with the records applied before it.
   kUsageNotApplied,
 
   // ---- both programs ----
 
-  // A line of the scheduler library itself.
+  // A message of the scheduler library itself.
   kScheduler,
 
   // ---- mountflowd --platform ----
 
-  // Once, when the port is open.
+  // Written once, when the port is open.
   kPlatformStarted,
-  // We closed the connection of a client.
+  // The program closed the connection of a client.
   kClientConnectionClosed,
-  // A launch request was rejected because it cannot be read.
+  // A launch request was rejected because it is malformed.
   kUnreadableRequest,
   // A notification about a task will not be delivered.
   kNotificationDropped,
-  // We closed the connection to a node.
+  // The program closed the connection to a node.
   kNodeConnectionClosed,
-  // A poll of the change log failed; it is repeated after a short delay.
+  // A poll of the change log failed. It is retried after a short delay.
   kNodeListPollFailed,
-  // SIGHUP: another change log is followed from now on, or the same one anew.
+  // After SIGHUP, the program follows the change log at the configured address, even if it is unchanged.
   kConfigReloaded,
-  // SIGHUP with a configuration that cannot be used; nothing changes.
+  // After SIGHUP, the configuration is invalid and the previous one stays in effect.
   kConfigReloadFailed,
-  // SIGTERM or SIGINT: health checks fail from now on, requests are still answered.
+  // After SIGTERM or SIGINT, health checks fail, but requests are still answered.
   kShutdownStarted,
-  // All that was due is answered; the program ends.
+  // All pending requests are answered and the program exits.
   kShutdownFinished,
 };
 
 // The number of events.
 inline constexpr unsigned kLogEventCount = static_cast<unsigned>(LogEvent::kShutdownFinished) + 1;
 
-// Names of fields. Those that are a plain word of a record (`text`, `reason`) hold a sentence for people.
+// Names of fields. The values of `text` and `reason` are prose for operators.
 inline constexpr std::string_view kEventField = "event";
-inline constexpr std::string_view kJobField = "job";          // as clients know it: NUMBER.SERVER
+inline constexpr std::string_view kJobField = "job";          // job id as shown to clients: NUMBER.SERVER
 inline constexpr std::string_view kAttemptField = "attempt";  // JOB/NUMBER
-inline constexpr std::string_view kNodeField = "node";        // its name in the node list
+inline constexpr std::string_view kNodeField = "node";        // node name in the node list
 inline constexpr std::string_view kTextField = "text";
 inline constexpr std::string_view kReasonField = "reason";
-inline constexpr std::string_view kAnswerField = "answer";  // the final answer, as clients see it
+inline constexpr std::string_view kAnswerField = "answer";  // the final answer as sent to clients
 inline constexpr std::string_view kUserField = "user";
 inline constexpr std::string_view kServerField = "server";  // the daemon's name
 inline constexpr std::string_view kBatchPortField = "batch_port";
@@ -131,10 +132,10 @@
 inline constexpr std::string_view kNodesField = "nodes";
 inline constexpr std::string_view kAgeField = "age_ms";
 inline constexpr std::string_view kGroupSizeField = "group_size";
-inline constexpr std::string_view kGroupIndexField = "group_index";  // -1: not known
+inline constexpr std::string_view kGroupIndexField = "group_index";  // -1: unknown
 inline constexpr std::string_view kAddressField = "address";         // HOST:PORT
 inline constexpr std::string_view kFileField = "file";
-inline constexpr std::string_view kLastEventField = "last_event";  // number of the last event of a change log
+inline constexpr std::string_view kLastEventField = "last_event";  // number of the last event read
 
 }  // namespace mountflow::logging
 
