--- a/tests/event_loop/address_test.cpp
+++ b/tests/event_loop/address_test.cpp
@@ -1,4 +1,4 @@
-// Addresses as text.
+// Tests of the conversion between addresses and text.
 #include "event_loop/address.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 struct SplitCase {
   const char* text;
-  const char* host;  // null: rejected
+  const char* host;  // null if the text is rejected
   int port;
 };
 
--- a/tests/event_loop/event_loop_error_test.cpp
+++ b/tests/event_loop/event_loop_error_test.cpp
@@ -1,4 +1,4 @@
-// Texts of errors.
+// Tests of the texts of event loop errors.
 #include "event_loop/event_loop_error.hpp"
 
 #include <gtest/gtest.h>
@@ -9,11 +9,11 @@
 namespace mountflow::event_loop {
 namespace {
 
-TEST(EventLoopErrorTest, DescribesAddressThatIsMalformed) {
+TEST(EventLoopErrorTest, DescribesMalformedAddress) {
   EXPECT_EQ(Describe({EventLoopErrorCode::kInvalidAddress, "here", {}}), "'here': expected IP:PORT");
 }
 
-TEST(EventLoopErrorTest, DescribesWhatTheSystemSaid) {
+TEST(EventLoopErrorTest, DescribesSystemError) {
   const std::error_code error(EADDRINUSE, std::generic_category());
   EXPECT_EQ(Describe({EventLoopErrorCode::kListenFailed, "127.0.0.1:80", error}),
             std::string("127.0.0.1:80: ") + strerror(EADDRINUSE));
--- a/tests/event_loop/event_loop_filter_test.cpp
+++ b/tests/event_loop/event_loop_filter_test.cpp
@@ -1,4 +1,4 @@
-// Connections with a filter between the socket and its handler, as TLS is.
+// Tests of connections with a filter, such as TLS, between the socket and the handler.
 #include <memory>
 
 #include "tests/event_loop/event_loop_fixture.hpp"
@@ -8,7 +8,7 @@
 
 using EventLoopFilter = EventLoopTest;
 
-// Shifts each byte by one; ready when the peer's "!" has come. A '#' from the peer is an error.
+// Shifts each byte by one. Becomes ready when the peer's "!" arrives; fails on a '#' from the peer.
 class ShiftFilter : public ConnectionFilter {
  public:
   void Start(std::string* out) override { *out += '!'; }
@@ -41,9 +41,9 @@
 
 TEST_F(EventLoopFilter, FilterTransformsBytesAndDelaysAccept) {
   Listen([] { return std::make_unique<ShiftFilter>(); });
-  const ConnId plain = loop_.Connect(address_, &client_);  // without a filter: sees what is on the wire
+  const ConnId plain = loop_.Connect(address_, &client_);  // has no filter, so it receives the encoded bytes
   ASSERT_TRUE(RunUntil([&] { return client_.received[plain] == "!"; }));
-  EXPECT_TRUE(server_.accepted.empty());  // its handshake is not complete
+  EXPECT_TRUE(server_.accepted.empty());  // the handshake is not complete yet
   loop_.Send(plain, "!bc");
   ASSERT_TRUE(RunUntil([this] { return !server_.received.empty(); }));
   ASSERT_EQ(server_.accepted.size(), 1u);
@@ -65,7 +65,7 @@
   EXPECT_EQ(loop_.UnsentBytes(connection), 0u);
 }
 
-TEST_F(EventLoopFilter, FilterErrorClosesAfterBytesThatCameBefore) {
+TEST_F(EventLoopFilter, FilterErrorClosesAfterDeliveringEarlierBytes) {
   Listen([] { return std::make_unique<ShiftFilter>(); });
   const ConnId plain = loop_.Connect(address_, &client_);
   loop_.Send(plain, "!bc#de");
@@ -83,7 +83,7 @@
   EXPECT_TRUE(server_.closed.empty());
 }
 
-TEST_F(EventLoopFilter, ConnectionWithoutFilterToBeHadIsReset) {
+TEST_F(EventLoopFilter, ConnectionIsResetWhenNoFilterCanBeCreated) {
   Listen([] { return nullptr; });
   loop_.Connect(address_, &client_);
   ASSERT_TRUE(RunUntil([this] { return !client_.closed.empty(); }));
--- a/tests/event_loop/event_loop_fixture.hpp
+++ b/tests/event_loop/event_loop_fixture.hpp
@@ -1,5 +1,5 @@
-// The fixture of tests of the event loop over loopback sockets. Each step waits for the event it needs; a
-// time limit only ends a failing test.
+// Fixture for tests of the event loop over loopback sockets. Each step waits for the event that it needs; the
+// time limit is reached only by a failing test.
 #ifndef MOUNTFLOW_TESTS_EVENT_LOOP_EVENT_LOOP_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_EVENT_LOOP_EVENT_LOOP_FIXTURE_HPP_
 
@@ -21,6 +21,7 @@
 inline constexpr Micros kTick = 1'000;
 inline constexpr std::size_t kMoreThanKernelTakes = 16 << 20;
 
+// Records the events of its connections.
 struct RecordingHandler : ConnectionHandler {
   void OnAccepted(ListenerId, ConnId connection, const PeerInfo& peer) override {
     accepted.push_back(connection);
@@ -45,8 +46,8 @@
 
 class EventLoopTest : public ::testing::Test {
  protected:
-  // Serves events until `condition` holds after a turn; there is a turn each millisecond. False at the time
-  // limit.
+  // Runs the loop until `condition` holds after a turn; there is at least one turn per millisecond. Returns
+  // false if it does not hold within the time limit.
   bool RunUntil(const std::function<bool()>& condition) {
     const Micros limit = loop_.Now() + kTestLimit;
     loop_.SetAfterTurn([this, &condition, limit] {
@@ -57,18 +58,19 @@
     loop_.SetAfterTurn({});
     return condition();
   }
-  // Serves what is there, for some turns.
+  // Runs some turns, to serve the events that are pending.
   void RunSomeTurns() {
     int turns = 0;
     ASSERT_TRUE(RunUntil([&turns] { return ++turns > 5; }));
   }
+  // Opens a listener on a free loopback port.
   void Listen(FilterFactory filters = {}) {
     const auto listener = loop_.Listen("127.0.0.1:0", &server_, std::move(filters));
     ASSERT_TRUE(listener.has_value()) << Describe(listener.error());
     listener_ = *listener;
     address_ = "127.0.0.1:" + std::to_string(loop_.PortOf(listener_));
   }
-  // Both ends of a new connection.
+  // Opens a listener and establishes a connection to it.
   void Establish() {
     Listen();
     client_connection_ = loop_.Connect(address_, &client_);
--- a/tests/event_loop/event_loop_test.cpp
+++ b/tests/event_loop/event_loop_test.cpp
@@ -1,4 +1,4 @@
-// Establishing connections, timers and turns, signals, descriptors and child processes.
+// Tests of establishing connections, timers and turns, signals, descriptors and child processes.
 #include <fcntl.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -35,7 +35,7 @@
   EXPECT_FALSE(server_.last_peer.has_uid);
 }
 
-TEST_F(EventLoopTest, SendsWhatWasSentBeforeConnectionIsEstablished) {
+TEST_F(EventLoopTest, DeliversBytesSentBeforeConnectionIsEstablished) {
   Listen();
   const ConnId connection = loop_.Connect(address_, &client_, 77);
   EXPECT_EQ(connection, 77u);
@@ -46,13 +46,13 @@
   EXPECT_EQ(server_.received.begin()->second, "early");
 }
 
-TEST_F(EventLoopTest, RejectsAddressThatIsMalformed) {
+TEST_F(EventLoopTest, RejectsMalformedAddress) {
   const auto listener = loop_.Listen("nowhere", &server_);
   ASSERT_FALSE(listener.has_value());
   EXPECT_EQ(listener.error().code, EventLoopErrorCode::kInvalidAddress);
   EXPECT_EQ(Describe(listener.error()), "'nowhere': expected IP:PORT");
   const ConnId connection = loop_.Connect("nowhere", &client_);
-  EXPECT_TRUE(client_.closed.empty());  // not inside the call
+  EXPECT_TRUE(client_.closed.empty());  // not called inside Connect()
   ASSERT_TRUE(RunUntil([this] { return !client_.closed.empty(); }));
   EXPECT_EQ(client_.closed[connection], "'nowhere': expected IP:PORT");
 }
@@ -80,15 +80,15 @@
   Listen();
   loop_.PauseAccepting(listener_, true);
   loop_.Connect(address_, &client_);
-  ASSERT_TRUE(RunUntil([this] { return !client_.connected.empty(); }));  // the kernel has it
+  ASSERT_TRUE(RunUntil([this] { return !client_.connected.empty(); }));  // in the listen queue of the kernel
   RunSomeTurns();
   EXPECT_TRUE(server_.accepted.empty());
   loop_.PauseAccepting(listener_, false);
   EXPECT_TRUE(RunUntil([this] { return server_.accepted.size() == 1; }));
 }
 
-// The danger: without a descriptor the listener stays readable, and the loop would spin.
-TEST_F(EventLoopTest, ListenerPausesWhileThereIsNoDescriptor) {
+// Guards against a busy loop: without a free descriptor, the listener stays readable.
+TEST_F(EventLoopTest, ListenerPausesWhileDescriptorsAreExhausted) {
   Listen();
   loop_.Connect(address_, &client_);
   const int lowest_free = open("/dev/null", O_RDONLY | O_CLOEXEC);
@@ -107,7 +107,7 @@
   }));
   ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &usual), 0);
   EXPECT_TRUE(server_.accepted.empty());
-  EXPECT_LE(turns, 30);  // those of the test's own timer
+  EXPECT_LE(turns, 30);  // turns caused by the test's own timer
   EXPECT_TRUE(RunUntil([this] { return server_.accepted.size() == 1; }));
 }
 
@@ -167,7 +167,7 @@
   ASSERT_EQ(write(ends[1], "abc", 3), 3);
   ASSERT_TRUE(RunUntil([&calls] { return calls == 2; }));
   RunSomeTurns();
-  EXPECT_EQ(calls, 2);  // one byte is left
+  EXPECT_EQ(calls, 2);  // one byte remains unread
   close(ends[0]);
   close(ends[1]);
 }
--- a/tests/event_loop/event_loop_traffic_test.cpp
+++ b/tests/event_loop/event_loop_traffic_test.cpp
@@ -1,4 +1,4 @@
-// Reading, writing and closing connections: bounds, order and what each end sees.
+// Tests of reading, writing and closing connections: bounds, order and the events at each end.
 #include "tests/event_loop/event_loop_fixture.hpp"
 
 namespace mountflow::event_loop {
@@ -26,7 +26,7 @@
   EXPECT_EQ(server_.largest_read, 10u);
 }
 
-TEST_F(EventLoopTraffic, SeesPeerCloseWhileBytesWaitUnread) {
+TEST_F(EventLoopTraffic, DetectsPeerCloseWhileBytesAreUnread) {
   Establish();
   loop_.PauseReading(server_connection_, true);
   EXPECT_FALSE(loop_.PeerClosed(server_connection_));
@@ -39,7 +39,7 @@
   ASSERT_TRUE(RunUntil([this] { return !server_.closed.empty(); }));
   EXPECT_EQ(server_.received[server_connection_], "last words");
   EXPECT_EQ(server_.closed[server_connection_], "closed by peer");
-  EXPECT_TRUE(loop_.PeerClosed(server_connection_));  // gone
+  EXPECT_TRUE(loop_.PeerClosed(server_connection_));  // the connection no longer exists
 }
 
 // ---- Writing and closing ----
@@ -52,7 +52,7 @@
   EXPECT_EQ(loop_.UnsentBytes(connection), 1000u);
   loop_.Send(connection, "y");
   EXPECT_EQ(loop_.UnsentBytes(connection), 0u);
-  EXPECT_TRUE(client_.closed.empty());  // not inside the call
+  EXPECT_TRUE(client_.closed.empty());  // not called inside Send()
   ASSERT_TRUE(RunUntil([this] { return !client_.closed.empty(); }));
   EXPECT_EQ(client_.closed[connection], "does not read what is sent");
 }
@@ -99,7 +99,7 @@
   loop_.Send(client_connection_, "bytes");
   loop_.Close(client_connection_);
   loop_.Close(server_connection_);
-  loop_.Close(server_connection_);  // again changes nothing
+  loop_.Close(server_connection_);  // a second Close() has no effect
   RunSomeTurns();
   EXPECT_TRUE(server_.received.empty());
   EXPECT_TRUE(server_.closed.empty());
--- a/tests/event_loop/peer_credentials_test.cpp
+++ b/tests/event_loop/peer_credentials_test.cpp
@@ -1,4 +1,4 @@
-// Users of loopback connections.
+// Tests of finding the user of a loopback connection.
 #include "event_loop/peer_credentials.hpp"
 
 #include <arpa/inet.h>
@@ -10,7 +10,7 @@
 namespace mountflow::event_loop {
 namespace {
 
-TEST(PeerCredentials, KnowsUserOfLoopbackConnection) {
+TEST(PeerCredentials, FindsUserOfLoopbackConnection) {
   const int listener = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -30,7 +30,7 @@
   close(listener);
 }
 
-TEST(PeerCredentials, KnowsNothingOfSocketThatIsNotConnected) {
+TEST(PeerCredentials, FindsNoUserOfUnconnectedSocket) {
   const int unconnected = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   EXPECT_EQ(PeerUid(unconnected), std::nullopt);
   close(unconnected);
--- a/tests/event_loop/timer_queue_test.cpp
+++ b/tests/event_loop/timer_queue_test.cpp
@@ -1,4 +1,4 @@
-// The order of timers.
+// Tests of the order of timers.
 #include "event_loop/timer_queue.hpp"
 
 #include <gtest/gtest.h>
@@ -45,7 +45,7 @@
   queue_.Cancel(99);
   queue_.RunDue(10);
   EXPECT_EQ(ran_, Names{"remaining"});
-  queue_.Cancel(2);  // has run
+  queue_.Cancel(2);  // has run already
   EXPECT_EQ(queue_.NextDue(), kNever);
 }
 
--- a/tests/event_loop/write_buffer_test.cpp
+++ b/tests/event_loop/write_buffer_test.cpp
@@ -1,4 +1,4 @@
-// The write buffer, over a pair of connected sockets.
+// Tests of the write buffer over a pair of connected sockets.
 #include "event_loop/write_buffer.hpp"
 
 #include <fcntl.h>
@@ -20,7 +20,7 @@
     close(sockets_[0]);
     if (sockets_[1] >= 0) close(sockets_[1]);
   }
-  // All that the other end can read now.
+  // Returns all bytes that the other end can read at present.
   std::string ReadAll() {
     std::string all;
     char piece[4096];
@@ -44,7 +44,7 @@
   EXPECT_EQ(ReadAll(), "one two");
 }
 
-TEST_F(WriteBufferTest, KeepsWhatFullSocketDoesNotTake) {
+TEST_F(WriteBufferTest, KeepsBytesThatFullSocketDoesNotAccept) {
   std::string sent;
   for (unsigned i = 0; sent.size() < (8u << 20); ++i) sent += std::to_string(i) + ",";
   buffer_.tail()->append(sent);
--- a/tests/logging/event_table_test.cpp
+++ b/tests/logging/event_table_test.cpp
@@ -1,4 +1,5 @@
-// The table of log events, and its copy in docs/on-call.md. MOUNTFLOW_RECORD_GOLDEN=1 writes the copy anew.
+// Tests of the table of log events and of its copy in docs/on-call.md. With MOUNTFLOW_RECORD_GOLDEN=1,
+// rewrites the copy.
 #include "logging/event_table.hpp"
 
 #include <gtest/gtest.h>
@@ -26,7 +27,7 @@
          });
 }
 
-TEST(EventTable, EachEventHasARowOfItsOwn) {
+TEST(EventTable, EachEventHasItsOwnRow) {
   for (std::size_t i = 0; i < kLogEventCount; ++i) {
     const auto event = static_cast<LogEvent>(i);
     EXPECT_EQ(InfoOf(event).event, event);
@@ -64,14 +65,14 @@
   }
 }
 
-TEST(EventTable, HasFieldKnowsTheFieldsOfARowAlone) {
+TEST(EventTable, HasFieldAcceptsOnlyTheFieldsOfTheRow) {
   EXPECT_TRUE(HasField(LogEvent::kLost, kAttemptField));
   EXPECT_FALSE(HasField(LogEvent::kLost, kUserField));
   EXPECT_FALSE(HasField(LogEvent::kLost, ""));
   EXPECT_FALSE(HasField(LogEvent::kShutdownStarted, kReasonField));
 }
 
-TEST(EventTable, MarkdownHasARowAnEvent) {
+TEST(EventTable, MarkdownHasOneRowPerEvent) {
   const std::string table = EventTableMarkdown();
   EXPECT_EQ(std::count(table.begin(), table.end(), '\n'), kLogEventCount + 2);
   EXPECT_NE(table.find("| `deleted` | mountflowd | info | `job`, `user` | a user or the operator deleted the "
--- a/tests/logging/log_record_test.cpp
+++ b/tests/logging/log_record_test.cpp
@@ -1,4 +1,4 @@
-// Records as lines of key=value.
+// Tests of the key=value form of log records.
 #include "logging/log_record.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
   return FormatKeyValue({LogEvent::kClientConnectionClosed, {{logging::kReasonField, reason}}});
 }
 
-TEST(LogRecord, EventWithoutFieldsIsItsNameAlone) {
+TEST(LogRecord, EventWithoutFieldsHasOnlyItsName) {
   EXPECT_EQ(FormatKeyValue({LogEvent::kShutdownFinished}), "event=shutdown_finished");
 }
 
--- a/tests/support/tls_fixture.hpp
+++ b/tests/support/tls_fixture.hpp
@@ -1,4 +1,4 @@
-// Certificates made for a test: a CA and leaves with chosen names and times.
+// Certificates for tests: a CA, and leaf certificates with given names and validity periods.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_TLS_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_TLS_FIXTURE_HPP_
 
@@ -14,9 +14,9 @@
 
 namespace mountflow::testing {
 
-constexpr long kCertificateDay = 86'400;
+constexpr long kCertificateDay = 86'400;  // seconds
 
-// A CA with a directory of its own for files, removed at the end.
+// A CA that writes its files to a temporary directory, which it removes on destruction.
 class Authority {
  public:
   explicit Authority(const std::string& name = "test CA") {
@@ -37,8 +37,8 @@
 
   std::string File(const std::string& name) const { return directory_ + "/" + name; }
   std::string ca() const { return File("ca.pem"); }
-  // Writes NAME.pem and NAME.key. `alternative_name`: "IP:127.0.0.1" or "DNS:registry"; empty: none. Times in
-  // seconds from now.
+  // Issues a certificate and writes NAME.pem and NAME.key. `alternative_name` is the subject alternative
+  // name, such as "IP:127.0.0.1" or "DNS:registry"; none if empty. Times are in seconds from now.
   void Issue(const std::string& name, const std::string& alternative_name, long not_before = -3600,
              long not_after = 365 * kCertificateDay) {
     EVP_PKEY* key = EVP_EC_gen("P-256");
--- a/tests/support/tls_session_fixture.hpp
+++ b/tests/support/tls_session_fixture.hpp
@@ -1,4 +1,4 @@
-// TLS sessions joined through memory.
+// Pairs of TLS sessions that exchange bytes in memory.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_TLS_SESSION_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_TLS_SESSION_FIXTURE_HPP_
 
@@ -13,7 +13,8 @@
 
 namespace mountflow::testing {
 
-// The CA's file and the files of NAME, as issued; no certificate for an empty name.
+// Returns options with the CA file and the files that Authority::Issue wrote for `name`. If `name` is empty,
+// they contain no certificate.
 inline tls::Options TlsOptionsOf(const Authority& authority, const std::string& name, bool with_ca = true) {
   tls::Options options;
   if (with_ca) options.ca = authority.ca();
@@ -24,9 +25,9 @@
   return options;
 }
 
-constexpr std::size_t kNotCut = std::size_t{1} << 20;
+constexpr std::size_t kWholeMessage = std::size_t{1} << 20;
 
-// A client's and a server's session, joined by strings.
+// A client session and a server session, connected by in-memory byte queues.
 struct SessionPair {
   std::unique_ptr<event_loop::ConnectionFilter> client;
   std::unique_ptr<event_loop::ConnectionFilter> server;
@@ -35,8 +36,8 @@
   std::string server_received;
   std::string client_received;
 
-  // Passes bytes both ways, at most `piece_size` at a time, until there are none.
-  void Exchange(std::size_t piece_size = kNotCut) {
+  // Passes bytes in both directions, at most `piece_size` at a time, until none are pending.
+  void Exchange(std::size_t piece_size = kWholeMessage) {
     constexpr int kMaxRounds = 100'000;
     for (int i = 0; i < kMaxRounds && !(to_server.empty() && to_client.empty()); ++i) {
       PassPiece(&to_server, server.get(), &server_received, &to_client, piece_size);
@@ -51,9 +52,9 @@
   }
 };
 
-// New sessions after their handshake, whether that succeeded or not.
+// Creates two sessions and runs their handshake, which may have failed on return.
 inline SessionPair Handshake(tls::Context& client, tls::Context& server, const std::string& host,
-                             std::size_t piece_size = kNotCut) {
+                             std::size_t piece_size = kWholeMessage) {
   SessionPair pair;
   pair.client = client.NewSession(host);
   pair.server = server.NewSession("");
@@ -63,7 +64,7 @@
   return pair;
 }
 
-// A client's and a server's context with their files loaded.
+// A client context and a server context with their files loaded.
 struct ContextPair {
   tls::Context client;
   tls::Context server;
--- a/tests/tls/tls_keys_test.cpp
+++ b/tests/tls/tls_keys_test.cpp
@@ -1,4 +1,4 @@
-// tls::Keys: key files on disk.
+// Tests of tls::Keys, which loads key files from disk.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -37,9 +37,9 @@
   EXPECT_NE(keys.Session(""), nullptr);
   keys.Poll(1010 * kSecond);
   EXPECT_TRUE(keys.TakeWarnings().empty());
-  std::filesystem::remove(authority.File("server.key"));  // so that the new one has another inode or time
+  std::filesystem::remove(authority.File("server.key"));  // gives the new file another inode or time
   authority.Issue("server", "IP:127.0.0.1");
-  keys.Poll(1011 * kSecond);  // not due yet
+  keys.Poll(1011 * kSecond);  // no check is due yet
   EXPECT_TRUE(keys.TakeWarnings().empty());
   keys.CheckNow();
   keys.Poll(1011 * kSecond);
--- a/tests/tls/tls_renewal_test.cpp
+++ b/tests/tls/tls_renewal_test.cpp
@@ -1,4 +1,4 @@
-// tls::Renewal: when files are loaded again, and warnings of certificates that expire.
+// Tests of tls::Renewal: when files are reloaded, and warnings of expiring certificates.
 #include <gtest/gtest.h>
 
 #include "tls/renewal.hpp"
@@ -48,14 +48,14 @@
   EXPECT_EQ(warnings(expiry - 60 * kDay, expiry), 0u);
   EXPECT_EQ(warnings(expiry - 30 * kDay, expiry), 1u);
   EXPECT_EQ(warnings(expiry - 29 * kDay, expiry), 0u);
-  EXPECT_EQ(warnings(expiry - 2 * kDay, expiry), 1u);  // checked late: one line, not three
+  EXPECT_EQ(warnings(expiry - 2 * kDay, expiry), 1u);  // a late check: one warning, not three
   EXPECT_EQ(warnings(expiry - kDay, expiry), 1u);
   EXPECT_EQ(warnings(expiry - 10, expiry), 0u);
   EXPECT_EQ(warnings(expiry, expiry), 1u);
   EXPECT_EQ(warnings(expiry + kDay / 2, expiry), 0u);
   EXPECT_EQ(warnings(expiry + kDay, expiry), 1u);
   EXPECT_EQ(warnings(expiry + 3 * kDay, expiry), 1u);
-  EXPECT_EQ(warnings(expiry + 3 * kDay, expiry + 100 * kDay), 0u);  // renewed
+  EXPECT_EQ(warnings(expiry + 3 * kDay, expiry + 100 * kDay), 0u);  // the certificate was renewed
   EXPECT_EQ(warnings(expiry + 72 * kDay, expiry + 100 * kDay), 1u);
 }
 
--- a/tests/tls/tls_session_test.cpp
+++ b/tests/tls/tls_session_test.cpp
@@ -1,4 +1,4 @@
-// TLS sessions over memory: which certificates are accepted, loading of key files.
+// Tests of TLS sessions in memory: the certificates that they accept, and the loading of key files.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -13,7 +13,7 @@
 using tls::Options;
 using tls::TlsErrorCode;
 
-TEST(Tls, CarriesBytesBothWaysHoweverTheyAreCut) {
+TEST(Tls, CarriesBytesBothWaysInPiecesOfAnySize) {
   Authority authority;
   authority.Issue("server", "IP:127.0.0.1");
   authority.Issue("client", "");
@@ -62,7 +62,7 @@
     ContextPair contexts(std::move(client), std::move(server));
     SessionPair pair = Handshake(contexts.client, contexts.server, "127.0.0.1");
     EXPECT_FALSE(pair.client->ready());
-    EXPECT_FALSE(pair.server->ready());  // it received an alert
+    EXPECT_FALSE(pair.server->ready());  // it received the client's alert
     EXPECT_FALSE(pair.client->Send("secret", &pair.to_server));
     EXPECT_TRUE(pair.to_server.empty());
     return pair.client->error();
@@ -91,11 +91,11 @@
   for (ContextPair* contexts : {&without_certificate, &foreign}) {
     SessionPair pair = Handshake(contexts->client, contexts->server, "127.0.0.1");
     EXPECT_FALSE(pair.server->ready());
-    EXPECT_FALSE(pair.client->error().empty());  // by the server's alert, after its own part was done
+    EXPECT_FALSE(pair.client->error().empty());  // from the server's alert, after its own handshake
   }
 }
 
-TEST(Tls, BytesThatAreNoTlsEndTheSession) {
+TEST(Tls, BytesThatAreNotTlsFailTheSession) {
   Authority authority;
   authority.Issue("server", "IP:127.0.0.1");
   ContextPair contexts(TlsOptionsOf(authority, ""), TlsOptionsOf(authority, "server", false));
@@ -113,7 +113,7 @@
   authority.Issue("server", "IP:127.0.0.1");
   ContextPair contexts(TlsOptionsOf(authority, ""), TlsOptionsOf(authority, "server", false));
   SessionPair pair = Handshake(contexts.client, contexts.server, "127.0.0.1");
-  // A certificate that is there before its key.
+  // The certificate is replaced before its key.
   const std::string key = authority.File("server.key");
   std::filesystem::copy_file(key, authority.File("old.key"));
   authority.Issue("server", "IP:127.0.0.1", -3600, 10 * kCertificateDay);
@@ -127,7 +127,7 @@
       Describe(mismatched.error()).find(key + ": expected the PEM key of " + authority.File("server.pem")),
       std::string::npos)
       << Describe(mismatched.error());
-  EXPECT_TRUE(Handshake(contexts.client, contexts.server, "127.0.0.1").client->ready());  // by the old ones
+  EXPECT_TRUE(Handshake(contexts.client, contexts.server, "127.0.0.1").client->ready());  // with the old keys
   std::filesystem::copy_file(authority.File("new.key"), key,
                              std::filesystem::copy_options::overwrite_existing);
   const tls::TlsStatus matching = contexts.server.Load();
