--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,9 +1,10 @@
-// The package in one header: the daemon's configuration, and what other programs read theirs with.
+// Includes the whole package: the daemon's configuration, and the functions with which other programs read
+// theirs.
 //
-// A text becomes a configuration in steps, one module each: JSON (json_text.hpp), the check against a schema
-// (schema_check.hpp), the scheduler's settings (scheduler_settings.hpp) by way of the settings text
-// (settings_text.hpp), and the other sections (sections.hpp), all called by daemon_loader.hpp. Functions keep
-// no state and may be called from any thread.
+// A text is converted to a configuration in steps, each in its own file: JSON parsing (json_text.hpp), the
+// check against a schema (schema_check.hpp), the scheduler's settings (scheduler_settings.hpp), which are
+// converted to settings text (settings_text.hpp), and the other sections (sections.hpp). daemon_loader.hpp
+// runs all steps. The functions keep no state and may be called from any thread.
 #ifndef MOUNTFLOW_CONFIG_CONFIG_HPP_
 #define MOUNTFLOW_CONFIG_CONFIG_HPP_
 
--- a/src/config/daemon_loader.cpp
+++ b/src/config/daemon_loader.cpp
@@ -17,11 +17,11 @@
 
 constexpr char kDefaultsName[] = "embedded defaults";
 
-// The scheduler's settings have defaults only as a whole: half of one deployment's and half of another's
-// would describe neither.
+// The default settings apply only as a whole: a mixture of the settings of two deployments would describe
+// neither of them.
 void AddDefaultSettings(json* root) {
   if (root->contains("settings")) return;
-  // The embedded defaults are valid, as a test checks.
+  // The embedded defaults are valid JSON; a test checks this.
   (*root)["settings"] = json::parse(kDefaultDaemon, nullptr, true, true)["settings"];
 }
 
@@ -55,7 +55,7 @@
   DecodeNodeSessionLimits(section, &config->node_sessions);
 }
 
-// Needs the storage section, which is decoded before.
+// The storage section must have been decoded before.
 void DecodeBillingSection(const SectionReader& section, DaemonConfig* config) {
   config->billing.enabled = true;
   config->billing.rules = DecodeBilling(section);
@@ -64,17 +64,17 @@
   }
 }
 
-// What sections say for the options of another one.
+// Applies values of one section to the options of another.
 void ApplyAcrossSections(DaemonConfig* config) {
   job_manager::JobManagerOptions* job_manager = &config->job_manager;
-  // Until the registry has answered, nothing is known of the other daemons, whatever the settings say.
+  // The index of this daemon is unknown until the registry has replied, regardless of the settings.
   if (config->group.from_registry) job_manager->settings.self_index = -1;
   if (job_manager->settings.client_wait != 0) {
     job_manager->repeats.reconciliation_wait = job_manager->settings.client_wait;
   }
 }
 
-// Sections in the order in which their errors are reported.
+// Decodes the sections in the order in which their errors are reported.
 DaemonConfig DecodeDocument(const SectionReader& document, job_manager::JobManagerOptions job_manager) {
   DaemonConfig config;
   config.job_manager = std::move(job_manager);
--- a/src/config/daemon_loader.hpp
+++ b/src/config/daemon_loader.hpp
@@ -1,4 +1,5 @@
-// Loads the daemon's configuration: reads, checks it against the schema, and decodes it section by section.
+// Loads the daemon's configuration: reads it, checks it against the schema, and decodes it section by
+// section.
 #ifndef MOUNTFLOW_CONFIG_DAEMON_LOADER_HPP_
 #define MOUNTFLOW_CONFIG_DAEMON_LOADER_HPP_
 
@@ -10,13 +11,13 @@
 
 namespace mountflow::config {
 
-// All errors that one pass finds: an unreadable file, malformed JSON, violations of the schema and invalid
-// settings each end the pass, the checks of sections do not.
+// A configuration, or all errors that one pass finds. An unreadable file, malformed JSON, schema violations
+// and invalid settings each end the pass; errors in single sections do not.
 using DaemonConfigResult = tl::expected<DaemonConfig, ConfigErrors>;
 
-// An empty name stands for the embedded defaults.
+// Loads the configuration from a file. An empty name selects the embedded defaults.
 [[nodiscard]] DaemonConfigResult LoadDaemon(const std::string& file);
-// `name`: of the text, in errors.
+// Loads the configuration from a text. `name` identifies the text in errors.
 [[nodiscard]] DaemonConfigResult ParseDaemon(const std::string& text, const std::string& name);
 
 }  // namespace mountflow::config
--- a/src/config/json_text.cpp
+++ b/src/config/json_text.cpp
@@ -10,8 +10,8 @@
 
 using nlohmann::json;
 
-// What the parser says without its own account of the position, which counts bytes.
-std::string Finding(const json::parse_error& error) {
+// Returns the parser's message without its position, which is given as a byte offset.
+std::string ParserMessage(const json::parse_error& error) {
   const std::string text = error.what();
   const std::size_t separator = text.find("- ");
   return separator == std::string::npos ? text : text.substr(separator + 2);
@@ -23,14 +23,14 @@
   malformed.file = name;
   malformed.line = 1;
   malformed.column = 1;
-  // `byte` counts from 1 and is the byte at which the parser stopped; it may lie behind the end.
+  // `byte` is the 1-based position at which the parser stopped; it may lie beyond the end of the text.
   for (std::size_t i = 0; i + 1 < error.byte && i < text.size(); ++i) {
     const bool ends_line = text[i] == '\n';
     malformed.column = ends_line ? 1 : malformed.column + 1;
     if (ends_line) ++malformed.line;
   }
   malformed.expected = "JSON";
-  malformed.found = Finding(error);
+  malformed.found = ParserMessage(error);
   return malformed;
 }
 
--- a/src/config/json_text.hpp
+++ b/src/config/json_text.hpp
@@ -1,4 +1,4 @@
-// Reads files and JSON with comments.
+// Reading of files and of JSON with comments.
 #ifndef MOUNTFLOW_CONFIG_JSON_TEXT_HPP_
 #define MOUNTFLOW_CONFIG_JSON_TEXT_HPP_
 
@@ -9,10 +9,11 @@
 
 namespace mountflow::config {
 
-// The whole file, else kUnreadableFile.
+// Returns the contents of the file, or kUnreadableFile.
 [[nodiscard]] ConfigResult<std::string> ReadFile(const std::string& file);
 
-// Line and block comments are allowed; else kMalformedJson. `name` is the file in errors.
+// Parses JSON with line and block comments. Returns kMalformedJson if the text is not valid. `name`
+// identifies the text in errors.
 [[nodiscard]] ConfigResult<nlohmann::json> ParseJson(const std::string& text, const std::string& name);
 
 }  // namespace mountflow::config
--- a/src/config/scheduler_settings.hpp
+++ b/src/config/scheduler_settings.hpp
@@ -1,4 +1,4 @@
-// Decodes the section "settings": what a deployment states about itself, by the keys of the settings text.
+// Decodes the section "settings": the description of a deployment, with the keys of the settings text.
 #ifndef MOUNTFLOW_CONFIG_SCHEDULER_SETTINGS_HPP_
 #define MOUNTFLOW_CONFIG_SCHEDULER_SETTINGS_HPP_
 
@@ -7,8 +7,9 @@
 
 namespace mountflow::config {
 
-// The scheduler's settings, and the names and deadlines of what they number; else kInvalidSetting. The schema
-// guarantees at least one class, and a name and a deadline for each. All other options are at their defaults.
+// Returns the scheduler's settings, and the names and deadlines of the classes, tenants, node kinds and zones
+// that they number; kInvalidSetting if the settings are invalid. The schema guarantees at least one class,
+// and a name and a deadline for each class. All other options have their default values.
 [[nodiscard]] ConfigResult<job_manager::JobManagerOptions> DecodeSchedulerSettings(
     const SectionReader& section);
 
--- a/src/config/schema_check.cpp
+++ b/src/config/schema_check.cpp
@@ -10,7 +10,7 @@
 namespace mountflow::config {
 namespace {
 
-// The validator's path has "<root>" first and each member or index as "[name]".
+// The validator's path begins with "<root>" and has each member or index as "[name]".
 std::string PointerOf(const std::vector<std::string>& path) {
   std::string pointer;
   for (const std::string& part : path) {
--- a/src/config/schema_check.hpp
+++ b/src/config/schema_check.hpp
@@ -1,4 +1,4 @@
-// Checks JSON values against a JSON schema.
+// Validation of JSON values against a JSON schema.
 #ifndef MOUNTFLOW_CONFIG_SCHEMA_CHECK_HPP_
 #define MOUNTFLOW_CONFIG_SCHEMA_CHECK_HPP_
 
@@ -9,8 +9,9 @@
 
 namespace mountflow::config {
 
-// kSchemaViolation for each place that the schema does not allow, the outermost last; empty: valid. `schema`
-// is JSON with comments and must be a valid schema; `name` is the file in errors.
+// Returns a kSchemaViolation for each value that violates the schema, the outermost value last; empty if the
+// value is valid. `schema` is JSON with comments and must be a valid schema. `name` identifies the value's
+// file in errors.
 [[nodiscard]] ConfigErrors CheckSchema(const nlohmann::json& value, const char* schema,
                                        const std::string& name);
 
--- a/src/config/section_reader.hpp
+++ b/src/config/section_reader.hpp
@@ -1,5 +1,5 @@
-// Reads one section of a configuration that the schema has found valid: an absent key leaves its field at the
-// default.
+// Reads one section of a configuration that has passed the schema check. An absent key leaves its field
+// unchanged, at the default.
 #ifndef MOUNTFLOW_CONFIG_SECTION_READER_HPP_
 #define MOUNTFLOW_CONFIG_SECTION_READER_HPP_
 
@@ -13,29 +13,30 @@
 
 namespace mountflow::config {
 
-// A view of a JSON object, which must outlive it, and of the list that its errors go to.
+// Reads the fields of a JSON object and appends errors to a list. The object and the list must outlive the
+// reader.
 class SectionReader {
  public:
-  // `pointer`: of the section; empty for the whole document.
+  // `pointer` is the JSON pointer to the section; empty for the whole document.
   SectionReader(const nlohmann::json& section, std::string file, std::string pointer, ConfigErrors* errors)
       : section_(section), file_(std::move(file)), pointer_(std::move(pointer)), errors_(errors) {}
 
   [[nodiscard]] bool Has(const char* key) const { return section_.contains(key); }
-  // The section under a key that is there.
+  // Returns the section under a key, which must be present.
   [[nodiscard]] SectionReader Section(const char* key) const {
     return {section_[key], file_, pointer_ + "/" + key, errors_};
   }
-  // The sections of a list of objects; none where the key is absent.
+  // Returns a reader for each object of a list; none if the key is absent.
   [[nodiscard]] std::vector<SectionReader> Items(const char* key) const;
 
   template <typename T>
   void Read(const char* key, T* field) const {
     if (Has(key)) section_[key].get_to(*field);
   }
-  // Seconds, which may have a fraction.
+  // Reads a number of seconds, which may have a fraction, into a field in microseconds.
   void ReadSeconds(const char* key, Micros* field) const;
 
-  // `relative_pointer`: "/KEY", or empty for the section itself.
+  // Adds a kInvalidValue error. `relative_pointer` is "/KEY", or empty for the section itself.
   void AddError(const std::string& relative_pointer, std::string expected) const;
   void AddError(ConfigError error) const { errors_->push_back(std::move(error)); }
 
--- a/src/config/sections.hpp
+++ b/src/config/sections.hpp
@@ -1,5 +1,5 @@
-// Decodes the sections of the daemon's configuration, one function a section and struct. The sections must
-// have been found valid by the schema; what the schema cannot express is checked here.
+// Decodes the sections of the daemon's configuration, with one function for each section and struct. The
+// sections must have passed the schema check; conditions that the schema cannot express are checked here.
 #ifndef MOUNTFLOW_CONFIG_SECTIONS_HPP_
 #define MOUNTFLOW_CONFIG_SECTIONS_HPP_
 
@@ -8,25 +8,25 @@
 
 namespace mountflow::config {
 
-// "listen", without "report_to", which is of the node sessions.
+// Decodes "listen" except "report_to", which belongs to the node sessions.
 [[nodiscard]] ListenConfig DecodeListen(const SectionReader& section);
-// "list", without "tls" and "snapshot".
+// Decodes "list" except "tls" and "snapshot".
 [[nodiscard]] discovery::ClientOptions DecodeNodeList(const SectionReader& section);
-// "group"
+// Decodes "group".
 [[nodiscard]] GroupConfig DecodeGroup(const SectionReader& section);
-// "limits" of three packages.
+// Decode the limits of three packages from "limits".
 void DecodeJobManagerLimits(const SectionReader& section, job_manager::JobManagerOptions* options);
 void DecodePbsServerLimits(const SectionReader& section, pbs_server::PbsServerOptions* options);
 void DecodeNodeSessionLimits(const SectionReader& section, node_sessions::NodeSessionOptions* options);
-// "door"
+// Decodes "door".
 [[nodiscard]] admission::AdmissionOptions DecodeAdmission(const SectionReader& section);
-// "repeats"
+// Decodes "repeats".
 [[nodiscard]] retry::RetryPolicy DecodeRetryPolicy(const SectionReader& section);
-// "log"
+// Decodes "log".
 [[nodiscard]] LogConfig DecodeLog(const SectionReader& section);
-// "storage"
+// Decodes "storage".
 [[nodiscard]] StorageConfig DecodeStorage(const SectionReader& section);
-// "billing"
+// Decodes "billing".
 [[nodiscard]] ledger::BillingRules DecodeBilling(const SectionReader& section);
 
 }  // namespace mountflow::config
--- a/src/config/settings_text.cpp
+++ b/src/config/settings_text.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-// Holds any double with 17 digits, which give the same double when they are read.
+// Large enough for any double with 17 significant digits, which are enough to read back the same double.
 constexpr std::size_t kMaxNumberLength = 40;
 
 std::string ScalarText(const json& value) {
@@ -23,7 +23,7 @@
   } else {
     text = value.dump();
   }
-  // Separators of the settings text.
+  // Replaces the separators of the settings text.
   for (char& character : text) {
     if (character == ' ' || character == ',' || character == '\n') character = '_';
   }
--- a/src/config/settings_text.hpp
+++ b/src/config/settings_text.hpp
@@ -1,5 +1,5 @@
-// The scheduler's settings as the text that settings/settings.hpp reads, so that the configuration and the
-// other protocols share one table of keys.
+// Converts the scheduler's settings to the text format of settings/settings.hpp, so that the configuration
+// and the other protocols share one table of keys.
 #ifndef MOUNTFLOW_CONFIG_SETTINGS_TEXT_HPP_
 #define MOUNTFLOW_CONFIG_SETTINGS_TEXT_HPP_
 
@@ -8,8 +8,8 @@
 
 namespace mountflow::config {
 
-// {"a":{"b":[1,2]}} as the line "a.b=1,2"; a list of objects as "a.count=N" and "a.0.NAME=..." and so on. In
-// values, spaces, commas and line ends become "_".
+// Converts {"a":{"b":[1,2]}} to the line "a.b=1,2", and a list of objects to "a.count=N", "a.0.NAME=..." and
+// so on. Spaces, commas and line ends in values become "_".
 [[nodiscard]] std::string ToSettingsText(const nlohmann::json& value);
 
 }  // namespace mountflow::config
--- a/src/config/state_folder.cpp
+++ b/src/config/state_folder.cpp
@@ -3,7 +3,7 @@
 namespace mountflow::config {
 namespace {
 
-// The specification of the XDG base directories: a path that is not absolute is to be ignored.
+// The XDG base directory specification requires that paths that are not absolute are ignored.
 bool IsAbsolute(const char* path) { return path != nullptr && path[0] == '/'; }
 
 }  // namespace
--- a/src/config/state_folder.hpp
+++ b/src/config/state_folder.hpp
@@ -1,4 +1,4 @@
-// Where state is stored when the configuration names no folder.
+// The default folder for stored state, used if the configuration names none.
 #ifndef MOUNTFLOW_CONFIG_STATE_FOLDER_HPP_
 #define MOUNTFLOW_CONFIG_STATE_FOLDER_HPP_
 
@@ -6,8 +6,8 @@
 
 namespace mountflow::config {
 
-// mountflow/NAME in $XDG_STATE_HOME, else in ~/.local/state; null pointers stand for variables that are not
-// set. Empty when neither variable is an absolute path. The folder is not created.
+// Returns the path of mountflow/NAME in $XDG_STATE_HOME, or else in ~/.local/state. Null pointers represent
+// unset variables. Returns an empty path if neither variable is an absolute path. The folder is not created.
 [[nodiscard]] std::string StateFolder(const char* xdg_state_home, const char* home, const std::string& name);
 
 }  // namespace mountflow::config
--- a/src/config/tls_section.hpp
+++ b/src/config/tls_section.hpp
@@ -1,4 +1,4 @@
-// The section of key files that several configurations have.
+// Decodes the section of TLS key files that several configurations have.
 #ifndef MOUNTFLOW_CONFIG_TLS_SECTION_HPP_
 #define MOUNTFLOW_CONFIG_TLS_SECTION_HPP_
 
@@ -10,8 +10,8 @@
 
 namespace mountflow::config {
 
-// {"ca", "certificate", "key", "name"}, at `pointer` of `file`; kInvalidValue when only one of certificate
-// and key is there. Whether the files can be loaded is not checked.
+// Reads {"ca", "certificate", "key", "name"} at `pointer` of `file`. Returns kInvalidValue if only one of
+// certificate and key is present. Does not check whether the files can be loaded.
 [[nodiscard]] ConfigResult<tls::Options> ReadTls(const nlohmann::json& section, const std::string& file,
                                                  const std::string& pointer);
 
--- a/src/daemon/batch_connections.cpp
+++ b/src/daemon/batch_connections.cpp
@@ -28,8 +28,8 @@
   if (held_replies_->HoldsBatchConnection(connection)) return;
   std::string* output = pbs_server_->OutputOf(connection);
   if (output == nullptr) return;
-  // The kernel and the event loop take a first part. The rest stays with the session and counts against its
-  // bound.
+  // The event loop takes output only when it has no unsent bytes of the connection. Other output stays in the
+  // session and counts towards the session's limit.
   if (loop_->UnsentBytes(connection) == 0 && !output->empty()) {
     loop_->Send(connection, std::exchange(*output, {}));
   }
--- a/src/daemon/batch_connections.hpp
+++ b/src/daemon/batch_connections.hpp
@@ -1,7 +1,8 @@
-// Carries the sessions of the PBS server over the event loop.
+// Connects the sessions of the PBS server to TCP connections of the event loop.
 //
-// Bounds: kMaxBatchConnections at a time, further ones are reset. What a peer does not read stays with its
-// session, which then is not read either (pbs_server/pbs_server.hpp).
+// At most kMaxBatchConnections connections are open at a time; further ones are reset. Output that a peer
+// does not read stays in its session, and the daemon stops reading from that connection until the output has
+// been taken (see pbs_server/pbs_server.hpp).
 #ifndef MOUNTFLOW_DAEMON_BATCH_CONNECTIONS_HPP_
 #define MOUNTFLOW_DAEMON_BATCH_CONNECTIONS_HPP_
 
@@ -18,17 +19,19 @@
 
 inline constexpr std::size_t kMaxBatchConnections = 16'384;
 
-// Not thread-safe: used by the event loop's thread alone. The pointers must outlive it.
+// Accepts batch connections, passes received bytes to the PBS server and sends its output. Not thread-safe:
+// may be used by the event loop's thread only. All pointers must outlive this object.
 class BatchConnections : public event_loop::ConnectionHandler {
  public:
   BatchConnections(event_loop::EventLoop* loop, pbs_server::PbsServer* pbs_server, HeldReplies* held_replies,
                    CpuProfile* profile)
       : loop_(loop), pbs_server_(pbs_server), held_replies_(held_replies), profile_(profile) {}
 
-  // Sends the output of a session, unless a turn that is not durable yet has output of it.
+  // Sends the output of a session. Does nothing while a turn that is not durable yet holds output of this
+  // session.
   void Flush(event_loop::ConnId connection);
-  // With durable state: sends output that refers to nothing stored, and holds all other until its turn is
-  // durable.
+  // Used with durable state. Sends the session's output at once if it does not depend on stored state;
+  // otherwise holds it until the current turn is durable.
   void FlushOrHold(event_loop::ConnId connection);
 
   void OnAccepted(event_loop::ListenerId listener, event_loop::ConnId connection,
--- a/src/daemon/commit_signal.cpp
+++ b/src/daemon/commit_signal.cpp
@@ -23,7 +23,7 @@
 
 void CommitSignal::Notify() const {
   const std::uint64_t increment = 1;
-  // A failure means that the counter is at its maximum: the descriptor is readable already.
+  // A failure means that the counter has its maximum value; the descriptor is readable already.
   if (write(fd_, &increment, sizeof increment) < 0) return;
 }
 
--- a/src/daemon/commit_signal.hpp
+++ b/src/daemon/commit_signal.hpp
@@ -6,8 +6,8 @@
 
 namespace mountflow::daemon {
 
-// An eventfd: readable from the first Notify until the loop has read it. Must outlive the threads that
-// notify.
+// Wraps an eventfd that is readable from the first Notify() until the event loop has read it. Must outlive
+// the threads that call Notify().
 class CommitSignal {
  public:
   CommitSignal();
@@ -15,9 +15,10 @@
   CommitSignal(const CommitSignal&) = delete;
   CommitSignal& operator=(const CommitSignal&) = delete;
 
-  // Makes the loop take a turn after each Notify; its call after the turn looks at what was committed.
+  // Makes `loop` run a turn after each Notify(). The code that runs after the turn checks which commits have
+  // finished.
   void WatchFrom(event_loop::EventLoop* loop);
-  // Thread-safe.
+  // Wakes the event loop. Thread-safe.
   void Notify() const;
 
  private:
--- a/src/daemon/cpu_profile.hpp
+++ b/src/daemon/cpu_profile.hpp
@@ -1,4 +1,4 @@
-// CPU time of the daemon's parts, for `mountflowd --measure`.
+// CPU time used by the components of the daemon, for `mountflowd --measure`.
 #ifndef MOUNTFLOW_DAEMON_CPU_PROFILE_HPP_
 #define MOUNTFLOW_DAEMON_CPU_PROFILE_HPP_
 
@@ -6,11 +6,11 @@
 
 namespace mountflow::daemon {
 
-// CPU time of this process so far, in nanoseconds.
+// Returns the CPU time that this process has used so far, in nanoseconds.
 [[nodiscard]] std::uint64_t ProcessCpuNanoseconds();
 
-// Nanoseconds of the process's CPU time. A part includes the parts that it calls: the PBS server calls the
-// job manager, and the job manager calls the scheduler.
+// CPU time used by each component, in nanoseconds. The time of a component includes that of the components
+// that it calls: the PBS server calls the job manager, and the job manager calls the scheduler.
 struct CpuTimes {
   std::uint64_t pbs_server = 0;
   std::uint64_t node_sessions = 0;
@@ -19,13 +19,15 @@
   std::uint64_t process = 0;
 };
 
-// Counters of the parts. Not thread-safe: used by the event loop's thread alone.
+// Collects the CPU time of each component while enabled. Not thread-safe: may be used by the event loop's
+// thread only.
 struct CpuProfile {
   bool enabled = false;
   CpuTimes times;
 };
 
-// Adds the CPU time of its scope to a counter of an enabled profile.
+// Adds the CPU time used between its construction and its destruction to a counter of the profile. Does
+// nothing if the profile is not enabled.
 class ScopedCpuTimer {
  public:
   ScopedCpuTimer(CpuProfile* profile, std::uint64_t CpuTimes::*counter);
@@ -34,7 +36,7 @@
   ScopedCpuTimer& operator=(const ScopedCpuTimer&) = delete;
 
  private:
-  std::uint64_t* counter_;  // null: the profile is not enabled
+  std::uint64_t* counter_;  // null if the profile is not enabled
   std::uint64_t started_;
 };
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -9,12 +9,12 @@
 namespace mountflow::daemon {
 namespace {
 
-// Mixed into the configured seed, so that the parts draw different numbers.
+// XORed with the configured seed so that each component draws different random numbers.
 constexpr std::uint64_t kNodeListSeed = 0x6c697374;
 constexpr std::uint64_t kGroupMembersSeed = 0x6f746872;
 constexpr std::uint64_t kOwnEntrySeed = 0x6f776e;
 
-// The seed of the configuration; if it has none, a new one each time.
+// Returns the configured seed, or a new random seed if none is configured.
 std::uint64_t SeedOf(const config::DaemonConfig& config) {
   constexpr unsigned kBitsPerDraw = 32;
   if (config.seed != 0) return config.seed;
@@ -138,15 +138,15 @@
 void Daemon::PollGroup() {
   if (const std::optional<MembershipChange> change = group_->Poll()) {
     job_manager_.HandleMembershipChange(loop_->Now(), *change);
-    log_.FlushInfoAtOnce(true);  // changes of the group are rare, and operators wait for them
+    log_.FlushInfoAtOnce(true);  // group changes are rare, and operators wait for them
     DispatchOutputs(std::exchange(job_manager_.outputs(), {}));
     log_.FlushInfoAtOnce(false);
   }
   log_.WriteEach(logging::LogEvent::kGroupRegistry, group_->TakeWarnings());
 }
 
-// Passes messages between the parts until none has any left, then replies to the connections. Submissions are
-// admitted once a turn, after everything that came for jobs that are admitted already.
+// Passes messages between the components until none are left, and then delivers replies to the connections.
+// Submissions are admitted once per turn, after all messages for jobs that have already been admitted.
 void Daemon::ExchangeUntilQuiet() {
   bool admitted = false;
   for (;;) {
@@ -159,7 +159,7 @@
   }
 }
 
-// True when there was any message between the job manager and the other parts.
+// Returns true if there was any message between the job manager and the other components.
 bool Daemon::ExchangeMessages() {
   const std::vector<job_manager::Output> outputs = std::exchange(job_manager_.outputs(), {});
   DispatchOutputs(outputs);
@@ -170,14 +170,14 @@
   return !outputs.empty() || !messages.empty();
 }
 
-// True when any submission was admitted or rejected.
+// Returns true if any submission was admitted or rejected.
 bool Daemon::AdmitSubmissions() {
   const ScopedCpuTimer timer(&cpu_profile_, &CpuTimes::pbs_server);
   return pbs_server_.AdmitWaiting(loop_->Now());
 }
 
-// Sends the output of the PBS server's sessions, or holds it until the turn is durable. True when there may
-// be more.
+// Sends the output of the PBS server's sessions, or holds it until the turn is durable. Returns true if there
+// may be more output.
 bool Daemon::DeliverReplies() {
   const std::vector<pbs_server::PbsServer::ConnectionId> sessions = pbs_server_.TakeConnectionsWithOutput();
   if (!durable_state_.is_open()) {
@@ -240,7 +240,8 @@
 
 bool Daemon::IsShutdownComplete() const {
   if (!shutdown_deadline_) return false;
-  const bool has_queued_jobs = job_manager_.Count().queued > 0;  // with the scheduler, or in flight to a node
+  // Queued jobs wait for the scheduler or are in flight to a node.
+  const bool has_queued_jobs = job_manager_.Count().queued > 0;
   if (!has_queued_jobs && !durable_state_.HasHeldTurns()) return true;
   return loop_->Now() >= *shutdown_deadline_;
 }
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -1,9 +1,9 @@
-// The daemon of mountflowd: builds its parts and connects them on one event loop.
+// The daemon of mountflowd: creates its components and connects them to one event loop.
 //
-// The parts decide without I/O: the job manager (jobs, attempts, the scheduler), the PBS server and the HTTP
-// front (what clients ask), the node sessions (messages to nodes), the registry clients. Classes named
-// ...Connections carry their bytes. The daemon passes messages between them after each turn of the loop, and
-// decides nothing itself.
+// The components perform no I/O: the job manager (jobs, attempts, the scheduler), the PBS server and the HTTP
+// API (client requests), the node sessions (messages to nodes) and the registry clients. Classes named
+// ...Connections perform the I/O for them. The daemon passes messages between the components after each turn
+// of the event loop and makes no scheduling decisions itself.
 #ifndef MOUNTFLOW_DAEMON_DAEMON_HPP_
 #define MOUNTFLOW_DAEMON_DAEMON_HPP_
 
@@ -34,8 +34,9 @@
 
 namespace mountflow::daemon {
 
-// Not thread-safe: used by the event loop's thread alone, which must outlive it. Its fields are many because
-// it holds each part once; they are declared, and so built, in the order in which they use each other.
+// Runs one daemon. Not thread-safe: may be used by the event loop's thread only; the event loop must outlive
+// this object. The class has many fields because it owns one instance of each component. They are declared,
+// and therefore constructed, in the order in which they depend on each other.
 class Daemon {
  public:
   Daemon(event_loop::EventLoop* loop, config::DaemonConfig config, std::shared_ptr<spdlog::logger> logger);
@@ -43,19 +44,20 @@
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
 
-  // Loads the TLS keys, listens, and restores the stored state. After an error the daemon must not run.
+  // Loads the TLS keys, opens the listening sockets and restores the stored state. If it returns an error,
+  // the event loop must not be run.
   [[nodiscard]] DaemonStatus Start();
-  // Graceful shutdown: accepts no further jobs, waits for the final answers of those that are queued, for
-  // config.shutdown_timeout at most, then stops the loop.
+  // Begins a graceful shutdown: stops accepting jobs, waits until all queued jobs have their final answers,
+  // for at most config.shutdown_timeout, and then stops the event loop.
   void Stop();
-  // Loads the TLS key files again.
+  // Reloads the TLS key files.
   void ReloadKeys() { tls_keys_.CheckNow(); }
 
-  // Ports that Start listens on; 0 when it does not.
+  // The ports on which the daemon listens; 0 before Start() and for a disabled protocol.
   [[nodiscard]] int batch_port() const { return loop_->PortOf(batch_listener_); }
   [[nodiscard]] int http_port() const { return loop_->PortOf(http_listener_); }
 
-  // Counts the CPU time of the parts from now on.
+  // Starts measuring the CPU time of the components.
   void EnableCpuProfile();
   [[nodiscard]] CpuTimes cpu_times() const;
 
@@ -93,14 +95,14 @@
   // Registry.
   tls::Keys tls_keys_;  // for connections to the registry
   NodeListSource node_list_;
-  std::optional<RegistryGroup> group_;  // where the group comes from the registry
+  std::optional<RegistryGroup> group_;  // set if the group configuration comes from the registry
 
   // Protocols.
   pbs_server::PbsServer pbs_server_;
   HttpApi http_api_;
   node_sessions::NodeSessions node_sessions_;
 
-  // State on disk, and what waits for it.
+  // State on disk, and the replies that wait for commits.
   DurableState durable_state_;
   HeldReplies held_replies_;
 
@@ -112,7 +114,7 @@
   event_loop::ListenerId http_listener_ = 0;
 
   TurnCommitter turn_committer_;
-  std::optional<Micros> shutdown_deadline_;  // from Stop on
+  std::optional<Micros> shutdown_deadline_;  // set by Stop()
 };
 
 }  // namespace mountflow::daemon
--- a/src/daemon/daemon_error.hpp
+++ b/src/daemon/daemon_error.hpp
@@ -1,4 +1,4 @@
-// Errors that keep the daemon from starting.
+// Errors that prevent the daemon from starting.
 #ifndef MOUNTFLOW_DAEMON_DAEMON_ERROR_HPP_
 #define MOUNTFLOW_DAEMON_DAEMON_ERROR_HPP_
 
@@ -8,20 +8,20 @@
 namespace mountflow::daemon {
 
 enum class DaemonErrorCode {
-  kLogFile,  // cannot be opened
+  kLogFile,  // the log file cannot be opened
   kTlsKeys,  // the key files for the registry cannot be loaded
-  kListen,   // an address cannot be listened on
-  kStorage,  // the state directory cannot be opened, or a record in it is damaged or does not fit the
-             // configuration
+  kListen,   // a listening socket cannot be opened on an address
+  // The state directory cannot be opened, or a record in it is damaged or contradicts the configuration.
+  kStorage,
 };
 
 struct DaemonError {
   DaemonErrorCode code = DaemonErrorCode::kStorage;
-  std::string place;   // file, address or directory; empty when `detail` names it
-  std::string detail;  // what was expected, and what came
+  std::string place;   // file, address or directory; empty if `detail` contains it
+  std::string detail;  // the expected and the actual value or condition
 };
 
-// "PLACE: DETAIL".
+// Returns the error as "PLACE: DETAIL" for the log or the terminal.
 [[nodiscard]] std::string Describe(const DaemonError& error);
 
 using DaemonStatus = tl::expected<void, DaemonError>;
--- a/src/daemon/durable_state.cpp
+++ b/src/daemon/durable_state.cpp
@@ -23,7 +23,7 @@
   return {DaemonErrorCode::kStorage, place, detail};
 }
 
-// Hands the records of the jobs' log to the job manager and the ledger, up to the first that is not valid.
+// Passes the records of the jobs' log to the job manager and the ledger, until a record is invalid.
 class JobsReplay {
  public:
   JobsReplay(job_manager::JobManager* job_manager, UsageLedger* ledger)
@@ -41,7 +41,7 @@
     if (!ApplyRecord(record)) SetPlace("record " + std::to_string(sequence));
   }
 
-  // Where a record was not valid and what was expected there; empty: all were.
+  // Returns the location of the invalid record and what was expected there; empty if all records were valid.
   [[nodiscard]] const std::string& failure() const { return expected_; }
 
  private:
--- a/src/daemon/durable_state.hpp
+++ b/src/daemon/durable_state.hpp
@@ -1,9 +1,9 @@
-// What the daemon keeps over restarts: the jobs' log and, with billing, the ledger's.
+// Durable state of the daemon: the log of the jobs and, with billing, the log of the ledger.
 //
-// Open replays both logs into the job manager and the ledger. Afterwards each turn's records are committed on
-// threads of their own, and the turn's replies may be sent when NextDurableTurn gives its number. Snapshots
-// of the jobs keep their log short. New jobs are rejected while commits fail or lag
-// (storage/commit_gate.hpp).
+// Open() replays both logs into the job manager and the ledger. Afterwards the records of each turn are
+// committed by background threads, and the replies of a turn may be sent once NextDurableTurn() returns its
+// number. Snapshots of the jobs limit the size of their log. New jobs are rejected while commits fail or lag
+// behind (see storage/commit_gate.hpp).
 #ifndef MOUNTFLOW_DAEMON_DURABLE_STATE_HPP_
 #define MOUNTFLOW_DAEMON_DURABLE_STATE_HPP_
 
@@ -26,7 +26,8 @@
 
 namespace mountflow::daemon {
 
-// Not thread-safe: used by the event loop's thread alone. The pointers must outlive it.
+// Opens, writes and closes the state directory. Not thread-safe: may be used by the event loop's thread only.
+// All pointers must outlive this object.
 class DurableState {
  public:
   DurableState(const config::DaemonConfig& config, event_loop::EventLoop* loop,
@@ -35,31 +36,31 @@
   DurableState(const DurableState&) = delete;
   DurableState& operator=(const DurableState&) = delete;
 
-  // Opens the state directory of the configuration and replays what is in it. kStorage when it is locked by
-  // another process, cannot be read, or holds a record that is damaged or does not fit the configuration.
-  // Call once at most; without it all state is in memory only.
+  // Opens the configured state directory and replays its logs. Returns kStorage if another process has locked
+  // the directory, if it cannot be read, or if a record is damaged or contradicts the configuration. May be
+  // called at most once; if it is not called, all state is in memory only.
   [[nodiscard]] DaemonStatus Open();
   [[nodiscard]] bool is_open() const { return jobs_committer_ != nullptr; }
-  // Commits what waits, once, and ends the committers' threads.
+  // Commits the pending records, with a single try, and stops the committers' threads.
   void Close();
 
   // ---- While open ----
 
-  // Hands the records of a turn over for committing. `reply_bytes`: the size of the turn's HTTP replies;
-  // nullopt when the turn has no reply to hold. Returns the number under which to hold the replies, if there
-  // are any.
+  // Passes the records of the current turn to the committer. `reply_bytes` is the size of the turn's HTTP
+  // replies in bytes, or nullopt if the turn has no reply or message to hold. Returns the turn number under
+  // which to hold the replies, or nullopt if there is nothing to hold.
   [[nodiscard]] std::optional<std::uint64_t> CommitTurn(std::optional<std::size_t> reply_bytes);
-  // The oldest turn that is durable and was not returned yet.
+  // Returns the number of the oldest durable turn that has not been returned yet; nullopt if there is none.
   [[nodiscard]] std::optional<std::uint64_t> NextDurableTurn();
-  // Takes note of what the committers have done, logs their failures, and tells the job manager whether to
-  // reject new jobs.
+  // Reads the committers' status, logs their failures, and tells the job manager whether to reject new jobs.
   void UpdateStatus();
   void WriteSnapshotIfDue(Micros now);
 
   // ---- At any time ----
 
   [[nodiscard]] bool HasHeldTurns() const { return !gate_.Empty(); }
-  // Whether so many bytes of replies are held that further ones are rejected at once, with Rejection().
+  // Reports whether the held replies exceed their limit in bytes. Further replies are then replaced at once
+  // by an error with the text Rejection().
   [[nodiscard]] bool IsFull() const { return gate_.Full(); }
   [[nodiscard]] std::string Rejection() const { return gate_.RejectionReason(); }
   [[nodiscard]] UsageLedger& ledger() { return ledger_; }
@@ -73,10 +74,10 @@
   job_manager::JobManager* job_manager_;
   EventLog* log_;
   storage::CommitGate gate_;
-  std::optional<CommitSignal> signal_;  // from Open on
+  std::optional<CommitSignal> signal_;  // set by Open()
   std::unique_ptr<storage::PosixFiles> files_;
   UsageLedger ledger_;
-  std::unique_ptr<storage::Committer> jobs_committer_;  // null: not open
+  std::unique_ptr<storage::Committer> jobs_committer_;  // null if not open
 };
 
 }  // namespace mountflow::daemon
--- a/src/daemon/held_replies.hpp
+++ b/src/daemon/held_replies.hpp
@@ -1,12 +1,12 @@
-// Replies and messages to nodes that wait until the records of their turn are durable. Bookkeeping only: no
-// I/O, no clock.
+// Replies to clients and messages to nodes that are held until the records of their turn are durable. This
+// module only does the bookkeeping: it performs no I/O and reads no clock.
 //
-// Replies of the current turn are collected, then closed under the number that storage::CommitGate gave the
-// turn; they come out whole, by that number. A reply must not overtake an earlier one of its connection, so
-// this also knows which connections have a reply here.
+// The replies of the current turn are collected and then stored under the number that storage::CommitGate
+// assigned to the turn. All replies of a turn are released together by that number. A reply must not overtake
+// an earlier one on the same connection, so this module also tracks which connections have held replies.
 //
-// Bounds: the gate refuses submissions beyond a number of bytes, and HTTP connections are not read while a
-// reply of theirs is held.
+// Memory is bounded because the gate rejects submissions when the held replies exceed a number of bytes, and
+// because an HTTP connection is not read while one of its replies is held.
 #ifndef MOUNTFLOW_DAEMON_HELD_REPLIES_HPP_
 #define MOUNTFLOW_DAEMON_HELD_REPLIES_HPP_
 
@@ -22,16 +22,17 @@
 
 namespace mountflow::daemon {
 
+// A complete HTTP reply and its destination.
 struct HttpReply {
   event_loop::ConnId connection = 0;
   std::string bytes;
-  bool close = false;  // the connection, after the reply
+  bool close = false;  // close the connection after the reply
 };
 
-// Everything that one turn sends.
+// Output of one turn of the event loop.
 struct HeldTurn {
   std::vector<node_sessions::SessionAction> node_actions;
-  std::vector<event_loop::ConnId> batch_connections;  // with output to flush; repeats are possible
+  std::vector<event_loop::ConnId> batch_connections;  // have output to flush; may contain duplicates
   std::vector<HttpReply> http_replies;
   Micros held_since = 0;
 
@@ -40,7 +41,8 @@
   }
 };
 
-// Not thread-safe: used by the event loop's thread alone.
+// Holds the output of turns that are not durable yet. Not thread-safe: may be used by the event loop's thread
+// only.
 class HeldReplies {
  public:
   // ---- The current turn ----
@@ -49,28 +51,31 @@
   void AddHttpReply(HttpReply reply);
   [[nodiscard]] bool IsCurrentTurnEmpty() const { return current_.empty(); }
   [[nodiscard]] std::size_t CurrentHttpBytes() const;
-  // Files the current turn under `number`, which is larger than all before, and begins an empty one.
+  // Stores the current turn under `number`, which must be larger than all previous numbers, and begins a new,
+  // empty turn.
   void CloseTurn(std::uint64_t number, Micros now);
 
   // ---- Closed turns ----
-  // Takes out a closed turn. Its batch connections are those to flush now: without repeats and without those
-  // that have output in a later closed turn, which are flushed with that.
+  // Removes and returns a closed turn; an empty one if the number is unknown. Its batch connections are those
+  // to flush now: without duplicates, and without connections that have output in a later closed turn,
+  // because they are flushed with that turn.
   [[nodiscard]] HeldTurn ReleaseTurn(std::uint64_t number);
-  // Call for each HTTP reply of a released turn after it was sent. True when no other reply of the connection
-  // is held.
+  // Must be called after each HTTP reply of a released turn has been sent. Returns true if no other reply of
+  // the connection is held.
   [[nodiscard]] bool FinishHttpReply(event_loop::ConnId connection);
-  // Whether a closed turn has output of this batch connection.
+  // Reports whether a closed turn has output of this batch connection.
   [[nodiscard]] bool HoldsBatchConnection(event_loop::ConnId connection) const;
-  // Whether any turn, the current one included, has a reply of this HTTP connection.
+  // Reports whether any turn, including the current one, has a reply for this HTTP connection.
   [[nodiscard]] bool HoldsHttpConnection(event_loop::ConnId connection) const;
-  // How long the oldest closed turn has waited; 0: there is none.
+  // Returns how long the oldest closed turn has been held, in microseconds; 0 if there is none.
   [[nodiscard]] Micros OldestAge(Micros now) const;
 
  private:
   HeldTurn current_;
-  std::map<std::uint64_t, HeldTurn> closed_;                               // by number
-  std::map<event_loop::ConnId, std::size_t> http_replies_;                 // held, by connection
-  std::map<event_loop::ConnId, std::uint64_t> newest_turn_of_connection_;  // closed turns with batch output
+  std::map<std::uint64_t, HeldTurn> closed_;                // by turn number
+  std::map<event_loop::ConnId, std::size_t> http_replies_;  // number of held replies by connection
+  // For each batch connection with output in a closed turn, the newest such turn.
+  std::map<event_loop::ConnId, std::uint64_t> newest_turn_of_connection_;
 };
 
 }  // namespace mountflow::daemon
--- a/src/daemon/http_api.cpp
+++ b/src/daemon/http_api.cpp
@@ -16,9 +16,9 @@
 
 using nlohmann::json;
 
-constexpr std::uint64_t kDefaultPageSize = 100;  // jobs
+constexpr std::uint64_t kDefaultPageSize = 100;  // jobs per reply
 constexpr std::uint64_t kMaxPageSize = 1000;
-constexpr char kUserHold[] = "u";  // the hold type of the batch protocol
+constexpr char kUserHold[] = "u";  // the user hold type of the batch protocol
 
 tl::unexpected<HttpProblem> Fail(HttpStatus status, std::string detail) {
   return tl::unexpected(HttpProblem{status, std::move(detail)});
@@ -66,16 +66,16 @@
           {"core_hour", line.core_hour_price},
           {"gib_hour", line.gib_hour_price},
           {"postings", line.totals.postings},
-          // As texts: they may be larger than the numbers of JSON.
+          // Encoded as strings because they may exceed the range of JSON numbers.
           {"millicore_us", ledger::ToText(line.totals.millicore_us)},
           {"mebibyte_us", ledger::ToText(line.totals.mebibyte_us)},
           {"money", ledger::ToText(line.money)}};
 }
 
-// Which jobs a list shows.
+// Selects the jobs that a list contains.
 struct JobFilter {
-  std::string states;  // letters of job states; empty: all
-  std::string queue;   // empty: all
+  std::string states;  // letters of job states; empty: all states
+  std::string queue;   // empty: all queues
   bool with_complete = false;
 
   [[nodiscard]] bool Matches(const job_manager::Job& job) const {
@@ -163,7 +163,8 @@
 
 JsonResult HttpApi::ShowStatement(const Request& request) const {
   if (book_ == nullptr) return FailUnknownPath();
-  const std::string period = request.parameter.substr(1);  // the route before leaves no empty parameter
+  // The parameter is not empty because an earlier route matches "/v1/use".
+  const std::string period = request.parameter.substr(1);
   const bool restated = request.message.Query("restated") == "true";
   const ledger::StatementKind kind =
       restated ? ledger::StatementKind::kRestated : ledger::StatementKind::kAsPosted;
--- a/src/daemon/http_connections.cpp
+++ b/src/daemon/http_connections.cpp
@@ -44,7 +44,7 @@
     const http::Message request = std::move(requests.front());
     requests.pop_front();
     HttpResponse response =
-        front_->Handle(loop_->Now(), request, connection->peer, loop_->PreviousTurnStart());
+        http_api_->Handle(loop_->Now(), request, connection->peer, loop_->PreviousTurnStart());
     SendOrHold({id, std::move(response.bytes), !request.keep_alive}, response.reports_stored_state);
     if (!request.keep_alive) return false;
   }
@@ -55,7 +55,7 @@
   SendOrHold({id, PlainTextReply(reader.status(), "expected " + reader.error(), false), true}, false);
 }
 
-// Danger: a reply that need not wait must not overtake one of the same connection that does.
+// Caution: a reply that need not wait for storage must not overtake a held reply on the same connection.
 void HttpConnections::SendOrHold(HttpReply reply, bool reports_stored_state) {
   if (!durable_state_->is_open()) return Send(reply);
   if (reports_stored_state && durable_state_->IsFull()) {
--- a/src/daemon/http_connections.hpp
+++ b/src/daemon/http_connections.hpp
@@ -1,8 +1,9 @@
-// HTTP connections: reads requests, has HttpApi answer them, and sends the replies, with durable state not
-// before what they report is durable.
+// HTTP connections: reads requests, passes them to HttpApi and sends the replies. With durable state, a reply
+// is sent only after the state that it reports is durable.
 //
-// Bounds: kMaxHttpConnections at a time, further ones are closed; a request body of kMaxHttpBodyBytes; a
-// connection is not read while a reply of it is held, so at most the requests of one read are.
+// At most kMaxHttpConnections connections are open at a time; further ones are reset. A request body has at
+// most kMaxHttpBodyBytes bytes. A connection is not read while one of its replies is held, so the held
+// requests of a connection are at most those of one read.
 #ifndef MOUNTFLOW_DAEMON_HTTP_CONNECTIONS_HPP_
 #define MOUNTFLOW_DAEMON_HTTP_CONNECTIONS_HPP_
 
@@ -23,14 +24,15 @@
 inline constexpr std::size_t kMaxHttpConnections = 4096;
 inline constexpr std::size_t kMaxHttpBodyBytes = 2 << 20;
 
-// Not thread-safe: used by the event loop's thread alone. The pointers must outlive it.
+// Accepts HTTP connections and exchanges their requests and replies. Not thread-safe: may be used by the
+// event loop's thread only. All pointers must outlive this object.
 class HttpConnections : public event_loop::ConnectionHandler {
  public:
-  HttpConnections(event_loop::EventLoop* loop, HttpApi* front, const DurableState* durable_state,
+  HttpConnections(event_loop::EventLoop* loop, HttpApi* http_api, const DurableState* durable_state,
                   HeldReplies* held_replies)
-      : loop_(loop), front_(front), durable_state_(durable_state), held_replies_(held_replies) {}
+      : loop_(loop), http_api_(http_api), durable_state_(durable_state), held_replies_(held_replies) {}
 
-  // Sends a reply whose turn is durable now.
+  // Sends a held reply after its turn has become durable.
   void SendHeld(const HttpReply& reply);
 
   void OnAccepted(event_loop::ListenerId listener, event_loop::ConnId connection,
@@ -43,15 +45,17 @@
     http::Reader reader;
     pbs_server::Peer peer;
   };
-  // Answers all requests that are read. False when the connection closes after the last reply.
+  // Answers all requests that have been read completely. Returns false if the connection is to be closed
+  // after the last reply.
   bool AnswerRequests(event_loop::ConnId id, Connection* connection);
   void AnswerMalformed(event_loop::ConnId id, const http::Reader& reader);
-  // Sends a reply or holds it. `reports_stored_state`: it must not be sent before its turn is durable.
+  // Sends a reply or holds it. With `reports_stored_state`, the reply must not be sent before its turn is
+  // durable.
   void SendOrHold(HttpReply reply, bool reports_stored_state);
   void Send(const HttpReply& reply);
 
   event_loop::EventLoop* loop_;
-  HttpApi* front_;
+  HttpApi* http_api_;
   const DurableState* durable_state_;
   HeldReplies* held_replies_;
   std::map<event_loop::ConnId, Connection> connections_;
--- a/src/daemon/http_problem.hpp
+++ b/src/daemon/http_problem.hpp
@@ -1,4 +1,4 @@
-// Results of the HTTP front's handlers: JSON, or a problem (RFC 9457).
+// Results of the HTTP API's handlers: JSON, or problem details (RFC 9457).
 #ifndef MOUNTFLOW_DAEMON_HTTP_PROBLEM_HPP_
 #define MOUNTFLOW_DAEMON_HTTP_PROBLEM_HPP_
 
@@ -25,15 +25,17 @@
   kServiceUnavailable = 503,
 };
 
+// An error reply (RFC 9457).
 struct HttpProblem {
   HttpStatus status = HttpStatus::kInternalError;
-  std::string detail;      // what was expected, and where
-  Micros retry_after = 0;  // sent in whole seconds, rounded up; 0: not sent
-  // The problem says nothing of what the daemon stores (a submission was turned away), so its reply need not
-  // wait for storage.
+  std::string detail;      // the expected value and its location
+  Micros retry_after = 0;  // microseconds, sent in whole seconds, rounded up; 0: not sent
+  // True if the request stored nothing because a submission was rejected; its reply then need not wait for
+  // storage.
   bool stored_nothing = false;
 };
 
+// A successful reply with a JSON body.
 struct JsonReply {
   HttpStatus status = HttpStatus::kOk;
   nlohmann::json body;
@@ -41,10 +43,10 @@
 
 using JsonResult = tl::expected<JsonReply, HttpProblem>;
 
-// The status that reports why a command failed; kOk for a command that succeeded.
+// Returns the HTTP status for the result of a command.
 [[nodiscard]] HttpStatus HttpStatusOf(job_manager::CommandResult verdict);
 
-// Whole replies as bytes. `request`: whether its connection is kept.
+// Returns a complete reply as bytes. `request` determines whether its connection stays open.
 [[nodiscard]] std::string WriteJson(const http::Message& request, const JsonReply& reply);
 [[nodiscard]] std::string WriteProblem(const http::Message& request, const HttpProblem& problem);
 
--- a/src/daemon/http_submission.cpp
+++ b/src/daemon/http_submission.cpp
@@ -16,7 +16,7 @@
 constexpr char kScriptMember[] = "script";
 constexpr char kQueueMember[] = "queue";
 
-// A member that means an attribute of the batch protocol.
+// Maps a JSON member to an attribute of the batch protocol.
 struct AttributeMember {
   std::string_view member;
   const char* attribute;
@@ -53,7 +53,7 @@
   return found == std::end(kAttributeMembers) ? nullptr : found;
 }
 
-// What the members say, before it is checked as a job.
+// The values of the members, before they are checked as a job.
 struct Members {
   std::string script;
   std::string queue;
--- a/src/daemon/http_submission.hpp
+++ b/src/daemon/http_submission.hpp
@@ -1,5 +1,5 @@
-// Reads the JSON of a submission (POST /v1/jobs): the members stand for attributes of the batch protocol, and
-// are checked by the same rules.
+// Reads the JSON of a submission (POST /v1/jobs). Its members correspond to attributes of the batch protocol
+// and are checked by the same rules.
 #ifndef MOUNTFLOW_DAEMON_HTTP_SUBMISSION_HPP_
 #define MOUNTFLOW_DAEMON_HTTP_SUBMISSION_HPP_
 
@@ -13,7 +13,8 @@
 
 namespace mountflow::daemon {
 
-// The job that `user` submits with `body`. The problem names the first member that is unknown or not valid.
+// Returns the job that `user` submits with `body`. On failure, the problem names the first member that is
+// unknown or invalid.
 [[nodiscard]] tl::expected<job_manager::JobSpec, HttpProblem> ReadSubmission(
     std::string_view body, const std::string& user, const pbs_server::PbsServerOptions& options);
 
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,4 +1,4 @@
-// mountflowd: the scheduler's daemon.
+// mountflowd: the scheduler daemon.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -23,7 +23,7 @@
 
 constexpr Micros kCpuReportInterval = 1'000'000;
 
-// The command line.
+// Command line options.
 struct Options {
   std::string config_file;  // empty: the embedded configuration
   bool check_only = false;
@@ -31,7 +31,7 @@
   bool measure = false;
   bool platform = false;
   std::string platform_trace_file;
-  // Override the configuration; empty: they do not.
+  // These override the configuration unless they are empty.
   std::string name;
   std::string batch_address;
   std::string http_address;
@@ -69,8 +69,8 @@
   if (!options.node_list_address.empty()) config->node_list.endpoints = {options.node_list_address};
 }
 
-// Without a configured storage folder, makes the default one. False when there is none to be had, which is
-// printed.
+// Creates the default storage folder if none is configured. Returns false if that is not possible; the reason
+// is printed.
 bool PrepareStorageFolder(config::DaemonConfig* config) {
   if (config->storage.folder.empty()) {
     config->storage.folder =
@@ -93,11 +93,11 @@
   return true;
 }
 
-// One line a second, which the load generator reads with --cpu.
+// Prints one line per second, which the load generator reads with --cpu.
 void PrintCpuLine(Micros now, const CpuTimes& times) {
   const auto microseconds = [](std::uint64_t nanoseconds) { return static_cast<double>(nanoseconds) / 1e3; };
-  // The PBS server calls the job manager, and both the scheduler: each part is shown without those that it
-  // calls, where that is known.
+  // The PBS server calls the job manager, and both call the scheduler. Each component is printed without the
+  // time of the components that it calls, where that time is known.
   std::printf(
       "{\"at_us\":%llu,\"cpu_us\":{\"module\":%.0f,\"front and core\":%.0f,\"links\":%.0f,\"rest and "
       "kernel\":%.0f}}\n",
@@ -115,7 +115,7 @@
       static_cast<unsigned long long>(times.process));
 }
 
-// Scripts wait for these lines and read the ports.
+// Prints the ports and the storage folder. Scripts wait for these lines and read the ports.
 void PrintReady(const config::DaemonConfig& config, const Daemon& daemon) {
   std::printf("mountflowd %s ready: batch %d, http %d\n", config.job_manager.server.c_str(),
               daemon.batch_port(), daemon.http_port());
@@ -166,8 +166,8 @@
   }
   ApplyOverrides(options, &*config);
   if (!PrepareStorageFolder(&*config)) return 1;
-  // Writing beyond the limit on the size of files then is an error of that write, which storage reports and
-  // retries.
+  // Ignoring SIGXFSZ turns a write beyond the file size limit into an error of that write, which the storage
+  // code reports and retries.
   signal(SIGXFSZ, SIG_IGN);
   return RunDaemon(*config, options.measure);
 }
@@ -175,7 +175,7 @@
 }  // namespace
 }  // namespace mountflow::daemon
 
-// An exception here is a fault and ends the process by std::terminate, with its message.
+// An exception that reaches main is a bug; std::terminate then ends the process and prints its message.
 // NOLINTNEXTLINE(bugprone-exception-escape): see above
 int main(int argc, char** argv) {
   CLI::App app{"mountflowd: places batch jobs on the nodes of a shared cluster"};
--- a/src/daemon/node_connections.cpp
+++ b/src/daemon/node_connections.cpp
@@ -5,8 +5,8 @@
 namespace mountflow::daemon {
 namespace {
 
-// The node sessions number their connections themselves; above this number they do not meet those of the
-// event loop.
+// The node sessions number their connections themselves. This offset keeps their numbers distinct from those
+// that the event loop assigns.
 constexpr event_loop::ConnId kFirstConnection = 1ULL << 62;
 
 }  // namespace
--- a/src/daemon/node_connections.hpp
+++ b/src/daemon/node_connections.hpp
@@ -1,4 +1,4 @@
-// Carries the connections of the node sessions over the event loop.
+// Connects the node sessions to TCP connections of the event loop.
 #ifndef MOUNTFLOW_DAEMON_NODE_CONNECTIONS_HPP_
 #define MOUNTFLOW_DAEMON_NODE_CONNECTIONS_HPP_
 
@@ -12,13 +12,14 @@
 
 namespace mountflow::daemon {
 
-// Not thread-safe: used by the event loop's thread alone. The pointers must outlive it.
+// Carries out the I/O actions of the node sessions and reports received bytes to them. Not thread-safe: may
+// be used by the event loop's thread only. All pointers must outlive this object.
 class NodeConnections : public event_loop::ConnectionHandler {
  public:
   NodeConnections(event_loop::EventLoop* loop, node_sessions::NodeSessions* sessions, CpuProfile* profile)
       : loop_(loop), sessions_(sessions), profile_(profile) {}
 
-  // Opens, writes and closes connections, in this order.
+  // Opens, writes to and closes connections, in the order of `actions`.
   void CarryOut(const std::vector<node_sessions::SessionAction>& actions);
 
   void OnConnected(event_loop::ConnId connection) override;
--- a/src/daemon/node_list_file.hpp
+++ b/src/daemon/node_list_file.hpp
@@ -1,4 +1,5 @@
-// The file of the last node list, for a start while the registry cannot be reached (discovery/snapshot.hpp).
+// The file that stores the last node list. The daemon loads it at startup because the registry may be
+// unreachable then (see discovery/snapshot.hpp).
 #ifndef MOUNTFLOW_DAEMON_NODE_LIST_FILE_HPP_
 #define MOUNTFLOW_DAEMON_NODE_LIST_FILE_HPP_
 
@@ -13,30 +14,30 @@
 
 namespace mountflow::daemon {
 
-// Not thread-safe: used by the event loop's thread alone. Failures are logged: the daemon runs without the
-// file.
+// Loads and saves the node list. Failures are only logged, because the daemon can run without the file. Not
+// thread-safe: may be used by the event loop's thread only.
 class NodeListFile {
  public:
-  // An empty file name: nothing is loaded or saved.
+  // With an empty file name nothing is loaded or saved.
   NodeListFile(std::string file, EventLog* log) : file_(std::move(file)), log_(log) {}
 
-  // The node list of the file as a cached one; nullopt when there is none to be had.
+  // Returns the stored node list, marked as cached; nullopt if there is none or it cannot be read.
   [[nodiscard]] std::optional<job_manager::NodeListEvent> Load(Micros now) const;
 
-  // The job manager has a new node list.
+  // Records that the job manager has a new node list.
   void MarkChanged() { changed_ = true; }
-  // Saves the job manager's node list if it has changed, not more often than every kMinSaveInterval: the
-  // event loop waits for the disk meanwhile.
+  // Saves the job manager's node list if it has changed, at most once every kMinSaveInterval, because the
+  // event loop is blocked while the file is written.
   void SaveIfDue(Micros now, const job_manager::JobManager& job_manager);
-  // The same at once.
+  // Saves the job manager's node list if it has changed, without regard to kMinSaveInterval.
   void SaveIfChanged(Micros now, const job_manager::JobManager& job_manager);
 
  private:
-  static constexpr Micros kMinSaveInterval = 10'000'000;
+  static constexpr Micros kMinSaveInterval = 10'000'000;  // microseconds
 
   const std::string file_;
   EventLog* log_;
-  bool changed_ = false;  // since it was saved
+  bool changed_ = false;  // since the last save
   Micros saved_at_ = 0;
 };
 
--- a/src/daemon/node_list_source.hpp
+++ b/src/daemon/node_list_source.hpp
@@ -1,4 +1,4 @@
-// Where the job manager's node list comes from: the registry, and at a start the file of the last list.
+// Supplies the job manager with its node list: from the registry and, at startup, from the stored file.
 #ifndef MOUNTFLOW_DAEMON_NODE_LIST_SOURCE_HPP_
 #define MOUNTFLOW_DAEMON_NODE_LIST_SOURCE_HPP_
 
@@ -18,7 +18,8 @@
 
 namespace mountflow::daemon {
 
-// Not thread-safe: used by the event loop's thread alone. The pointers must outlive it.
+// Reads the node list and passes it to the job manager. Not thread-safe: may be used by the event loop's
+// thread only. All pointers must outlive this object.
 class NodeListSource {
  public:
   NodeListSource(const config::DaemonConfig& config, std::uint64_t seed, event_loop::EventLoop* loop,
@@ -26,16 +27,17 @@
   NodeListSource(const NodeListSource&) = delete;
   NodeListSource& operator=(const NodeListSource&) = delete;
 
-  // Hands the saved node list to the job manager, if there is one.
+  // Passes the stored node list to the job manager, if there is one.
   void LoadSavedList();
-  // Reads on and hands what came to the job manager. Call after each turn of the loop.
+  // Continues reading from the registry and passes new node lists to the job manager. Must be called after
+  // each turn of the event loop.
   void Poll();
-  // The job manager asks for a new read of the whole list.
+  // Starts a new read of the whole node list, as the job manager requested.
   void ReadAnew() { client_.ReadAnew(loop_->Now()); }
   void SaveIfDue() { file_.SaveIfDue(loop_->Now(), *job_manager_); }
   void SaveIfChanged() { file_.SaveIfChanged(loop_->Now(), *job_manager_); }
 
-  // Texts for the log on what cannot be read, since the last call.
+  // Returns log texts about registry failures since the last call.
   [[nodiscard]] std::vector<std::string> TakeWarnings();
   [[nodiscard]] Micros NextTimer() const { return client_.NextTimer(); }
   [[nodiscard]] const discovery::RegistryClient& client() const { return client_; }
@@ -45,7 +47,7 @@
 
   event_loop::EventLoop* loop_;
   job_manager::JobManager* job_manager_;
-  const bool list_on_request_;  // the job manager awaits an answer to each read
+  const bool list_on_request_;  // the job manager expects a reply to each read
   discovery::RegistryClient client_;
   RegistryConnection connection_;
   NodeListFile file_;
--- a/src/daemon/path_pattern.hpp
+++ b/src/daemon/path_pattern.hpp
@@ -1,4 +1,4 @@
-// Patterns of the paths in the HTTP front's table of routes.
+// Path patterns for the route table of the HTTP API.
 #ifndef MOUNTFLOW_DAEMON_PATH_PATTERN_HPP_
 #define MOUNTFLOW_DAEMON_PATH_PATTERN_HPP_
 
@@ -8,11 +8,11 @@
 
 namespace mountflow::daemon {
 
-// Matches a path with a pattern that has one parameter at most:
-//   "/v1/jobs"             this path alone
-//   "/v1/jobs/{id}/hold"   {id}: up to the next '/', possibly nothing
-//   "/v1/jobs/{rest...}"   {rest...}: everything to the end, possibly nothing; must be the end of the pattern
-// Returns the parameter, empty for a pattern that has none; nullopt when the path does not match.
+// Matches a path against a pattern that has at most one parameter:
+//   "/v1/jobs"             matches only this path
+//   "/v1/jobs/{id}/hold"   {id} matches the text up to the next '/', which may be empty
+//   "/v1/jobs/{rest...}"   {rest...} matches the remaining text, which may be empty; must end the pattern
+// Returns the parameter, which is empty if the pattern has none; nullopt if the path does not match.
 [[nodiscard]] std::optional<std::string> MatchPath(std::string_view pattern, std::string_view path);
 
 }  // namespace mountflow::daemon
--- a/src/daemon/peer.hpp
+++ b/src/daemon/peer.hpp
@@ -7,8 +7,9 @@
 
 namespace mountflow::daemon {
 
-// The user is the name that the system has for the connection's user id, or the number if there is none;
-// empty if the system does not know who has the other end.
+// Returns the address and the user of the peer. The user is the login name that belongs to the connection's
+// user id, or the id as a number if it has no name. It is empty if the user id is unknown, as it is for
+// connections from other hosts.
 [[nodiscard]] pbs_server::Peer IdentifyPeer(const event_loop::PeerInfo& info);
 
 }  // namespace mountflow::daemon
--- a/src/daemon/registry_group.cpp
+++ b/src/daemon/registry_group.cpp
@@ -12,8 +12,8 @@
 discovery::ClientOptions MembersOptions(const config::DaemonConfig& config) {
   discovery::ClientOptions options = config.node_list;
   options.prefix = config.group.prefix;
-  options.service.clear();  // daemons are keys, also where nodes are instances of a service
-  // A read that ends confirms the view.
+  options.service.clear();  // daemons are keys even where nodes are instances of a service
+  // Each completed read confirms the view, so reads must complete at least this often.
   options.wait = std::min(options.wait, membership::ConfirmationInterval(config.group.max_view_age));
   return options;
 }
@@ -44,7 +44,7 @@
       group_({config.job_manager.server, config.group.max_view_age}) {}
 
 void RegistryGroup::Join(const std::string& address) {
-  job_manager::ListedNode self;  // the entry of a daemon has the form of a node's
+  job_manager::ListedNode self;  // a daemon's entry has the same format as a node's
   self.name = own_name_;
   self.address = address;
   self.started = loop_->Now();
@@ -56,7 +56,7 @@
 std::optional<MembershipChange> RegistryGroup::Poll() {
   own_entry_connection_.Poll();
   members_connection_.Poll();
-  members_.TakeEvents();  // not needed: the entries are read from the client's state
+  members_.TakeEvents();  // discarded: the entries are read from the client's state
   return group_.Update(CurrentView(loop_->Now()));
 }
 
@@ -71,7 +71,7 @@
   view.known = status.known;
   view.view_age = status.age;
   view.lease_expires_at = own_entry_.HeldUntil();
-  view.history = members_.state().incarnations() + own_entry_.incarnations();  // both only grow
+  view.history = members_.state().incarnations() + own_entry_.incarnations();  // neither value ever decreases
   view.now = now;
   return view;
 }
--- a/src/daemon/registry_group.hpp
+++ b/src/daemon/registry_group.hpp
@@ -1,5 +1,6 @@
-// The group of daemons that share the cluster, by their entries in the registry: keeps this daemon's entry
-// there, reads those of all, and decides from both (membership/membership.hpp).
+// The group of daemons that share the cluster, as listed in the registry. Maintains this daemon's registry
+// entry, reads the entries of all daemons and derives the group size and this daemon's index (see
+// membership/membership.hpp).
 #ifndef MOUNTFLOW_DAEMON_REGISTRY_GROUP_HPP_
 #define MOUNTFLOW_DAEMON_REGISTRY_GROUP_HPP_
 
@@ -20,26 +21,29 @@
 
 namespace mountflow::daemon {
 
-// Not thread-safe: used by the event loop's thread alone. The pointers must outlive it.
+// Tracks the group of daemons. Not thread-safe: may be used by the event loop's thread only. All pointers
+// must outlive this object.
 class RegistryGroup {
  public:
+  // Seeds of the random numbers that each registry client draws.
   struct Seeds {
-    std::uint64_t members = 0;    // of the client that reads the entries
-    std::uint64_t own_entry = 0;  // of the registrar
+    std::uint64_t members = 0;    // for the client that reads the entries
+    std::uint64_t own_entry = 0;  // for the registrar of this daemon's entry
   };
   RegistryGroup(const config::DaemonConfig& config, Seeds seeds, event_loop::EventLoop* loop,
                 tls::Keys* keys);
   RegistryGroup(const RegistryGroup&) = delete;
   RegistryGroup& operator=(const RegistryGroup&) = delete;
 
-  // Adds this daemon's entry. `address`: host:port of its batch port.
+  // Adds this daemon's registry entry. `address` is the host:port of its batch port.
   void Join(const std::string& address);
-  // Removes it.
+  // Removes this daemon's registry entry.
   void Leave();
 
-  // Reads and writes what is due. Returns the group when it has changed. Call after each turn of the loop.
+  // Carries out pending reads and writes. Returns the group if it has changed. Must be called after each turn
+  // of the event loop.
   [[nodiscard]] std::optional<MembershipChange> Poll();
-  // Texts for the log on what cannot be read or written, since the last call.
+  // Returns log texts about registry failures since the last call.
   [[nodiscard]] std::vector<std::string> TakeWarnings();
   [[nodiscard]] Micros NextTimer() const;
 
@@ -48,7 +52,7 @@
 
   event_loop::EventLoop* loop_;
   const std::string own_name_;
-  const std::string prefix_;  // of the keys of all entries
+  const std::string prefix_;  // key prefix of all daemon entries
   discovery::RegistryClient members_;
   RegistryConnection members_connection_;
   discovery::Registrar own_entry_;
--- a/src/daemon/turn_committer.hpp
+++ b/src/daemon/turn_committer.hpp
@@ -1,6 +1,6 @@
-// With durable state: commits what a turn of the event loop changed, and sends the turn's replies and
-// messages to nodes once that is durable. So no client and no node learns of anything that a crash would
-// undo.
+// Commits the changes of each turn of the event loop, and sends the turn's replies and node messages once
+// they are durable. Thus no client and no node sees a change that a crash could undo. Used only with durable
+// state.
 #ifndef MOUNTFLOW_DAEMON_TURN_COMMITTER_HPP_
 #define MOUNTFLOW_DAEMON_TURN_COMMITTER_HPP_
 
@@ -15,10 +15,10 @@
 
 namespace mountflow::daemon {
 
-// Not thread-safe: used by the event loop's thread alone.
+// Commits turns and releases their output. Not thread-safe: may be used by the event loop's thread only.
 class TurnCommitter {
  public:
-  // What it works between; all must outlive it.
+  // The components that are connected; all of them must outlive the TurnCommitter.
   struct Parts {
     event_loop::EventLoop* loop;
     DurableState* durable_state;
@@ -31,9 +31,9 @@
   };
   explicit TurnCommitter(const Parts& parts) : parts_(parts) {}
 
-  // Commits the records of the job manager and of the ledger, holds the replies of the turn, and sends those
-  // of all turns that are durable now. True when a batch connection was flushed: its session may have more to
-  // do.
+  // Commits the records of the job manager and of the ledger, holds the replies of the turn, and sends the
+  // replies of all turns that have become durable. Returns true if a batch connection was flushed, because
+  // its session may then have more output.
   [[nodiscard]] bool CommitTurn();
 
  private:
--- a/src/daemon/usage_ledger.cpp
+++ b/src/daemon/usage_ledger.cpp
@@ -15,7 +15,7 @@
   return tl::unexpected(DaemonError{DaemonErrorCode::kStorage, place, detail});
 }
 
-// The name with this number; empty when the configuration has none.
+// Returns the name with this number; empty if the configuration has none.
 std::string NameAt(const std::vector<std::string>& names, unsigned number) {
   return number < names.size() ? names[number] : "";
 }
@@ -58,7 +58,7 @@
 bool UsageLedger::IsLedgerRecord(std::string_view record) { return ledger::Outbox::IsEntry(record); }
 
 DaemonStatus UsageLedger::Replay(std::string_view record) {
-  if (!is_open()) return {};  // billing was switched off since
+  if (!is_open()) return {};  // billing has been disabled since the record was written
   const ledger::LedgerResult<ledger::Outbox::Entry> entry = outbox_.Decode(record);
   if (!entry) {
     return StorageFailure("", "an outbox entry that follows (" + Describe(entry.error()) + ")");
--- a/src/daemon/usage_ledger.hpp
+++ b/src/daemon/usage_ledger.hpp
@@ -1,8 +1,8 @@
-// Posts the resource use of attempts to the ledger, and makes the ledger's records durable.
+// Posts the resource usage of attempts to the ledger and makes the ledger's records durable.
 //
-// The ledger has a log of its own. Its records go through the jobs' log first, in the commit that holds the
-// end of the attempt; at a start those that the ledger's log lacks are taken from there. So neither the end
-// of an attempt nor its posting can be lost alone.
+// The ledger has its own log. Its records are first written to the log of the jobs, in the same commit that
+// records the end of the attempt. At startup, records that are missing in the ledger's log are copied from
+// the log of the jobs. Thus the end of an attempt and its posting are either both stored or both lost.
 #ifndef MOUNTFLOW_DAEMON_USAGE_LEDGER_HPP_
 #define MOUNTFLOW_DAEMON_USAGE_LEDGER_HPP_
 
@@ -25,42 +25,43 @@
 
 namespace mountflow::daemon {
 
-// Not thread-safe: used by the event loop's thread alone. Without Open nothing is posted. The pointers must
-// outlive it.
+// Posts usage and stores the postings. Nothing is posted before Open() has been called. Not thread-safe: may
+// be used by the event loop's thread only. All pointers must outlive this object.
 class UsageLedger {
  public:
-  // `memory_unit_bytes`: of the job manager's unit of memory.
+  // `memory_unit_bytes` is the size of the job manager's unit of memory.
   UsageLedger(ledger::BillingRules rules, double memory_unit_bytes,
               const job_manager::JobManager* job_manager, EventLog* log);
 
-  // Replays the ledger's log; call before the jobs' log is replayed. `notify` is called from the committer's
-  // thread. kStorage when the log is damaged or a record is not valid.
+  // Replays the ledger's log. Must be called before the log of the jobs is replayed. `notify` is called from
+  // the committer's thread. Returns kStorage if the log is damaged or contains an invalid record.
   [[nodiscard]] DaemonStatus Open(storage::Files* files, const std::string& directory,
                                   std::function<void()> notify);
   [[nodiscard]] bool is_open() const { return committer_ != nullptr; }
-  // Commits what waits, once, and ends the committer's thread.
+  // Commits the pending records, with a single try, and stops the committer's thread.
   void Close();
 
-  // Whether a record of the jobs' log is one of the ledger's.
+  // Reports whether a record of the jobs' log belongs to the ledger.
   [[nodiscard]] static bool IsLedgerRecord(std::string_view record);
-  // Takes such a record at a start: applies it if the ledger's log lacks it. The error says what was
-  // expected.
+  // Replays a ledger record of the jobs' log at startup: applies it if the ledger's log does not contain it.
+  // The error's detail states what was expected.
   [[nodiscard]] DaemonStatus Replay(std::string_view record);
 
-  // Posts what an attempt used. A use that cannot be posted is logged.
+  // Posts the resource usage of an attempt. Usage that cannot be posted is logged.
   void Post(Micros now, const job_manager::ResourceUsage& usage);
-  // The records posted since the last CommitPosted, in their form for the jobs' log.
+  // Returns the records posted since the last CommitPosted(), encoded for the jobs' log.
   [[nodiscard]] std::vector<std::string> RecordsForJobsLog();
-  // Hands the same records to the ledger's own log.
+  // Passes the same records, in their own encoding, to the committer of the ledger's log.
   void CommitPosted();
   [[nodiscard]] bool has_posted() const { return !posted_records_.empty(); }
 
   [[nodiscard]] storage::CommitStatus Status() const { return committer_->Status(); }
-  // The ledger's log must have made this commit durable before a snapshot of the jobs may replace their log.
+  // Returns the number of the last commit to the ledger's log. A snapshot of the jobs may replace their log
+  // only after this commit is durable.
   [[nodiscard]] std::uint64_t last_commit() const { return last_commit_; }
 
   [[nodiscard]] const ledger::Book& book() const { return book_; }
-  // Why a new job is rejected by its tenant's budget; empty: it is not.
+  // Returns the reason why the budget of the job's tenant rejects a new job; empty if it does not.
   [[nodiscard]] std::string Rejection(Micros now, const job_manager::JobSpec& spec) const;
 
  private:
@@ -72,9 +73,9 @@
   EventLog* log_;
   ledger::Book book_;
   ledger::Outbox outbox_;
-  std::unique_ptr<storage::Committer> committer_;  // null: not open
+  std::unique_ptr<storage::Committer> committer_;  // null if not open
   std::uint64_t last_commit_ = 0;
-  std::vector<std::string> posted_records_;  // not handed to the ledger's log yet
+  std::vector<std::string> posted_records_;  // not yet passed to the committer of the ledger's log
 };
 
 }  // namespace mountflow::daemon
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -15,19 +15,20 @@
 constexpr int kStatusTooManyRequests = 429;
 constexpr int kStatusHeadTooLarge = 431;
 
-// What a callback returns to the parser.
+// Return values of the parser's callbacks.
 constexpr int kContinue = 0;
 constexpr int kStop = 1;
-// 1 from the callback at the end of the headers would mean that no body follows.
+// The callback at the end of the headers must not return 1 to stop, because 1 means there that no body
+// follows.
 constexpr int kStopAfterHeaders = -1;
 
-// The parser's content_length where the message has none.
+// The parser's content_length for a message without a length.
 constexpr auto kNoContentLength = std::numeric_limits<std::uint64_t>::max();
 
 constexpr std::size_t kEscapeBytes = 3;  // %XX
 constexpr int kBitsPerHexDigit = 4;
 
-// The value of a hexadecimal digit; -1: none.
+// Returns the value of a hexadecimal digit; -1 if it is none.
 int HexDigitValue(char digit) {
   if (digit >= '0' && digit <= '9') return digit - '0';
   if (digit >= 'a' && digit <= 'f') return digit - 'a' + 10;
@@ -35,7 +36,8 @@
   return -1;
 }
 
-// Reads "name=value&..." into `query`. A parameter without a name is left out. False: an escape is malformed.
+// Reads "name=value&..." into `query`. Ignores parameters without a name. Returns false if an escape is
+// malformed.
 bool ReadQuery(std::string_view text, std::map<std::string, std::string>* query) {
   while (!text.empty()) {
     const std::size_t end = std::min(text.find('&'), text.size());
@@ -101,7 +103,7 @@
   return encoded;
 }
 
-// Collects what the parser's callbacks give into messages.
+// Builds messages from the parser's callbacks.
 class Reader::Impl {
  public:
   Impl(Side side, std::size_t max_body) : side_(side), max_body_(max_body) {
@@ -156,7 +158,7 @@
  private:
   static Impl& Of(http_parser* parser) { return *static_cast<Impl*>(parser->data); }
 
-  // The steps below return false where reading must stop.
+  // The functions below return false if parsing must stop.
 
   bool Fail(int status, std::string expected) {
     status_ = status;
@@ -229,7 +231,8 @@
   bool EndHeaders() {
     EndHeader();
     if (side_ == Side::kRequests && !ReadUrl()) return false;
-    // Danger: two framings of one body are read differently by different parties (request smuggling).
+    // Security: recipients may disagree about the length of a body that has two framings, which allows
+    // request smuggling.
     if (current_.headers.count("transfer-encoding") > 0 && current_.headers.count("content-length") > 0) {
       return Fail(kStatusBadRequest, "one of Transfer-Encoding and Content-Length, not both");
     }
