--- a/src/daemon/held_replies.hpp
+++ b/src/daemon/held_replies.hpp
@@ -1,9 +1,9 @@
 // Replies to clients and messages to nodes that are held until the records of their turn are durable. This
-// module only does the bookkeeping: it performs no I/O and reads no clock.
+// class only does the bookkeeping: it performs no I/O and reads no clock.
 //
 // The replies of the current turn are collected and then stored under the number that storage::CommitGate
 // assigned to the turn. All replies of a turn are released together by that number. A reply must not overtake
-// an earlier one on the same connection, so this module also tracks which connections have held replies.
+// an earlier one on the same connection, so this class also tracks which connections have held replies.
 //
 // Memory is bounded because the gate rejects submissions when the held replies exceed a number of bytes, and
 // because an HTTP connection is not read while one of its replies is held.
--- a/tests/config/config_dump.hpp
+++ b/tests/config/config_dump.hpp
@@ -1,4 +1,5 @@
-// Every field of a daemon's configuration as text, for the guard that compares configurations by field.
+// Lists every field of a daemon's configuration as text, for the test that compares configurations field by
+// field.
 #ifndef MOUNTFLOW_TESTS_CONFIG_CONFIG_DUMP_HPP_
 #define MOUNTFLOW_TESTS_CONFIG_CONFIG_DUMP_HPP_
 
@@ -12,8 +13,8 @@
 
 namespace mountflow::testing {
 
-// Values by the name of their field. The names are those of the recorded file and stay when a field is
-// renamed.
+// Maps field names to values. The names are those of the recorded file and stay the same when a field is
+// renamed in the code.
 class FieldDump {
  public:
   void Add(const std::string& name, const std::string& value) { fields_[name] = value; }
--- a/tests/config/daemon_loader_test.cpp
+++ b/tests/config/daemon_loader_test.cpp
@@ -1,4 +1,5 @@
-// Loading the daemon's configuration: its defaults, its errors, and how sections act on each other.
+// Tests loading the daemon's configuration: its defaults, its errors, and the effects of sections on each
+// other.
 #include "config/daemon_loader.hpp"
 
 #include <gtest/gtest.h>
@@ -65,10 +66,10 @@
   EXPECT_EQ(Describe(loaded.error()[0]), "/no/such/file: cannot be read");
 }
 
-TEST(DaemonLoader, TheCodeTellsWhichStepFoundTheError) {
+TEST(DaemonLoader, TheErrorCodeNamesTheStepThatFailed) {
   using Codes = std::vector<ConfigErrorCode>;
   EXPECT_EQ(CodesOf("{"), Codes{ConfigErrorCode::kMalformedJson});
-  // The validator reports the value and each object around it.
+  // The validator reports the value and each object that contains it.
   EXPECT_EQ(CodesOf(R"({"seed": -1})"),
             (Codes{ConfigErrorCode::kSchemaViolation, ConfigErrorCode::kSchemaViolation}));
   EXPECT_EQ(CodesOf(R"({"settings": {"profiles": [{"name":"a","effect":"safe","hard_limit_us":1000}],
@@ -77,7 +78,7 @@
   EXPECT_EQ(CodesOf(R"({"billing": {}})"), Codes{ConfigErrorCode::kInvalidValue});
 }
 
-TEST(DaemonLoader, TheErrorsOfAllSectionsComeTogether) {
+TEST(DaemonLoader, TheErrorsOfAllSectionsAreReportedTogether) {
   const auto loaded = ParseDaemon(
       R"({"listen": {"batch": "0.0.0.0:1"}, "billing": {}, "list": {"tls": {"ca": "a", "key": "k"}}})",
       "x.json");
--- a/tests/config/json_text_test.cpp
+++ b/tests/config/json_text_test.cpp
@@ -1,4 +1,4 @@
-// Reading JSON with comments.
+// Tests reading JSON with comments.
 #include "config/json_text.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/config/loader_golden_test.cpp
+++ b/tests/config/loader_golden_test.cpp
@@ -1,5 +1,5 @@
-// Guard: what the loader makes of a set of configurations, every field and every error text, as recorded in
-// tests/data/config_loader.txt before the loader was divided.
+// Guards the configuration loader: for a set of configurations, every field and every error text must be as
+// recorded in tests/data/config_loader.txt.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -17,7 +17,7 @@
 
 using nlohmann::json;
 
-// One word for the golden file, whose values have no white space.
+// Quotes a text as one word, because values in the golden file contain no white space.
 std::string Quoted(const std::string& text) {
   std::string quoted = "\"";
   for (const char c : text) {
@@ -37,8 +37,8 @@
 }
 
 struct Outcome {
-  std::vector<std::string> errors;            // as an operator reads them; empty: valid
-  std::map<std::string, std::string> fields;  // of a valid configuration
+  std::vector<std::string> errors;            // as printed for operators; empty: valid
+  std::map<std::string, std::string> fields;  // fields of a valid configuration
 };
 
 Outcome Load(const std::string& text) {
@@ -53,7 +53,8 @@
   return {{}, DumpConfig(*loaded)};
 }
 
-// Records outcomes; of valid configurations only what differs from an empty one, which is recorded whole.
+// Records outcomes. The empty configuration is recorded completely; of other valid configurations, only the
+// fields that differ from it.
 class OutcomeRecorder {
  public:
   explicit OutcomeRecorder(GoldenFile* golden) : golden_(golden), empty_(Load("{}")) {
@@ -82,7 +83,7 @@
   Outcome empty_;
 };
 
-// What is needed beside a key so that the rest of its configuration is valid.
+// Returns a configuration with everything else that the key at `path` requires to be valid.
 json BaseFor(const std::string& path) {
   const auto in = [&path](const char* section) { return path.rfind(section, 0) == 0; };
   json base = json::object();
@@ -95,7 +96,8 @@
   return base;
 }
 
-// Puts each of some values, of every type and at both ends of the ranges, at each key that the schema knows.
+// Sets each key that the schema knows to each of a list of values, which has every type and both ends of the
+// ranges.
 class SchemaWalk {
  public:
   explicit SchemaWalk(OutcomeRecorder* recorder) : recorder_(recorder) {}
--- a/tests/config/schema_check_test.cpp
+++ b/tests/config/schema_check_test.cpp
@@ -1,4 +1,4 @@
-// Checking values against a schema.
+// Tests checking values against a schema.
 #include "config/schema_check.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/config/sections_test.cpp
+++ b/tests/config/sections_test.cpp
@@ -1,4 +1,4 @@
-// Decoding of single sections.
+// Tests decoding of single sections.
 #include "config/sections.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/config/settings_text_test.cpp
+++ b/tests/config/settings_text_test.cpp
@@ -1,4 +1,4 @@
-// The settings section as settings text.
+// Tests the conversion of the settings section to settings text.
 #include "config/settings_text.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/config/state_folder_test.cpp
+++ b/tests/config/state_folder_test.cpp
@@ -1,4 +1,4 @@
-// Where state is stored when the configuration names no folder.
+// Tests the default folder for stored state, used if the configuration names none.
 #include "config/state_folder.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/daemon/batch_commands_process_test.cpp
+++ b/tests/daemon/batch_commands_process_test.cpp
@@ -1,4 +1,4 @@
-// The batch commands against a daemon and a node that executes scripts.
+// Runs the batch commands against a daemon and a node that executes scripts.
 #include <fstream>
 #include <sstream>
 
@@ -23,7 +23,7 @@
   CommandResult Run(std::vector<std::string> arguments) {
     return RunCommand(std::move(arguments), environment);
   }
-  // The id that qsub prints.
+  // Runs qsub and returns the job id that it prints.
   std::string RunQsub(std::vector<std::string> arguments) {
     arguments.insert(arguments.begin(), "qsub");
     return WithoutLineEnds(Run(std::move(arguments)).output);
@@ -62,7 +62,7 @@
   const CommandResult status = Run({"qstat", "-f", "-x", id});
   EXPECT_NE(status.output.find("    exit_status = 7\n"), std::string::npos) << status.output;
   EXPECT_NE(status.output.find("    Resource_List.ncpus = 2\n"), std::string::npos);
-  // The command line wins over the script; -z is silent.
+  // Command line options take precedence over the script's directives; -z prints nothing.
   const CommandResult quiet = Run({"qsub", "-z", "-N", "other", "-W", "block=true", script});
   EXPECT_EQ(quiet.output, "");
   EXPECT_NE(ReadFile("out.txt").find("other PBS_BATCH service"), std::string::npos);
@@ -86,12 +86,12 @@
   wait_until_running();
   EXPECT_EQ(Run({"qdel", id}).status, 0);
   EXPECT_EQ(client.AttributeAfterEnd(id, "exit_status"), "271");
-  EXPECT_NE(Run({"qdel", id}).status, 0);  // it has ended already
+  EXPECT_NE(Run({"qdel", id}).status, 0);  // the job has already ended
   id = RunQsub({"-l", "walltime=0.3", script});
   EXPECT_EQ(client.AttributeAfterEnd(id, "exit_status"), "271");
 }
 
-TEST_F(BatchCommands, HoldAlterSelectAndRejectFollowTheDialect) {
+TEST_F(BatchCommands, HoldAlterSelectAndRejectFollowThePbsProtocol) {
   const std::string script = WriteScript("true\n");
   const std::string id = RunQsub({"-h", "-N", "held", script});
   EXPECT_EQ(WithoutLineEnds(Run({"qselect", "-s", "H", "-N", "held"}).output), id);
@@ -107,19 +107,19 @@
   EXPECT_EQ(Run({"qsub", "/no/such/script"}).status, 1);
   EXPECT_EQ(Run({"qdel", "nonsense"}).status, 1);
   EXPECT_EQ(Run({"qstat", "1.d0"}).status, 1);
-  // A job that no node can hold is rejected with a reason, at once.
+  // A job that exceeds every node is rejected at once, with a reason.
   const CommandResult rejected = Run({"qsub", "-l", "ncpus=100", "-W", "block=true", script});
   EXPECT_EQ(rejected.status, 1);
   EXPECT_NE(Run({"qstat", "-Q"}).output.find("keyed"), std::string::npos);
   EXPECT_NE(Run({"qstat", "-B"}).output.find("d0"), std::string::npos);
 }
 
-// The kernel tells who a client is; what its request says does not count.
+// The daemon takes a client's user from the kernel and ignores the user name in the request.
 TEST_F(BatchCommands, AnotherUserCannotCancelReleaseOrPoseAsTheJobOwner) {
   if (geteuid() != 0) GTEST_SKIP() << "needs to start a process as another user";
   const std::string id = RunQsub({"-h", WriteScript("true\n")});
   constexpr unsigned kNobody = 65534;
-  // Copied to where any user may run it: the build folder may be closed to others.
+  // The program is copied because other users may have no access to the build folder.
   ASSERT_EQ(
       RunCommand({"/bin/cp", ProgramFolder() + "/mountflow-batch", folder.File("mountflow-batch")}).status,
       0);
--- a/tests/daemon/configuration_check_process_test.cpp
+++ b/tests/daemon/configuration_check_process_test.cpp
@@ -1,4 +1,4 @@
-// `mountflowd --check` by its exit status.
+// Tests the exit status of `mountflowd --check`.
 #include <gtest/gtest.h>
 
 #include <fstream>
--- a/tests/daemon/daemon_attempts_process_test.cpp
+++ b/tests/daemon/daemon_attempts_process_test.cpp
@@ -1,4 +1,5 @@
-// Attempts over real sockets: cancels that cross replies, and nodes that reply late, twice or not at all.
+// Tests attempts over real sockets: cancels that cross replies, and nodes that reply late, twice or not at
+// all.
 #include "tests/support/daemon_process_fixture.hpp"
 
 namespace mountflow::testing {
@@ -16,10 +17,10 @@
   const std::string id = client.Submit("service");
   const auto ready = node.WaitForRequest(RequestType::kReadyToCommit);
   EXPECT_EQ(other.Delete(id).code, Code::kNone);
-  node.Reply(ready);  // crosses the cancel
+  node.Reply(ready);  // this reply crosses the cancel
   EXPECT_EQ(client.AttributeAfterAnswer(id, "answer"), "deleted");
   EXPECT_EQ(client.Attribute(id, "job_state"), "C");
-  // Another job gets as far as its commit, so the daemon has read that reply.
+  // The commit of another job shows that the daemon has read that reply.
   client.Submit("service");
   node.Reply(node.WaitForRequest(RequestType::kReadyToCommit));
   const auto commit = node.WaitForRequest(RequestType::kCommit);
@@ -41,7 +42,7 @@
   node.Reply(commit);
   node.Reply(stop);
   EXPECT_EQ(client.AttributeAfterAnswer(id, "answer"), "deleted");
-  EXPECT_EQ(client.Attribute(id, "job_state"), "E");  // the report of its end has not come
+  EXPECT_EQ(client.Attribute(id, "job_state"), "E");  // the node has not reported the end yet
   EXPECT_EQ(FakeBatchNode::ReportEnd(daemon.batch_port, commit.request.id, "killed", 271), Code::kNone);
   EXPECT_EQ(client.AttributeAfterEnd(id, "job_state"), "C");
   EXPECT_EQ(client.Attribute(id, "answer"), "deleted");
@@ -53,20 +54,20 @@
   const auto daemon = site.StartDaemon("d0");
   DaemonSite::WaitForNodeCount(daemon, 1);
   BatchClient client(daemon);
-  // Jobs of this queue are idempotent: another node may be tried while this one is silent.
+  // Jobs of this queue are idempotent, so another node may be tried while this one does not reply.
   const std::string id = client.Submit("batch");
   const auto ready = slow.WaitForRequest(RequestType::kReadyToCommit);
   slow.Reply(ready);
   const auto commit = slow.WaitForRequest(RequestType::kCommit);
   site.Publish(good.Entry());
   DaemonSite::WaitForNodeCount(daemon, 2);
-  ASSERT_TRUE(slow.ServeUntil([&] {  // the scheduler library cancels the attempt at the silent node
+  ASSERT_TRUE(slow.ServeUntil([&] {  // the scheduler cancels the attempt at the slow node
     return slow.CountRequests(RequestType::kDeleteJob) == 1;
   }));
   good.Reply(good.WaitForRequest(RequestType::kReadyToCommit));
   good.Reply(good.WaitForRequest(RequestType::kCommit));
   EXPECT_EQ(client.AttributeAfterAnswer(id, "exec_host"), "n2/0");
-  slow.Reply(commit);  // too late: the job runs elsewhere
+  slow.Reply(commit);  // too late: the job runs on the other node
   const auto stop = slow.WaitForRequest(RequestType::kDeleteJob);
   slow.Reply(stop);
   EXPECT_EQ(FakeBatchNode::ReportEnd(daemon.batch_port, commit.request.id, "killed", 271), Code::kNone);
@@ -83,7 +84,7 @@
   node.Reply(ready);
   const auto commit = node.WaitForRequest(RequestType::kCommit);
   node.Reply(commit);
-  node.Reply(commit, Code::kNoRoom, 1, "no cores");  // a second reply, to the contrary
+  node.Reply(commit, Code::kNoRoom, 1, "no cores");  // a second reply that contradicts the first
   EXPECT_EQ(client.AttributeAfterAnswer(id, "answer"), "placed");
   EXPECT_EQ(FakeBatchNode::ReportEnd(daemon.batch_port, commit.request.id, "exited", 0), Code::kNone);
   EXPECT_EQ(FakeBatchNode::ReportEnd(daemon.batch_port, commit.request.id, "evicted", 271),
--- a/tests/daemon/daemon_clients_process_test.cpp
+++ b/tests/daemon/daemon_clients_process_test.cpp
@@ -1,4 +1,5 @@
-// Clients of the batch port over real sockets: those that leave, send malformed bytes, or retry with a key.
+// Tests clients of the batch port over real sockets: clients that disconnect, send malformed bytes, or retry
+// with a key.
 #include "pbs_client/host.hpp"
 #include "pbs_client/submission.hpp"
 #include "tests/support/daemon_process_fixture.hpp"
@@ -29,7 +30,7 @@
   }
   node.AcceptNextAttempt();
   EXPECT_EQ(client.AttributeAfterAnswer(id, "answer"), "placed");
-  // The client comes back with its key: no second job.
+  // A retry with the same key creates no second job.
   const pbs_protocol::Reply again = client.Queue("service", {{"key", "", "k", Op::kSet}});
   EXPECT_EQ(again.code, Code::kExists);
   EXPECT_EQ(again.text, id);
@@ -48,14 +49,15 @@
   const int endless = connect_and_send(std::string(100'000, '9'));
   const int unknown = connect_and_send("+2+12+99+4root");
   char buffer[4096];
-  // The daemon answers with a protocol error and closes; it waits for the rest of the incomplete request.
+  // The daemon replies with a protocol error and closes the connection. It waits for more bytes of the
+  // incomplete request.
   for (const int fd : {endless, unknown}) {
     std::string all;
     for (ssize_t size = 0; (size = recv(fd, buffer, sizeof buffer, 0)) > 0;) {
       all.append(buffer, static_cast<std::size_t>(size));
     }
     pbs_protocol::Reply reply;
-    if (!all.empty()) {  // a reset may overtake the reply where input was left unread
+    if (!all.empty()) {  // a reset may discard the reply if the daemon left input unread
       ASSERT_EQ(pbs_protocol::Decode(all, &reply).state, pbs_protocol::DisState::kOk);
       EXPECT_TRUE(reply.code == Code::kProtocol || reply.code == Code::kUnknownRequest);
     }
@@ -69,8 +71,8 @@
 TEST_F(DaemonClients, KeyedRetryToTheSameDaemonIsOneJob) {
   FakeBatchNode node("n");
   const auto daemon = StartWithNodes({&node});
-  // The daemon is stopped while the client commits, so that no reply comes in time; the client closes its
-  // connection with the commit in the daemon's receive buffer, and retries.
+  // The daemon is suspended while the client commits, so the client's call times out. The client then closes
+  // its connection while the commit is still in the daemon's receive buffer, and retries.
   pbs_client::Submission submission;
   submission.user = "root";
   submission.destination = "service";
@@ -110,7 +112,7 @@
   const auto d1 = site.StartDaemon("d1");
   DaemonSite::WaitForNodeCount(d0, 1);
   DaemonSite::WaitForNodeCount(d1, 1);
-  // The first daemon started the job; its reply to the client was lost.
+  // The first daemon has started the job; its reply to the client is treated as lost.
   BatchClient first(d0), second(d1);
   const std::string id = first.Submit("service", {{"key", "", "k", Op::kSet}});
   const auto commit = node.AcceptNextAttempt();
--- a/tests/daemon/daemon_limits_process_test.cpp
+++ b/tests/daemon/daemon_limits_process_test.cpp
@@ -1,4 +1,4 @@
-// Limits at which a daemon accepts no new jobs: a full disk and a spent budget.
+// Tests the limits beyond which a daemon accepts no new jobs: a full disk and a spent budget.
 #include <ctime>
 #include <fstream>
 #include <thread>
@@ -18,7 +18,7 @@
   TemporaryFolder folder;
 };
 
-// A limit on file sizes simulates a full disk.
+// Simulates a full disk by a limit on the size of files.
 TEST_F(DaemonLimits, FullDiskRejectsNewJobsAndLosesNoneAccepted) {
   const std::vector<std::string> with_small_files = {"/bin/sh", "-c",
                                                      "trap '' XFSZ; ulimit -f 4; exec \"$@\"", "sh"};
@@ -47,7 +47,7 @@
     commit.type = RequestType::kCommit;
     commit.user = "root";
     commit.id = script.id;
-    // The commit cannot be stored, so it gets no reply; new jobs are rejected from then on.
+    // The commit cannot be stored, so it gets no reply, and new jobs are rejected afterwards.
     bool answered = true;
     std::thread commits([&] { answered = large.Call(commit, kWaitLimit).has_value(); });
     pbs_protocol::Reply rejected;
@@ -69,7 +69,7 @@
   EXPECT_FALSE(client.Submit("service", {{"Hold_Types", "", "u", Op::kSet}}).empty());
 }
 
-// The report of usage comes twice, with the daemon killed in between.
+// The node reports the usage twice, and the daemon is killed in between.
 TEST_F(DaemonLimits, UsageIsPostedOnceOverAKillAndASpentBudgetRejectsJobs) {
   FakeBatchNode node("n");
   site.Publish(node.Entry());
@@ -101,12 +101,12 @@
   daemon = start();
   usage = CallHttp(daemon.http_port, "GET", "/v1/use/2026-11-30").body;
   EXPECT_NE(usage.find(expected), std::string::npos) << usage;
-  // The node reports again, as after a lost reply.
+  // The node repeats its report, as it does if the reply was lost.
   EXPECT_EQ(FakeBatchNode::ReportEnd(daemon.batch_port, attempt, "exited", 0, kNoon, kNoon + 3'600'000'000),
             Code::kNone);
   EXPECT_NE(CallHttp(daemon.http_port, "GET", "/v1/use").body.find("\"postings\":1}"), std::string::npos);
   EXPECT_EQ(CallHttp(daemon.http_port, "GET", "/v1/use/2026-11-29").body, "[]\n");
-  // More than the half core-hour of today is spent: new jobs are rejected with the reason.
+  // More than today's budget of half a core-hour is spent, so new jobs are rejected with this reason.
   const Micros now = static_cast<Micros>(time(nullptr)) * 1'000'000;
   DaemonSite::WaitForNodeCount(daemon, 1);
   BatchClient client(daemon);
--- a/tests/daemon/daemon_registry_process_test.cpp
+++ b/tests/daemon/daemon_registry_process_test.cpp
@@ -1,4 +1,4 @@
-// A daemon and its registry: the node list over etcd, leases of nodes, the group of daemons.
+// Tests a daemon and its registry: the node list over etcd, leases of nodes, and the group of daemons.
 #include <fstream>
 
 #include "discovery/etcd.hpp"
@@ -8,7 +8,7 @@
 namespace mountflow::testing {
 namespace {
 
-// As the log has them in a group event.
+// Returns the fields of a group event as the log prints them.
 std::string GroupFields(int size, int index) {
   return R"("group_index":)" + std::to_string(index) + R"(,"group_size":)" + std::to_string(size);
 }
@@ -41,13 +41,13 @@
         CallHttp(port, "POST", "/v3/kv/deleterange", discovery::WriteDelete("mountflow/nodes/o")).status,
         200);
     DaemonSite::WaitForNodeCount(daemon, 1);
-    registry->Kill();  // without it the last view still serves
+    registry->Kill();  // the daemon continues with the last node list
     BatchClient client(daemon);
     const std::string id = client.Submit("service");
     node.AcceptNextAttempt();
     EXPECT_EQ(client.AttributeAfterAnswer(id, "answer"), "placed");
   }
-  const auto daemon = start();  // reads its snapshot
+  const auto daemon = start();  // loads the stored node list
   DaemonSite::WaitForNodeCount(daemon, 1);
   EXPECT_NE(CallHttp(daemon.http_port, "GET", "/v1/status").body.find("\"known\":false"), std::string::npos);
   BatchClient client(daemon);
@@ -73,7 +73,7 @@
         << folder.path() << R"(/jobs"}})";
     const auto daemon = DaemonSite::StartConfiguredDaemon(folder.File("daemon.json"));
     DaemonSite::WaitForNodeCount(daemon, 1);
-    node->Kill();  // its entry stays until the lease expires
+    node->Kill();  // its entry remains until the lease expires
     DaemonSite::WaitForNodeCount(daemon, 0);
   }
 }
@@ -97,7 +97,7 @@
       EXPECT_FALSE(process->ReadLine().empty());
       return process;
     };
-    // Changes of the group are written to the log at once.
+    // Group changes are written to the log at once.
     const auto log_contains = [&folder](const std::string& name, const std::string& text) {
       return WaitForTextInFile(folder.File(name + ".log"), text);
     };
@@ -107,7 +107,7 @@
     EXPECT_TRUE(log_contains("d0", GroupFields(2, 0)));
     EXPECT_TRUE(log_contains("d1", GroupFields(2, 1)));
     registry->Kill();
-    EXPECT_TRUE(log_contains("d0", GroupFields(2, -1)));  // the size is still known, the number is not
+    EXPECT_TRUE(log_contains("d0", GroupFields(2, -1)));  // the group size is still known, the index is not
     EXPECT_TRUE(log_contains("d1", GroupFields(2, -1)));
   }
 }
--- a/tests/daemon/daemon_restart_process_test.cpp
+++ b/tests/daemon/daemon_restart_process_test.cpp
@@ -1,4 +1,5 @@
-// What a daemon that was killed knows after its restart, and the folder in which it stores its jobs.
+// Tests the state that a killed daemon recovers after its restart, and the folder in which it stores its
+// jobs.
 #include <fstream>
 
 #include "tests/support/daemon_process_fixture.hpp"
@@ -28,7 +29,7 @@
     const pbs_protocol::Attributes attributes = {{"key", "", "k", Op::kSet}, {"life", "", "60", Op::kSet}};
     id = client.Submit("service", attributes);
     EXPECT_EQ(client.AttributeAfterAnswer(id, "answer"), "placed");
-    client.Submit("service", {{"life", "", "60", Op::kSet}});  // in flight when the daemon dies
+    client.Submit("service", {{"life", "", "60", Op::kSet}});  // in flight when the daemon is killed
   }
   daemon.process->Kill();
   daemon = site.StartDaemon("d0", {port, "none", {}});
@@ -38,7 +39,7 @@
   EXPECT_EQ(client.Attribute(id, "job_state"), "R");
   EXPECT_EQ(client.Attribute(id, "exec_host"), "n/0");
   EXPECT_EQ(client.Queue("service", {{"key", "", "k", Op::kSet}}).text, id);
-  // The restarted daemon receives the report of its end.
+  // The restarted daemon receives the report of the task's end.
   EXPECT_EQ(client.Delete(id).code, Code::kNone);
   EXPECT_EQ(client.AttributeAfterEnd(id, "job_state"), "C");
 }
@@ -48,30 +49,31 @@
   site.Publish(node.Entry());
   auto daemon = site.StartDaemon("d0", {0, folder.File("jobs"), {}});
   DaemonSite::WaitForNodeCount(daemon, 1);
-  std::string held, placed, ended;
+  std::string held_job, running_job, ended_job;
   {
     BatchClient client(daemon);
-    held = client.Submit("service", {{"Hold_Types", "", "u", Op::kSet}});
-    placed = client.Submit("service", {{"key", "", "k-1", Op::kSet}});
+    held_job = client.Submit("service", {{"Hold_Types", "", "u", Op::kSet}});
+    running_job = client.Submit("service", {{"key", "", "k-1", Op::kSet}});
     node.AcceptNextAttempt();
-    EXPECT_EQ(client.AttributeAfterAnswer(placed, "answer"), "placed");
-    ended = client.Submit("batch");
+    EXPECT_EQ(client.AttributeAfterAnswer(running_job, "answer"), "placed");
+    ended_job = client.Submit("batch");
     const auto commit = node.AcceptNextAttempt();
-    EXPECT_EQ(client.AttributeAfterAnswer(ended, "answer"), "placed");
+    EXPECT_EQ(client.AttributeAfterAnswer(ended_job, "answer"), "placed");
     EXPECT_EQ(FakeBatchNode::ReportEnd(daemon.batch_port, commit.request.id, "exited", 5), Code::kNone);
-    EXPECT_EQ(client.AttributeAfterEnd(ended, "exit_status"), "5");
+    EXPECT_EQ(client.AttributeAfterEnd(ended_job, "exit_status"), "5");
   }
   const int port = daemon.batch_port;
   daemon.process->Kill();
   daemon = site.StartDaemon("d0", {port, folder.File("jobs"), {}});
   BatchClient client(daemon);
-  EXPECT_EQ(client.Attribute(held, "job_state"), "H");
-  EXPECT_EQ(client.Attribute(placed, "answer"), "placed");
-  EXPECT_EQ(client.Attribute(ended, "exit_status", "x"), "5");
-  EXPECT_EQ(client.Call(RequestType::kDeleteJob, held).code, Code::kNone);
+  EXPECT_EQ(client.Attribute(held_job, "job_state"), "H");
+  EXPECT_EQ(client.Attribute(running_job, "answer"), "placed");
+  EXPECT_EQ(client.Attribute(ended_job, "exit_status", "x"), "5");
+  EXPECT_EQ(client.Call(RequestType::kDeleteJob, held_job).code, Code::kNone);
 }
 
-// Killed after the commit was sent and before its reply: the restarted daemon queries the node first.
+// The daemon is killed after it sent the commit and before the reply. The restarted daemon queries the node
+// before it sends anything else.
 TEST_F(DaemonRestart, AttemptInFlightAtAKillIsQueriedAndItsJobAnsweredOnce) {
   for (const bool node_runs_it : {true, false}) {
     const std::string name = node_runs_it ? "d1" : "d2";
@@ -111,7 +113,8 @@
   }
 }
 
-// Danger: a reply that does not wait for the disk must not overtake one that does on the same connection.
+// Guards against reordering: a reply that need not wait for the disk must not overtake an earlier reply on
+// the same connection that must.
 TEST_F(DaemonRestart, RepliesOfOneHttpConnectionStayInOrder) {
   const auto daemon = site.StartDaemon("d0", {0, folder.File("jobs"), {}});
   const auto replies = ExchangeHttpBytes(
@@ -131,7 +134,7 @@
   }
   const std::vector<std::string> second = {"mountflowd", "--batch",   "127.0.0.1:0",      "--http",
                                            "",           "--storage", folder.File("jobs")};
-  EXPECT_EQ(RunCommand(second).status, 1);  // another process has the folder locked
+  EXPECT_EQ(RunCommand(second).status, 1);  // another process has locked the folder
   daemon.process->Kill();
   const std::string file = folder.File("jobs") + "/jobs-00000000000000000001.log";
   {
@@ -139,7 +142,7 @@
     f.seekp(60);
     f.put('\x7f');
   }
-  EXPECT_EQ(RunCommand(second).status, 1);  // a byte of the log is damaged
+  EXPECT_EQ(RunCommand(second).status, 1);  // a byte of the log is corrupt
 }
 
 }  // namespace
--- a/tests/daemon/daemon_tls_process_test.cpp
+++ b/tests/daemon/daemon_tls_process_test.cpp
@@ -1,4 +1,4 @@
-// Registry, nodes and daemons over TLS, each with a certificate of its own.
+// Tests registry, nodes and daemons that communicate over TLS, each with its own certificate.
 #include <fstream>
 
 #include "tests/support/daemon_process_fixture.hpp"
@@ -7,8 +7,8 @@
 namespace mountflow::testing {
 namespace {
 
-// A registry that requires client certificates of its CA, and programs that follow it. All files are in the
-// CA's folder, named after the program.
+// A registry that requires client certificates issued by its CA, and nodes and daemons that use it. All files
+// are in the CA's folder and named after the program.
 class TlsSite {
  public:
   explicit TlsSite(const std::string& registry_kind) : registry_kind_(registry_kind) {
@@ -36,7 +36,8 @@
     EXPECT_FALSE(node->ReadLine().empty());
     return node;
   }
-  // A daemon whose certificate is of `issuer`, which may be another CA than the registry's.
+  // Starts a daemon with a certificate issued by `issuer`, which may be a CA that the registry does not
+  // trust.
   RunningDaemon StartDaemon(Authority* issuer, const std::string& name) {
     issuer->Issue(name, "");
     std::ofstream(ca_.File(name + ".json"))
@@ -63,7 +64,7 @@
   std::string registry_address_;
 };
 
-TEST(DaemonTls, FollowsTheRegistryWhileKeysChangeAndRejectsAStranger) {
+TEST(DaemonTls, FollowsTheRegistryWhileKeysChangeAndRejectsAnUntrustedCertificate) {
   for (const std::string registry_kind : {"consul", "etcd"}) {
     TlsSite site(registry_kind);
     const auto first = site.StartNode("n");
@@ -76,8 +77,8 @@
     const auto second = site.StartNode("m");
     DaemonSite::WaitForNodeCount(daemon, 2);
     const std::string status = CallHttp(daemon.http_port, "GET", "/v1/status").body;
-    EXPECT_NE(status.find("\"breaks\":0"), std::string::npos) << status;  // the watch went on
-    // A daemon without a certificate of the registry's CA learns of no nodes and logs why.
+    EXPECT_NE(status.find("\"breaks\":0"), std::string::npos) << status;  // the watch was not interrupted
+    // A daemon whose certificate the registry does not trust receives no nodes and logs the reason.
     Authority other_ca("another CA");
     const auto stranger = site.StartDaemon(&other_ca, "stranger");
     EXPECT_TRUE(site.LogContains("stranger", "TLS: "));
--- a/tests/daemon/durable_state_test.cpp
+++ b/tests/daemon/durable_state_test.cpp
@@ -1,4 +1,5 @@
-// The state directory: what the next incarnation of the daemon finds, and when a turn is durable.
+// Tests the state directory: the state that the next incarnation of the daemon finds, and when a turn is
+// durable.
 #include "daemon/durable_state.hpp"
 
 #include <gtest/gtest.h>
@@ -26,7 +27,7 @@
 
 class DurableStateTest : public ::testing::Test {
  protected:
-  // One incarnation of a daemon in the directory.
+  // One incarnation of a daemon that uses the directory.
   struct Incarnation {
     Incarnation(const std::string& directory, event_loop::EventLoop* committer_loop)
         : loop(committer_loop),
@@ -35,9 +36,10 @@
       config.storage.folder = directory;
       state = std::make_unique<daemon::DurableState>(config, committer_loop, &fixture.job_manager, &log);
     }
-    // The number of the next durable turn: runs the loop until the committer has reported it.
+    // Runs the event loop until the committer has reported the next durable turn, and returns its number;
+    // nullopt after the time limit.
     std::optional<std::uint64_t> AwaitDurableTurn() {
-      constexpr Micros kTimeLimit = 30'000'000;  // only a failure takes it
+      constexpr Micros kTimeLimit = 30'000'000;  // microseconds; reached only if the test fails
       std::optional<std::uint64_t> number;
       const auto time_limit = loop->AddTimer(loop->Now() + kTimeLimit, [this] { loop->Stop(); });
       loop->SetAfterTurn([this, &number] {
@@ -65,7 +67,7 @@
   }
   ~DurableStateTest() override { std::filesystem::remove_all(directory_); }
 
-  event_loop::EventLoop loop_;  // never runs: the tests ask for the status
+  event_loop::EventLoop loop_;  // runs only in AwaitDurableTurn
   std::string directory_;
 };
 
@@ -92,21 +94,21 @@
   EXPECT_TRUE(incarnation.state->HasHeldTurns());
   EXPECT_EQ(incarnation.AwaitDurableTurn(), 1u);
   EXPECT_FALSE(incarnation.state->HasHeldTurns());
-  EXPECT_EQ(incarnation.state->CommitTurn(0), 2u);  // without records: durable at once
+  EXPECT_EQ(incarnation.state->CommitTurn(0), 2u);  // durable at once because it has no records
   incarnation.state->UpdateStatus();
   EXPECT_EQ(incarnation.state->NextDurableTurn(), 2u);
   EXPECT_EQ(incarnation.state->Rejection(), "");
   EXPECT_FALSE(incarnation.state->IsFull());
 }
 
-TEST_F(DurableStateTest, SecondLifeHasTheJobsOfTheFirst) {
+TEST_F(DurableStateTest, SecondIncarnationHasTheJobsOfTheFirst) {
   std::uint64_t job = 0;
   {
     Incarnation incarnation(directory_, &loop_);
     ASSERT_TRUE(incarnation.state->Open().has_value());
     job = incarnation.fixture.Submit(1);
     ASSERT_EQ(incarnation.state->CommitTurn(0), 1u);
-    incarnation.state->Close();  // commits what waits
+    incarnation.state->Close();  // commits the pending records
   }
   Incarnation incarnation(directory_, &loop_);
   ASSERT_TRUE(incarnation.state->Open().has_value());
@@ -114,7 +116,7 @@
   EXPECT_EQ(incarnation.fixture.job_manager.Find(job)->spec->user, "thandi");
 }
 
-TEST_F(DurableStateTest, DirectoryOfAnotherLifeIsLocked) {
+TEST_F(DurableStateTest, DirectoryOfAnotherIncarnationIsLocked) {
   Incarnation first(directory_, &loop_);
   ASSERT_TRUE(first.state->Open().has_value());
   Incarnation second(directory_, &loop_);
@@ -152,7 +154,7 @@
     std::vector<storage::RecoveryNotice> notices;
     ASSERT_TRUE(log.Open({}, &notices).has_value());
     ASSERT_TRUE(log.Commit({"record"}).has_value());
-    ASSERT_TRUE(log.WriteSnapshot(1, "\x7f").has_value());  // a record of 127 bytes begins, and none follows
+    ASSERT_TRUE(log.WriteSnapshot(1, "\x7f").has_value());  // truncated: announces 127 bytes, contains none
   }
   Incarnation incarnation(directory_, &loop_);
   const daemon::DaemonStatus opened = incarnation.state->Open();
--- a/tests/daemon/event_log_test.cpp
+++ b/tests/daemon/event_log_test.cpp
@@ -1,4 +1,4 @@
-// The form of the log's lines, which tools and operators search.
+// Tests the format of the log lines, which tools and operators search.
 #include "daemon/event_log.hpp"
 
 #include <gtest/gtest.h>
@@ -63,7 +63,7 @@
             "\"text\":\"gone\"}\n");
 }
 
-TEST_F(EventLogTest, EntryLeavesOutWhatItLacks) {
+TEST_F(EventLogTest, EntryOmitsAbsentFields) {
   job_manager::LogEntry entry;
   entry.event = LogEvent::kRestored;
   log_.Write(fixture_.job_manager, entry);
@@ -90,7 +90,7 @@
   EXPECT_EQ(lines_.str(), "");
 }
 
-TEST_F(EventLogTest, BytesThatAreNoTextAreReplaced) {
+TEST_F(EventLogTest, InvalidUtf8IsReplaced) {
   log_.Write(LogEvent::kRequestError, "a\xff");
   EXPECT_EQ(lines_.str(), "warning {\"event\":\"request_error\",\"text\":\"a\xef\xbf\xbd\"}\n");
 }
--- a/tests/daemon/held_replies_test.cpp
+++ b/tests/daemon/held_replies_test.cpp
@@ -1,4 +1,4 @@
-// Which replies a durable turn lets out, and which connections have others held.
+// Tests which replies a durable turn releases, and which connections have other replies held.
 #include "daemon/held_replies.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 
 using Connections = std::vector<event_loop::ConnId>;
 
-TEST(HeldReplies, TurnComesOutWholeByItsNumber) {
+TEST(HeldReplies, TurnIsReleasedWholeByItsNumber) {
   HeldReplies held;
   EXPECT_TRUE(held.IsCurrentTurnEmpty());
   held.SetNodeActions({node_sessions::CloseConn{5}});
@@ -34,7 +34,7 @@
   EXPECT_TRUE(turn.http_replies[0].close);
 }
 
-TEST(HeldReplies, TurnWithoutAnythingIsEmptyWhateverItIsMadeOf) {
+TEST(HeldReplies, TurnWithoutOutputIsEmpty) {
   HeldReplies held;
   held.SetNodeActions({});
   EXPECT_TRUE(held.IsCurrentTurnEmpty());
@@ -75,7 +75,7 @@
   HeldReplies held;
   EXPECT_FALSE(held.HoldsHttpConnection(8));
   held.AddHttpReply({8, "first", false});
-  EXPECT_TRUE(held.HoldsHttpConnection(8));  // also one of the current turn
+  EXPECT_TRUE(held.HoldsHttpConnection(8));  // includes replies of the current turn
   held.CloseTurn(1, kNow);
   held.AddHttpReply({8, "second", false});
   held.CloseTurn(2, kNow);
--- a/tests/daemon/node_list_file_test.cpp
+++ b/tests/daemon/node_list_file_test.cpp
@@ -1,4 +1,4 @@
-// When the node list is saved, and what a start finds.
+// Tests when the node list is saved, and which list is loaded at startup.
 #include "daemon/node_list_file.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/daemon/path_pattern_test.cpp
+++ b/tests/daemon/path_pattern_test.cpp
@@ -1,4 +1,4 @@
-// Which paths a pattern of the table of routes matches, and what its parameter is.
+// Tests which paths a route pattern matches, and the parameter that it returns.
 #include "daemon/path_pattern.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace mountflow::daemon {
 namespace {
 
-TEST(PathPattern, PatternWithoutParameterMatchesThisPathAlone) {
+TEST(PathPattern, PatternWithoutParameterMatchesOnlyThisPath) {
   EXPECT_EQ(MatchPath("/v1/jobs", "/v1/jobs"), "");
   EXPECT_EQ(MatchPath("/v1/jobs", "/v1/jobs/"), std::nullopt);
   EXPECT_EQ(MatchPath("/v1/jobs", "/v1/job"), std::nullopt);
@@ -20,7 +20,7 @@
   EXPECT_EQ(MatchPath("/v1/jobs/{id}", "/v1/jobs"), std::nullopt);
 }
 
-TEST(PathPattern, WhatFollowsTheSegmentMustBeEqual) {
+TEST(PathPattern, TextAfterTheSegmentMustMatch) {
   EXPECT_EQ(MatchPath("/v1/jobs/{id}/hold", "/v1/jobs/7.d0/hold"), "7.d0");
   EXPECT_EQ(MatchPath("/v1/jobs/{id}/hold", "/v1/jobs/7.d0/holds"), std::nullopt);
   EXPECT_EQ(MatchPath("/v1/jobs/{id}/hold", "/v1/jobs/7.d0/hold/"), std::nullopt);
@@ -28,7 +28,7 @@
   EXPECT_EQ(MatchPath("/v1/jobs/{id}/hold", "/v1/jobs/hold"), std::nullopt);
 }
 
-TEST(PathPattern, RestRunsToTheEndOverSlashes) {
+TEST(PathPattern, RestMatchesToTheEndIncludingSlashes) {
   EXPECT_EQ(MatchPath("/v1/jobs/{rest...}", "/v1/jobs/7.d0/hold"), "7.d0/hold");
   EXPECT_EQ(MatchPath("/v1/jobs/{rest...}", "/v1/jobs/"), "");
   EXPECT_EQ(MatchPath("/v1/jobs/{rest...}", "/v1/nodes/7.d0"), std::nullopt);
--- a/tests/daemon/usage_ledger_test.cpp
+++ b/tests/daemon/usage_ledger_test.cpp
@@ -1,4 +1,5 @@
-// What is posted, what reaches which log, and what a start takes from the jobs' log.
+// Tests which usage is posted, which log receives the records, and which records of the jobs' log are applied
+// at startup.
 #include "daemon/usage_ledger.hpp"
 
 #include <gtest/gtest.h>
@@ -103,7 +104,7 @@
     usage_ledger->CommitPosted();
     usage_ledger->Post(fixture_.now, Usage(2));
     for (std::string& record : usage_ledger->RecordsForJobsLog()) records.push_back(std::move(record));
-    usage_ledger->Close();  // the second was not handed to the ledger's log
+    usage_ledger->Close();  // the second record was not passed to the ledger's log
   }
   ASSERT_EQ(records.size(), 2u);
   const auto usage_ledger = OpenLedger(&files_);
@@ -114,10 +115,10 @@
   EXPECT_EQ(usage_ledger->book().last_sequence(), 2u);
   ASSERT_NE(usage_ledger->book().Find(2), nullptr);
   EXPECT_EQ(usage_ledger->book().Find(2)->attempt, "2.d0/1");
-  EXPECT_TRUE(usage_ledger->has_posted());  // for the ledger's log
+  EXPECT_TRUE(usage_ledger->has_posted());  // the record is still to be written to the ledger's log
 }
 
-TEST_F(UsageLedgerTest, RecordsOfTheJobsLogArePassedOverWithoutBilling) {
+TEST_F(UsageLedgerTest, RecordsOfTheJobsLogAreIgnoredWithoutBilling) {
   const auto usage_ledger = NewLedger();
   EXPECT_TRUE(usage_ledger->Replay("L is the mark").has_value());
   EXPECT_EQ(usage_ledger->book().last_sequence(), 0u);
--- a/tests/daemon/wire_golden_test.cpp
+++ b/tests/daemon/wire_golden_test.cpp
@@ -1,6 +1,6 @@
-// Guard of the wires: the bytes of each message, in both directions, as recorded in tests/data/wire.txt. What
-// is written now equals them, and they read back as what was written. The simulator's records stand as
-// literal bytes in codec_test.
+// Guards the wire formats: every message must be encoded to the bytes recorded in tests/data/wire.txt, and
+// the encoded bytes must decode to the original message. The bytes of the simulator's records are literals in
+// codec_test.
 #include <gtest/gtest.h>
 
 #include "daemon/http_api.hpp"
@@ -139,41 +139,41 @@
   golden->AddBytes("etcd.delete", discovery::WriteDelete("k/a"));
 }
 
-// The HTTP interface over jobs in each state.
+// Adds replies of the HTTP API for jobs in each state.
 void AddHttpReplies(GoldenFile* golden) {
   golden->AddBytes("http.request", http::WriteRequest("PUT", "/a?b=c", {{"X-One", "1"}}, "body"));
   golden->AddBytes("http.reply", http::WriteReply(503, {{"Retry-After", "2"}}, "body", false));
   JobManagerFixture fixture;
   pbs_server::PbsServerOptions options;
-  daemon::HttpApi front(&fixture.job_manager, &options, nullptr);
+  daemon::HttpApi http_api(&fixture.job_manager, &options, nullptr);
   fixture.List({JobManagerFixture::Node("a")});
   fixture.ReconcileAll();
-  const std::string placed = fixture.job_manager.JobId(fixture.SubmitAndStart(1, "key-1").attempt.job);
+  const std::string running_job = fixture.job_manager.JobId(fixture.SubmitAndStart(1, "key-1").attempt.job);
   job_manager::JobSpec held;
   held.user = "thandi", held.task_class = 1, held.queue = "safe", held.hold = "u";
-  const std::string waiting = fixture.job_manager.JobId(fixture.Submit(held));
-  int asked = 0;
-  const auto ask = [&](const std::string& method, const std::string& path, const std::string& body = "") {
+  const std::string held_job = fixture.job_manager.JobId(fixture.Submit(held));
+  int request_count = 0;
+  const auto call = [&](const std::string& method, const std::string& path, const std::string& body = "") {
     http::Message request;
     request.method = method;
     request.path = path;
     request.body = body;
     pbs_server::Peer peer;
     peer.user = "thandi";
-    golden->AddBytes("http." + std::to_string(++asked) + "." + method,
-                     front.Handle(fixture.now, request, peer, fixture.now).bytes);
+    golden->AddBytes("http." + std::to_string(++request_count) + "." + method,
+                     http_api.Handle(fixture.now, request, peer, fixture.now).bytes);
     fixture.Collect();
   };
-  ask("GET", "/v1/jobs");
-  ask("GET", "/v1/jobs/" + placed);
-  ask("GET", "/v1/jobs/77.d0");
-  ask("GET", "/v1/use");
-  ask("GET", "/v1/nodes");
-  ask("POST", "/v1/jobs", "{\"script\":\"echo\",\"queue\":\"none\"}");
-  ask("POST", "/v1/jobs/" + waiting + "/release");
-  ask("DELETE", "/v1/jobs/" + placed);
-  ask("PATCH", "/v1/jobs");
-  ask("GET", "/v2");
+  call("GET", "/v1/jobs");
+  call("GET", "/v1/jobs/" + running_job);
+  call("GET", "/v1/jobs/77.d0");
+  call("GET", "/v1/use");
+  call("GET", "/v1/nodes");
+  call("POST", "/v1/jobs", "{\"script\":\"echo\",\"queue\":\"none\"}");
+  call("POST", "/v1/jobs/" + held_job + "/release");
+  call("DELETE", "/v1/jobs/" + running_job);
+  call("PATCH", "/v1/jobs");
+  call("GET", "/v2");
 }
 
 TEST(WireGolden, EachMessageHasTheRecordedBytes) {
@@ -187,7 +187,7 @@
   golden.Compare();
 }
 
-// The other direction: what is recorded is read, whatever is written today.
+// Checks the opposite direction: the recorded bytes can be decoded, independently of the current encoder.
 TEST(WireGolden, RecordedBytesAreRead) {
   std::size_t read = 0;
   const GoldenFile golden("wire.txt");
--- a/tests/http/message_test.cpp
+++ b/tests/http/message_test.cpp
@@ -33,7 +33,7 @@
   const char* name;
   std::string bytes;
   int status;
-  std::string error;  // what error() begins with
+  std::string error;  // expected prefix of error()
 };
 
 void PrintTo(const RejectedInput& input, std::ostream* out) { *out << input.name; }
--- a/tests/support/child_process.hpp
+++ b/tests/support/child_process.hpp
@@ -1,4 +1,4 @@
-// Child processes of a test: started on loopback, waited for by what they write, and killed with the test.
+// Child processes for tests: runs programs, waits for their output, and kills them when the test ends.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_CHILD_PROCESS_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_CHILD_PROCESS_HPP_
 
@@ -23,7 +23,8 @@
 
 namespace mountflow::testing {
 
-inline constexpr Micros kWaitLimit = 30'000'000;  // of any single wait; only a failure takes it
+// Maximum duration of any single wait, in microseconds. Reached only if the test fails.
+inline constexpr Micros kWaitLimit = 30'000'000;
 
 inline Micros MonotonicTime() {
   timespec time;
@@ -31,9 +32,9 @@
   return static_cast<Micros>(time.tv_sec) * 1'000'000u + static_cast<Micros>(time.tv_nsec) / 1000u;
 }
 
-// Checks a condition that another program makes true until it holds; false after kWaitLimit. `holds` asks
-// that program and blocks for its reply, which paces the loop: for states that no program reports as an
-// event.
+// Calls `holds` until it returns true. Returns false if it is still false after kWaitLimit. Meant for states
+// of another program that cause no event: `holds` sends a blocking request to that program, which limits the
+// rate of the loop.
 inline bool PollUntil(const std::function<bool()>& holds) {
   const Micros deadline = MonotonicTime() + kWaitLimit;
   while (!holds()) {
@@ -42,7 +43,7 @@
   return true;
 }
 
-// The folder of the test program, where the build puts all programs.
+// Returns the folder of the test program, into which the build puts all programs.
 inline std::string ProgramFolder() {
   char path[4096] = "";
   const ssize_t length = readlink("/proc/self/exe", path, sizeof path - 1);
@@ -50,11 +51,12 @@
   return text.substr(0, text.rfind('/'));
 }
 
-// A child process with its standard output in a pipe. Standard error is dropped unless MOUNTFLOW_TEST_LOGS is
-// set. The child is killed with the object, and by the kernel when the test program dies.
+// A child process whose standard output is connected to a pipe. Standard error is discarded unless
+// MOUNTFLOW_TEST_LOGS is set. The destructor kills the child; the kernel kills it if the test program dies.
 class Process {
  public:
-  // A program without a '/' in its name is one of ours. `uid`: run as that user, which only root can.
+  // A program name without a '/' refers to a program in ProgramFolder(). With `uid` not 0, the child runs as
+  // that user, which requires root.
   explicit Process(std::vector<std::string> arguments, std::map<std::string, std::string> environment = {},
                    unsigned uid = 0) {
     int pipe_ends[2];
@@ -69,8 +71,8 @@
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  // The next line of its output without the line end; empty when the output has ended or kWaitLimit has
-  // passed.
+  // Returns the next line of the child's output without the line end; empty if the output has ended or
+  // kWaitLimit has passed.
   std::string ReadLine() {
     const Micros deadline = MonotonicTime() + kWaitLimit;
     for (;;) {
@@ -89,20 +91,21 @@
       unread_.append(buffer, static_cast<std::size_t>(size));
     }
   }
-  // All lines up to the first empty one or the end.
+  // Returns all lines up to the first empty line or the end of the output.
   std::string ReadToEnd() {
     std::string all;
     for (std::string line = ReadLine(); !line.empty(); line = ReadLine()) all += line + "\n";
     return all;
   }
-  // Waits for its end: the exit status, or 256 + the signal that ended it.
+  // Waits until the child has ended. Returns its exit status, or 256 plus the number of the signal that
+  // killed it.
   int Wait() {
     int status = 0;
     if (pid_ > 0) waitpid(pid_, &status, 0);
     pid_ = 0;
     return WIFSIGNALED(status) ? 256 + WTERMSIG(status) : WEXITSTATUS(status);
   }
-  // Whether it has ended, without waiting; Wait() still gives its exit status.
+  // Reports whether the child has ended, without waiting. Wait() can still return its exit status.
   bool HasEnded() const {
     siginfo_t info{};
     const bool is_known =
@@ -111,7 +114,7 @@
   }
   void Signal(int number) { kill(pid_, number); }
   int pid() const { return pid_; }
-  // Stops it until Signal(SIGCONT); bytes for it wait in the kernel.
+  // Suspends the child until Signal(SIGCONT). Bytes sent to it meanwhile remain in the kernel's buffers.
   void Halt() {
     kill(pid_, SIGSTOP);
     int status = 0;
@@ -151,11 +154,11 @@
 };
 
 struct CommandResult {
-  int status = 0;  // as Process::Wait
+  int status = 0;  // as returned by Process::Wait()
   std::string output;
 };
 
-// Runs a command to its end.
+// Runs a command until it ends and returns its exit status and output.
 inline CommandResult RunCommand(std::vector<std::string> arguments,
                                 std::map<std::string, std::string> environment = {}, unsigned uid = 0) {
   Process process(std::move(arguments), std::move(environment), uid);
@@ -165,15 +168,15 @@
   return result;
 }
 
-// The port after `label` in a line that a program prints when it is ready, as in "batch 4711, http 4712";
-// 0 where there is none.
+// Returns the port after `label` in the line that a program prints when it is ready, such as "batch 4711,
+// http 4712"; 0 if there is none.
 inline int PortAfter(const std::string& line, const std::string& label) {
   const std::size_t found = line.find(label);
   return found == std::string::npos ? 0 : std::atoi(line.c_str() + found + label.size());
 }
 
-// Waits until a file, which may not exist yet, contains this text ("": anything). Wakes up by changes in its
-// folder.
+// Waits until a file, which need not exist yet, contains `text`; with an empty `text`, until the file is not
+// empty. Watches the file's folder for changes. Returns false after kWaitLimit.
 inline bool WaitForTextInFile(const std::string& path, const std::string& text) {
   const int changes = inotify_init1(IN_CLOEXEC);
   const std::string folder = path.substr(0, path.rfind('/'));
--- a/tests/support/daemon_process_fixture.hpp
+++ b/tests/support/daemon_process_fixture.hpp
@@ -1,4 +1,4 @@
-// The fixture of tests over a site of real programs on loopback, whose nodes are fakes or programs.
+// Fixture for tests of a deployment of real programs on loopback, whose nodes are fakes or programs.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_DAEMON_PROCESS_FIXTURE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_DAEMON_PROCESS_FIXTURE_HPP_
 
@@ -13,7 +13,7 @@
 
 class DaemonProcessTest : public ::testing::Test {
  protected:
-  // A daemon that knows these nodes.
+  // Starts a daemon and waits until it knows these nodes.
   RunningDaemon StartWithNodes(std::initializer_list<const FakeBatchNode*> nodes) {
     for (const FakeBatchNode* node : nodes) site.Publish(node->Entry());
     RunningDaemon daemon = site.StartDaemon("d0");
--- a/tests/support/daemon_site.hpp
+++ b/tests/support/daemon_site.hpp
@@ -1,5 +1,5 @@
-// A site of real programs on loopback: a registry, any number of daemons over it, and clients of their batch
-// ports.
+// A deployment of real programs on loopback: a registry, any number of daemons that use it, and clients of
+// their batch ports.
 #ifndef MOUNTFLOW_TESTS_SUPPORT_DAEMON_SITE_HPP_
 #define MOUNTFLOW_TESTS_SUPPORT_DAEMON_SITE_HPP_
 
@@ -26,12 +26,12 @@
 };
 
 struct DaemonOptions {
-  int batch_port = 0;                       // 0: any free one
+  int batch_port = 0;                       // 0: any free port
   std::string storage_folder = "none";      // "none": jobs are not stored
-  std::vector<std::string> command_prefix;  // a command, with its arguments, that starts the daemon
+  std::vector<std::string> command_prefix;  // command and arguments that run the daemon's command
 };
 
-// A registry and the daemons that read their nodes from it.
+// A registry, and functions that start daemons which read their nodes from it.
 class DaemonSite {
  public:
   DaemonSite() : registry_({"mountflow-registry-standin", "--listen", "127.0.0.1:0"}) {
@@ -52,11 +52,11 @@
                                        "--list", registry_address(), "--storage", options.storage_folder});
     return StartDaemonWith(arguments);
   }
-  // A daemon that has only its configuration file.
+  // Starts a daemon with a configuration file and no other options.
   static RunningDaemon StartConfiguredDaemon(const std::string& file) {
     return StartDaemonWith({"mountflowd", "-c", file});
   }
-  // Waits until a daemon knows so many nodes.
+  // Waits until a daemon knows exactly `nodes` nodes.
   static void WaitForNodeCount(const RunningDaemon& daemon, std::size_t nodes) {
     std::string body;
     const bool reached = PollUntil([&] {
@@ -87,7 +87,7 @@
   int registry_port_ = 0;
 };
 
-// One blocking connection to a daemon's batch port, as user root.
+// A blocking connection to a daemon's batch port, as user root.
 class BatchClient {
  public:
   explicit BatchClient(const RunningDaemon& daemon) {
@@ -116,7 +116,7 @@
     request.attributes = std::move(attributes);
     return Call(request);
   }
-  // Queues and commits a job; returns its id.
+  // Queues and commits a job. Returns its id.
   std::string Submit(const std::string& queue, pbs_protocol::Attributes attributes = {}) {
     const pbs_protocol::Reply queued = Queue(queue, std::move(attributes));
     EXPECT_EQ(queued.code, pbs_protocol::Code::kNone) << queued.text;
@@ -124,7 +124,7 @@
     EXPECT_EQ(committed.code, pbs_protocol::Code::kNone) << committed.text;
     return committed.text;
   }
-  // Deletes a job; a running one is stopped at its node.
+  // Deletes a job. A running job is stopped on its node.
   pbs_protocol::Reply Delete(const std::string& id) {
     pbs_protocol::Request request;
     request.type = pbs_protocol::RequestType::kDeleteJob;
@@ -136,7 +136,7 @@
     const pbs_protocol::Reply reply = Call(pbs_protocol::RequestType::kStatusJob, id, extension);
     return reply.objects.empty() ? "" : std::string(pbs_protocol::ValueOf(reply.objects[0].attributes, name));
   }
-  // An attribute once the job has its final answer, or its end.
+  // Returns an attribute after the job has its final answer or, for the second function, after it has ended.
   std::string AttributeAfterAnswer(const std::string& id, const std::string& name) {
     return Attribute(id, name, "wait=answer,seconds=25");
   }
--- a/tests/support/loopback_http.hpp
+++ b/tests/support/loopback_http.hpp
@@ -25,7 +25,7 @@
 
 enum class ReadReplies { kUntilClosed, kFirstOnly };
 
-// Sends bytes and returns the replies that came before the other side closed, or the first one only.
+// Sends bytes and returns the replies: all until the other side closes the connection, or only the first.
 inline std::vector<http::Message> ExchangeHttpBytes(int port, const std::string& bytes,
                                                     ReadReplies wanted = ReadReplies::kUntilClosed) {
   constexpr std::size_t kMaxReplyBytes = 64 << 20;
@@ -45,7 +45,7 @@
   return {reader.messages().begin(), reader.messages().end()};
 }
 
-// One exchange; a message with status 0 where no reply came.
+// Sends one request and returns the reply; its status is 0 if none was received.
 inline http::Message CallHttp(int port, const std::string& method, const std::string& target,
                               const std::string& body = "") {
   const std::string request =
