--- a/tests/registry_standin/consul_blocking_query_test.cpp
+++ b/tests/registry_standin/consul_blocking_query_test.cpp
@@ -1,4 +1,4 @@
-// Blocking queries of the Consul stand-in.
+// Tests of the blocking queries of the fake Consul.
 #include <gtest/gtest.h>
 
 #include <map>
--- a/tests/registry_standin/key_value_store_test.cpp
+++ b/tests/registry_standin/key_value_store_test.cpp
@@ -1,4 +1,4 @@
-// The store of the stand-in registries and its leases.
+// Tests of the key-value store and of the lease table of the fake registries.
 #include "tools/registry_standin/key_value_store.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 const KeyRange kAllKeys = {"", std::string(1, '\0')};
 
-TEST(KeyRange, AnEmptyEndMeansOneKeyAndAZeroByteAllFromThereOn) {
+TEST(KeyRange, AnEmptyEndSelectsOneKeyAndAZeroByteAllKeysFromTheFirstOn) {
   EXPECT_TRUE((KeyRange{"b", ""}.Contains("b")));
   EXPECT_FALSE((KeyRange{"b", ""}.Contains("ba")));
   EXPECT_TRUE((KeyRange{"b", "d"}.Contains("c")));
@@ -58,7 +58,7 @@
   EXPECT_TRUE(changes[1]->removed);
 }
 
-TEST(KeyValueStore, RestoringDropsWhatCameAfterAndRewindingKeepsTheKeys) {
+TEST(KeyValueStore, RestoringDropsLaterChangesAndRewindingKeepsTheKeys) {
   KeyValueStore restored;
   restored.Commit(2, {Change::Write("a", "1")});
   restored.Commit(3, {Change::Write("b", "1")});
@@ -71,7 +71,7 @@
   rewound.RewindTo(2);
   EXPECT_EQ(rewound.KeysWithPrefix(""), (std::vector<std::string>{"a", "b"}));
   EXPECT_EQ(rewound.entries().at("b").modify_revision, 2u);
-  EXPECT_EQ(rewound.last_removal(), 2u) << "what was removed in between cannot be told";
+  EXPECT_EQ(rewound.last_removal(), 2u) << "removals in between are not recorded";
 }
 
 TEST(KeyValueStore, FindsKeysByPrefix) {
@@ -99,7 +99,7 @@
   EXPECT_EQ(leases.NextExpiry(), kNoTimer);
 }
 
-TEST(LeaseTable, LeasesExpireInTheOrderOfTheirIdsWhateverTheirTimes) {
+TEST(LeaseTable, LeasesExpireInTheOrderOfTheirIdsRegardlessOfTheirTimes) {
   LeaseTable<std::string> leases;
   leases.Grant(0, "session-2", 1);
   leases.Grant(0, "session-10", 2);
--- a/tests/registry_standin/registry_protocols_test.cpp
+++ b/tests/registry_standin/registry_protocols_test.cpp
@@ -1,4 +1,4 @@
-// The protocol views of the stand-in registries: their routes, the order in which things happen, and fault
+// Tests of the protocols of the fake registries: routes, the order of expiry, changes and replies, and fault
 // injection.
 #include <gtest/gtest.h>
 
@@ -41,7 +41,7 @@
   return replies.empty() ? http::Message{} : ParseReply(replies.front());
 }
 
-TEST(ConsulDuration, HasAUnitAndIsNothingElse) {
+TEST(ConsulDuration, AcceptsOnlyANumberWithAUnit) {
   EXPECT_EQ(ParseDuration("10s"), 10 * kSecond);
   EXPECT_EQ(ParseDuration("500ms"), 500'000u);
   EXPECT_EQ(ParseDuration("5m"), 300 * kSecond);
@@ -89,7 +89,7 @@
   EXPECT_EQ(acquire("session-3").status, 500);
 }
 
-// The reply names the session after it is gone from the table.
+// Checks that the reply contains the session id although the session was already removed from the table.
 TEST(ConsulRegistry, DestroyingASessionNamesItAndDeletesItsKeys) {
   ConsulRegistry registry;
   registry.Handle(0, 1, Request("PUT", "/v1/session/create"));
@@ -112,7 +112,7 @@
   EXPECT_EQ(Ask(&registry, 0, Request("PUT", "/v1/delay", "", {{"ms", "5"}})).status, 200);
 }
 
-// The stand-in with a delay of visibility, at an index of 10, with one change pending.
+// A fake Consul at index 10 with a visibility delay and one pending change.
 class ConsulRestore : public ::testing::Test {
  protected:
   static constexpr Micros kDelay = 300'000;
@@ -129,7 +129,7 @@
         "GET", "/v1/kv/", "", {{"recurse", ""}, {"wait", "10s"}, {"index", std::to_string(known_index)}});
     registry_.Handle(kWrittenAt, connection, read);
   }
-  // The index that the read of this connection was answered with; 0: it still waits.
+  // Returns the index in the reply to this connection's read; 0 if the read is still waiting.
   ConsulIndex AnsweredIndex(ConnectionId connection) {
     for (const Reply& reply : registry_.Take()) {
       if (reply.connection == connection) return std::stoull(ParseReply(reply).Header("x-consul-index"));
@@ -141,7 +141,7 @@
   ConsulRegistry registry_;
 };
 
-// Guards against pending changes that hide from readers that the index went back.
+// Guards against pending changes that raise the index again, so that readers miss that it moved back.
 TEST_F(ConsulRestore, APendingChangeDoesNotRaiseTheIndexOverTheOneReadersKnow) {
   registry_.RestoreIndex(5);
   ReadFrom(1, kKnownIndex);
@@ -198,7 +198,7 @@
   EXPECT_EQ(Ask(&catalog, 5 * kSecond, Request("GET", "/v1/catalog/service/s")).body, "[]");
 }
 
-TEST(ConsulCatalog, LeavesPathsThatAreNotItsOwn) {
+TEST(ConsulCatalog, IgnoresPathsOutsideTheCatalog) {
   ConsulCatalog catalog;
   EXPECT_FALSE(catalog.Handle(0, 1, Request("GET", "/v1/kv/a")));
   EXPECT_TRUE(catalog.Take().empty());
@@ -264,7 +264,8 @@
   EXPECT_NE(range.body.find(R"("cluster_id":"2")"), std::string::npos);
 }
 
-// Guards against a lease that a restore made forget that its key had gone over to another lease.
+// Guards against the expiry of a lease that deletes a key which was attached to another lease after a
+// restore.
 TEST(EtcdRegistry, AKeyPutUnderAnotherLeaseAfterARestoreOutlivesItsFirstLease) {
   EtcdRegistry registry;
   for (const char* body : {R"({"ID": "1", "TTL": "5"})", R"({"ID": "2", "TTL": "60"})"}) {
@@ -291,7 +292,8 @@
   EXPECT_EQ(registry.Now().count("node"), 1u);
 }
 
-// Guards against a lease that takes a key created anew after it was deleted.
+// Guards against the expiry of a lease that deletes a key which was deleted and created again without a
+// lease.
 TEST(EtcdRegistry, ADeletedKeyBelongsToNoLease) {
   EtcdRegistry registry;
   registry.Handle(0, 1, Request("POST", "/v3/lease/grant", R"({"ID": "1", "TTL": "5"})"));
@@ -353,7 +355,7 @@
   EXPECT_NE(Ask(&backend, 0, read).body.find(R"("revision":"1")"), std::string::npos);
 }
 
-TEST(ConsulBackend, LeavesTheConnectionOpenWhereTheClientAskedToCloseIt) {
+TEST(ConsulBackend, LeavesTheConnectionOpenIfTheClientRequestedToCloseIt) {
   ConsulBackend backend(0);
   http::Message request = Request("GET", "/v1/kv/a");
   request.keep_alive = false;
--- a/tests/registry_standin/registry_replies_test.cpp
+++ b/tests/registry_standin/registry_replies_test.cpp
@@ -1,6 +1,6 @@
-// Guard: all reply bytes of the stand-in registries over recorded runs, held against tests/data. Both
-// protocols are driven through every route, with expiry, lost leaders, restored histories and compaction;
-// then longer random runs are compared by a digest.
+// Golden test: compares all reply bytes of the fake registries with those recorded in tests/data. The runs
+// cover every route of both protocols, with expiry, loss of the leader, restored histories and compaction.
+// Longer random runs are compared by a digest.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -36,7 +36,7 @@
   return std::to_string(connection) + (close ? " closes\n" : "\n") + bytes;
 }
 
-// The key-value part and the catalog, as the server joins them.
+// The key-value store and the catalog, combined as in the server.
 class ConsulRun {
  public:
   void Send(std::uint64_t connection, const http::Message& request) {
@@ -74,7 +74,7 @@
   Micros now = kStart;
 };
 
-// Runs steps and records the replies of each under a running number.
+// Runs steps and records the replies of each step under a sequence number.
 template <typename Run>
 class Recording {
  public:
@@ -460,7 +460,7 @@
   return digest.Value();
 }
 
-TEST(RegistryReplies, AreThoseRecorded) {
+TEST(RegistryReplies, MatchTheRecordedReplies) {
   GoldenFile golden("registry_replies.txt");
   RecordConsulKeys(&golden);
   RecordConsulSessions(&golden);
--- a/tools/registry_standin/consul_blocking_query.cpp
+++ b/tools/registry_standin/consul_blocking_query.cpp
@@ -8,7 +8,7 @@
 
 constexpr Micros kDefaultWait = 300'000'000;
 constexpr Micros kMaxWait = 600'000'000;
-constexpr double kMaxDuration = 1e6;  // in its unit; larger ones count as none
+constexpr double kMaxDuration = 1e6;  // in its own unit; larger values are invalid
 
 double MicrosOfUnit(const std::string& unit) {
   if (unit == "ms") return 1e3;
--- a/tools/registry_standin/consul_blocking_query.hpp
+++ b/tools/registry_standin/consul_blocking_query.hpp
@@ -1,7 +1,7 @@
-// What Consul's key-value store and its catalog have in common: durations, errors and blocking queries.
+// Code shared by Consul's key-value store and its catalog: durations, errors and blocking queries.
 //
-// A blocking query names the index that its client knows. It is answered when there is a newer one, and after
-// its wait at the latest.
+// A blocking query carries the last index that its client has seen. It is answered when a newer index exists,
+// or when its wait time has passed.
 #ifndef MOUNTFLOW_TOOLS_REGISTRY_STANDIN_CONSUL_BLOCKING_QUERY_HPP_
 #define MOUNTFLOW_TOOLS_REGISTRY_STANDIN_CONSUL_BLOCKING_QUERY_HPP_
 
@@ -18,16 +18,16 @@
 
 using ConsulIndex = std::uint64_t;
 
-// An HTTP status and the plain text that Consul sends with it.
+// An HTTP error status and the plain-text body that Consul sends with it.
 struct ConsulError {
   int status = 0;
   std::string text;
 };
 
-// The body of a reply with status 200; without one the reply was written already, or a blocking query waits.
+// The body of a reply with status 200. Empty if the reply was already written or a blocking query is waiting.
 using ConsulResult = tl::expected<std::optional<std::string>, ConsulError>;
 
-// Reads 10s, 500ms or 5m; 0 for what is no duration.
+// Parses a duration such as 10s, 500ms or 5m. Returns 0 if `text` is not a valid duration.
 [[nodiscard]] Micros ParseDuration(const std::string& text);
 
 struct BlockingQuery {
@@ -37,15 +37,15 @@
   Micros expires_at = 0;
 };
 
-// Reads `index` and `wait`; the wait is five minutes by default and ten at most.
+// Parses the query parameters `index` and `wait`. The wait is five minutes by default and at most ten.
 [[nodiscard]] BlockingQuery ParseBlockingQuery(Micros now, ConnectionId connection,
                                                const http::Message& request);
 
-// The reply to a query, with Consul's headers.
+// Returns the reply to a query, with Consul's headers.
 [[nodiscard]] Reply WriteQueryReply(const BlockingQuery& query, int status, ConsulIndex index,
                                     bool has_leader, const std::string& body);
 
-// The reply to any other request.
+// Returns the reply to a request that is not a query.
 [[nodiscard]] Reply WriteConsulReply(ConnectionId connection, bool keep_alive, int status,
                                      const std::string& body);
 
--- a/tools/registry_standin/consul_catalog.cpp
+++ b/tools/registry_standin/consul_catalog.cpp
@@ -28,7 +28,8 @@
   return text;
 }
 
-// Member names in lower case at all depths, except below Meta, whose names are the user's.
+// Returns `value` with member names in lower case at all depths, except below Meta, whose names belong to the
+// user.
 json WithLowerCaseNames(const json& value) {
   if (!value.is_object()) return value;
   json lower = json::object();
@@ -114,7 +115,7 @@
   return Succeed();
 }
 
-// /v1/agent/check/VERB/service:ID
+// Handles /v1/agent/check/VERB/service:ID.
 ConsulResult ConsulCatalog::UpdateCheck(const Request& request) {
   constexpr std::string_view kServicePrefix = "service:";
   const std::size_t slash = request.rest.find('/');
--- a/tools/registry_standin/consul_catalog.hpp
+++ b/tools/registry_standin/consul_catalog.hpp
@@ -1,7 +1,7 @@
-// A stand-in for the services of a Consul agent and their health checks, written from the published HTTP
+// A fake of the services of a Consul agent and their health checks, written from the published HTTP
 // interface: registration with a TTL check, check results, maintenance mode, and blocking queries of
-// /v1/health/service and /v1/catalog/service. Member names in request bodies are accepted in any case, as
-// Consul does. No I/O.
+// /v1/health/service and /v1/catalog/service. As in Consul, member names in request bodies are not
+// case-sensitive. The catalog does no I/O.
 #ifndef MOUNTFLOW_TOOLS_REGISTRY_STANDIN_CONSUL_CATALOG_HPP_
 #define MOUNTFLOW_TOOLS_REGISTRY_STANDIN_CONSUL_CATALOG_HPP_
 
@@ -18,31 +18,32 @@
 
 namespace mountflow::registry_standin {
 
-// Not thread-safe. Times never decrease from call to call.
+// Holds the registered services and the waiting queries. Not thread-safe. Times must not decrease from call
+// to call.
 class ConsulCatalog {
  public:
-  // False when the path is not one of the catalog's; otherwise the reply comes by Take().
+  // Returns false if the path does not belong to the catalog. Otherwise Take() returns the reply.
   bool Handle(Micros now, ConnectionId connection, const http::Message& request);
-  // The connection is gone: its queries are not answered any more.
+  // Drops the waiting queries of a closed connection.
   void Forget(ConnectionId connection);
-  // Expires checks, removes services that were critical for too long and answers queries.
+  // Expires checks, removes services that have been critical for too long, and answers due queries.
   void Tick(Micros now);
-  // When Tick() must be called; kNoTimer: not before the next request.
+  // Returns the time of the next required Tick(); kNoTimer if none is needed before the next request.
   [[nodiscard]] Micros NextTimer() const;
-  // The replies written since the last call.
+  // Returns and clears the replies written since the last call.
   std::vector<Reply> Take();
 
  private:
   struct Service {
     std::string name;
     std::string address;
-    std::string status = "critical";  // of its check
+    std::string status = "critical";  // status of its check
     int port = 0;
     nlohmann::json meta = nlohmann::json::object();
     nlohmann::json tags = nlohmann::json::array();
     Micros check_ttl = 0;  // 0: no check
     Micros check_expires_at = kNoTimer;
-    Micros deregister_after = 0;  // once critical for so long; 0: never
+    Micros deregister_after = 0;  // after being critical for this time; 0: never
     Micros deregister_at = kNoTimer;
     bool in_maintenance = false;
     ConsulIndex create_index = 0;
@@ -58,7 +59,7 @@
     Micros now;
     ConnectionId connection;
     const http::Message& message;
-    std::string rest;  // of the path, after the route's prefix
+    std::string rest;  // the part of the path after the route's prefix
   };
   struct Route {
     std::string_view prefix;
@@ -66,7 +67,7 @@
     ConsulResult (ConsulCatalog::*handler)(const Request&);
   };
 
-  // Any method will do: Consul before version 1.0 accepted GET for check results.
+  // Routes match any HTTP method, because Consul before version 1.0 accepted GET for check results.
   static const Route kRoutes[];
 
   ConsulResult Register(const Request& request);
@@ -85,7 +86,7 @@
   void Answer(const ServiceQuery& query);
 
   std::map<std::string, Service> services_;              // by service id
-  std::map<std::string, ConsulIndex> index_of_service_;  // by name; stays when the last one is gone
+  std::map<std::string, ConsulIndex> index_of_service_;  // by name; outlives the last such service
   ConsulIndex last_index_ = 1;
   std::vector<ServiceQuery> waiting_;
   std::vector<Reply> replies_;
--- a/tools/registry_standin/consul_registry.cpp
+++ b/tools/registry_standin/consul_registry.cpp
@@ -56,7 +56,7 @@
     found = &route;
     break;
   }
-  // The delay is the stand-in's own and needs no cluster.
+  // The delay is an extension of this program and needs no leader.
   const bool is_write = message.method != "GET";
   const bool needs_cluster = found == nullptr || found->handler != &ConsulRegistry::SetDelayByRequest;
   if (!has_leader_ && is_write && needs_cluster) return Fail(500, kNoLeader);
@@ -86,7 +86,7 @@
   return SucceedWithSession(request.rest);
 }
 
-// /v1/session/destroy/ID; any other verb than renew counts as this.
+// Handles /v1/session/destroy/ID. Any verb other than create and renew is also treated as destroy.
 ConsulResult ConsulRegistry::DestroySession(const Request& request) {
   const std::size_t slash = request.rest.find('/');
   const std::string id = slash == std::string::npos ? "" : request.rest.substr(slash + 1);
@@ -155,8 +155,8 @@
   for (const std::string& key : store_.KeysWithPrefix(prefix)) Delete(now, key);
 }
 
-// Danger: a pending change that kept its index of the lost history would raise the index over what readers
-// know, and they could not tell that it went back.
+// Renumbers the pending changes. If a pending change still had its index from the lost history, it would
+// raise the index above the one that readers have seen, and they could not detect that the index moved back.
 void ConsulRegistry::RestoreIndex(ConsulIndex index) {
   last_index_ = index;
   for (PendingChange& change : pending_) change.index = ++last_index_;
@@ -225,7 +225,7 @@
 // ---- Answers ----
 
 ConsulIndex ConsulRegistry::IndexOf(const KeyQuery& query) const {
-  // A removal leaves no key that could tell its index, so that it counts for every prefix.
+  // A removed key has no entry that stores the index of the removal, so a removal counts for every prefix.
   ConsulIndex index = std::max<ConsulIndex>(1, store_.last_removal());
   const KeyValueStore::Entries& entries = store_.entries();
   for (auto it = entries.lower_bound(query.key); it != entries.end(); ++it) {
--- a/tools/registry_standin/consul_registry.hpp
+++ b/tools/registry_standin/consul_registry.hpp
@@ -1,6 +1,6 @@
-// A stand-in for Consul's key-value store and its sessions, written from the published HTTP interface: /v1/kv
-// and /v1/session, with blocking queries. Changes become visible to readers after a configurable delay. No
-// I/O.
+// A fake of Consul's key-value store and its sessions, written from the published HTTP interface: /v1/kv and
+// /v1/session, with blocking queries. Changes become visible to readers after a configurable delay. The
+// registry does no I/O.
 #ifndef MOUNTFLOW_TOOLS_REGISTRY_STANDIN_CONSUL_REGISTRY_HPP_
 #define MOUNTFLOW_TOOLS_REGISTRY_STANDIN_CONSUL_REGISTRY_HPP_
 
@@ -19,36 +19,39 @@
 
 namespace mountflow::registry_standin {
 
-// Not thread-safe. Times never decrease from call to call.
+// Holds the keys, the sessions and the waiting queries. Not thread-safe. Times must not decrease from call to
+// call.
 class ConsulRegistry {
  public:
-  // Besides Consul's own paths, PUT /v1/delay?ms=N sets the delay of visibility.
+  // Handles one request. In addition to Consul's own paths, PUT /v1/delay?ms=N sets the time in milliseconds
+  // until a change becomes visible.
   void Handle(Micros now, ConnectionId connection, const http::Message& request);
-  // The connection is gone: its queries are not answered any more.
+  // Drops the waiting queries of a closed connection.
   void Forget(ConnectionId connection);
-  // Expires sessions, makes changes visible and answers queries, in this order: the keys of a session that
-  // expires go in the same call where there is no delay, and wake the queries.
+  // Expires sessions, makes due changes visible and answers due queries, in this order. Without a delay, the
+  // keys of an expired session are therefore deleted in the same call, which also answers the queries on
+  // them.
   void Tick(Micros now);
-  // When Tick() must be called; kNoTimer: not before the next request.
+  // Returns the time of the next required Tick(); kNoTimer if none is needed before the next request.
   [[nodiscard]] Micros NextTimer() const;
-  // The replies written since the last call.
+  // Returns and clears the replies written since the last call.
   std::vector<Reply> Take();
 
-  // The newest index that readers see.
+  // Returns the newest index that is visible to readers.
   [[nodiscard]] ConsulIndex index() const { return store_.revision(); }
 
-  // ---- As other clients would do it ----
+  // ---- Changes made on behalf of other clients ----
   void Put(Micros now, const std::string& key, const std::string& value);
   void Delete(Micros now, const std::string& key);
   void DeletePrefix(Micros now, const std::string& prefix);
 
   // ---- Fault injection ----
   void SetDelay(Micros delay) { delay_ = delay; }
-  // The index goes back, as after a restore from a backup; the keys stay, and pending changes count up from
-  // it.
+  // Moves the index back, as after a restore from a backup. The keys stay, and pending changes get the
+  // indices that follow `index`.
   void RestoreIndex(ConsulIndex index);
-  // Without a leader, writes and reads that do not accept stale data get status 500. A new leader renews all
-  // sessions.
+  // Sets whether the cluster has a leader. Without one, writes and reads that do not accept stale data get
+  // status 500. A new leader renews all sessions.
   void SetLeader(Micros now, bool known);
 
  private:
@@ -56,7 +59,7 @@
     Micros now;
     ConnectionId connection;
     const http::Message& message;
-    std::string rest;  // of the path, after the route's prefix
+    std::string rest;  // the part of the path after the route's prefix
   };
   struct Route {
     std::string_view method;  // empty: any
@@ -68,7 +71,7 @@
     BlockingQuery blocking;
     std::string key;
     bool recurse = false;  // `key` is a prefix
-    bool stale = false;    // an answer without a leader will do
+    bool stale = false;    // also answered without a leader
   };
   struct PendingChange {
     Micros visible_at = 0;
@@ -76,7 +79,7 @@
     KeyValueStore::Change change;
   };
 
-  // The first that matches; a path of no route is not found.
+  // The first matching route handles a request. A path without a route gets status 404.
   static const Route kRoutes[];
 
   [[nodiscard]] ConsulResult Dispatch(Request request);
@@ -91,19 +94,19 @@
 
   void AddPending(Micros now, KeyValueStore::Change change);
   void ExpireSessions(Micros now);
-  // Returns whether a change became visible.
+  // Returns whether any change became visible.
   bool ApplyDueChanges(Micros now);
   void AnswerDueQueries(Micros now, bool changed);
   void Answer(const KeyQuery& query);
-  // The newest index of the query's keys, removals included.
+  // Returns the newest index of the query's keys, including removals.
   [[nodiscard]] ConsulIndex IndexOf(const KeyQuery& query) const;
 
-  KeyValueStore store_;  // what readers see
+  KeyValueStore store_;  // visible to readers
   std::deque<PendingChange> pending_;
-  ConsulIndex last_index_ = 1;  // of all changes, pending ones included
+  ConsulIndex last_index_ = 1;  // of all changes, including pending ones
   Micros delay_ = 0;
   LeaseTable<std::string> sessions_;
-  std::map<std::string, std::string> session_of_key_;  // a key's lock, kept when the key is deleted
+  std::map<std::string, std::string> session_of_key_;  // the key's lock; survives deletion of the key
   std::uint64_t last_session_number_ = 0;
   bool has_leader_ = true;
   std::vector<KeyQuery> waiting_;
--- a/tools/registry_standin/etcd_json.cpp
+++ b/tools/registry_standin/etcd_json.cpp
@@ -47,7 +47,7 @@
 
 std::string WriteStreamMessage(const json& result) {
   const std::string line = json{{"result", result}}.dump() + "\n";
-  std::array<char, 16> hex;  // a size of 64 bits has at most 16 digits
+  std::array<char, 16> hex;  // a 64-bit size has at most 16 hex digits
   const auto written = std::to_chars(hex.data(), hex.data() + hex.size(), line.size(), 16);
   return std::string(hex.data(), written.ptr) + "\r\n" + line + "\r\n";
 }
--- a/tools/registry_standin/etcd_registry.cpp
+++ b/tools/registry_standin/etcd_registry.cpp
@@ -144,7 +144,7 @@
 EtcdRegistry::Result EtcdRegistry::DeleteByRequest(const Request& request) {
   const std::size_t deleted = DeleteRange(request.now, RangeOf(request.body));
   json reply = NewReply();
-  if (deleted != 0) reply["deleted"] = NumberText(deleted);  // the gateway leaves zeroes out
+  if (deleted != 0) reply["deleted"] = NumberText(deleted);  // the gateway omits zeroes
   return reply;
 }
 
@@ -173,7 +173,8 @@
   return reply;
 }
 
-// The gateway answers as a stream of one message; an unknown lease has no TTL in it.
+// Replies in the form of a stream with one message, as the gateway does. The message has no TTL if the lease
+// is unknown.
 EtcdRegistry::Result EtcdRegistry::KeepLeaseAlive(const Request& request) {
   const std::uint64_t id = NumberOf(request.body, "ID");
   leases_.Renew(request.now, id);
--- a/tools/registry_standin/etcd_registry.hpp
+++ b/tools/registry_standin/etcd_registry.hpp
@@ -1,5 +1,5 @@
-// A stand-in for etcd, written from the public protocol definition and driven through its JSON gateway:
-// range, put, deleterange, watch, leases, compaction and authentication. No I/O.
+// A fake of etcd, written from the public protocol definition and accessed through its JSON gateway: range,
+// put, deleterange, watch, leases, compaction and authentication. The registry does no I/O.
 #ifndef MOUNTFLOW_TOOLS_REGISTRY_STANDIN_ETCD_REGISTRY_HPP_
 #define MOUNTFLOW_TOOLS_REGISTRY_STANDIN_ETCD_REGISTRY_HPP_
 
@@ -25,7 +25,7 @@
 
 namespace mountflow::registry_standin {
 
-// The codes of gRPC that the gateway puts in the bodies of its errors.
+// The gRPC status codes that the gateway puts in the bodies of its error replies.
 enum class GrpcCode {
   kInvalidArgument = 3,
   kNotFound = 5,
@@ -38,20 +38,20 @@
   GrpcCode code = GrpcCode::kInvalidArgument;
   std::string message;
 
-  // The status with which the gateway answers.
+  // Returns the HTTP status that the gateway uses for this error.
   [[nodiscard]] int HttpStatus() const;
 };
 
-// Faults that tests and the chaos kit inject.
+// Faults that tests inject.
 struct EtcdFaults {
-  std::string user;  // where set, a token is required, which this user gets with this password
+  std::string user;  // if set, requests need a token, issued for this user and password
   std::string password;
-  // Compacts up to here when a range is read at a given revision, which is how a client reads its second
-  // page. Happens once; 0: never.
+  // Compacts the revisions before this one when a client reads a range at a given revision, as it does for
+  // the second page of a list. Happens once; 0: never.
   Revision compact_at_page = 0;
 };
 
-// Not thread-safe. Times never decrease from call to call.
+// Holds the keys, leases, tokens and watches. Not thread-safe. Times must not decrease from call to call.
 class EtcdRegistry {
  public:
   EtcdRegistry() : watches_(&cluster_, &replies_) {}
@@ -59,40 +59,43 @@
   EtcdRegistry& operator=(const EtcdRegistry&) = delete;
 
   void Handle(Micros now, ConnectionId connection, const http::Message& request);
-  // The connection is gone, and with it its watch.
+  // Ends the watch of a closed connection.
   void Forget(ConnectionId connection);
-  // Expires leases and then sends progress notifications, which thus name the revision after the expiry.
+  // Expires leases and then sends progress notifications, which therefore carry the revision after the
+  // expiry.
   void Tick(Micros now);
-  // When Tick() must be called; kNoTimer: not before the next request.
+  // Returns the time of the next required Tick(); kNoTimer if none is needed before the next request.
   [[nodiscard]] Micros NextTimer() const;
-  // The replies written since the last call.
+  // Returns and clears the replies written since the last call.
   std::vector<Reply> Take();
 
-  // ---- As other clients would do it; each is one revision, which is returned ----
+  // ---- Changes made on behalf of other clients ----
+  // Put(), PutAll() and Delete() each commit one revision and return it.
   Revision Put(Micros now, const std::string& key, const std::string& value, std::uint64_t lease = 0);
   Revision PutAll(Micros now, const std::vector<std::pair<std::string, std::string>>& pairs);
-  // Without such a key the revision stays.
+  // Returns the current revision, unchanged, if the key does not exist.
   Revision Delete(Micros now, const std::string& key);
-  // Returns how many keys it deleted.
+  // Deletes the keys of a range in one revision. Returns the number of deleted keys.
   std::size_t DeleteRange(Micros now, const KeyRange& range);
-  // Each key as a revision of its own.
+  // Deletes each key in a separate revision.
   void DeletePrefix(Micros now, const std::string& prefix);
   void Compact(Revision revision) { cluster_.store.Compact(revision); }
 
   [[nodiscard]] Revision revision() const { return cluster_.store.revision(); }
-  // Keys and values as of a revision.
+  // Returns the keys and values as of a revision.
   [[nodiscard]] std::map<std::string, std::string> At(Revision revision) const;
   [[nodiscard]] std::map<std::string, std::string> Now() const { return At(revision()); }
 
   // ---- Fault injection ----
   EtcdFaults faults;
   [[nodiscard]] WatchFaults& watch_faults() { return watches_.faults; }
-  // Without a leader all requests get status 503, leases do not expire and watches are silent; a new leader
-  // renews all leases.
+  // Sets whether the cluster has a leader. Without one, all requests get status 503, leases do not expire and
+  // watches send no progress notifications. A new leader renews all leases.
   void SetLeader(Micros now, bool known);
   void RevokeTokens() { tokens_.clear(); }
-  // Restores a backup of this revision: the counter goes back, the cluster id is another (as etcd's own tool
-  // does it), and watches are closed. Leases stay, and hold those of their keys that are in the backup.
+  // Restores a backup taken at this revision: the revision counter moves back, the cluster id changes (as
+  // with etcd's own restore tool), and all watches are closed. Leases stay, with those of their keys that
+  // exist in the backup.
   void Restore(Revision revision);
 
  private:
@@ -101,9 +104,9 @@
     Micros now;
     ConnectionId connection;
     const http::Message& message;
-    const Json& body;  // an object
+    const Json& body;  // a JSON object
   };
-  // The body of the reply; without one a stream was begun.
+  // The body of the reply. Empty if a stream was started instead.
   using Result = tl::expected<std::optional<Json>, EtcdError>;
   struct Route {
     std::string_view path;
@@ -129,12 +132,12 @@
   void WriteReply(ConnectionId connection, bool keep_alive, int status, const Json& body);
   // Commits the changes as the next revision and sends them to the watches.
   Revision Commit(Micros now, std::vector<KeyValueStore::Change> changes);
-  // Does nothing for a key without a lease.
+  // Detaches a key from its lease. Does nothing for a key without a lease.
   void DetachFromLease(const std::string& key);
 
   EtcdCluster cluster_;
   std::vector<Reply> replies_;
-  EtcdWatches watches_;  // after the two that it points to
+  EtcdWatches watches_;  // declared after the two members that it points to
   LeaseTable<std::uint64_t> leases_;
   std::map<std::string, std::uint64_t> lease_of_key_;
   std::set<std::string> tokens_;
--- a/tools/registry_standin/etcd_watches.hpp
+++ b/tools/registry_standin/etcd_watches.hpp
@@ -1,4 +1,4 @@
-// The watches of a stand-in etcd: streams of changes to a range of keys. No I/O.
+// The watches of the fake etcd: streams of changes to a range of keys. The class does no I/O.
 #ifndef MOUNTFLOW_TOOLS_REGISTRY_STANDIN_ETCD_WATCHES_HPP_
 #define MOUNTFLOW_TOOLS_REGISTRY_STANDIN_ETCD_WATCHES_HPP_
 
@@ -13,34 +13,37 @@
 
 namespace mountflow::registry_standin {
 
-// How the messages of watches are distorted.
+// Faults that tests inject into the messages of watches.
 struct WatchFaults {
-  // In one message; 0: any number. The rest follows in fragments where the client allows them.
+  // Maximum number of events in one message; 0: no limit. Applies only to clients that allow fragments; the
+  // remaining events follow in further fragments.
   std::size_t max_events = 0;
   bool duplicate_messages = false;
-  bool reverse_events = false;  // of one message
+  bool reverse_events = false;  // within one message
 };
 
-// Not thread-safe.
+// Holds the open watches and writes their messages. Not thread-safe.
 class EtcdWatches {
  public:
-  // `cluster` and `replies`, to which messages are appended, are not owned and must outlive this.
+  // Messages are appended to `replies`. `cluster` and `replies` are not owned and must outlive this object.
   EtcdWatches(const EtcdCluster* cluster, std::vector<Reply>* replies)
       : cluster_(cluster), replies_(replies) {}
 
-  // Sends the head of the stream, and either the changes since the requested revision or, when they were
-  // compacted, that the watch is cancelled. `create_request` is a JSON object.
+  // Sends the head of the stream, followed by the changes since the requested revision or, if that revision
+  // was compacted, a message that cancels the watch. `create_request` must be a JSON object.
   void Start(Micros now, ConnectionId connection, const nlohmann::json& create_request);
-  // The connection is gone.
+  // Ends the watch of a closed connection.
   void Forget(ConnectionId connection);
   // Closes the connections of all watches.
   void CloseAll();
 
-  // Sends each watch what it has not been sent yet. Must be called after each commit.
+  // Sends each watch the changes that it has not received yet. Must be called after each commit.
   void SendChanges(Micros now);
-  // Tells the watches that want it and were sent nothing for `progress_interval` how far they are.
+  // Sends the current revision to each watch that requested progress notifications and has received nothing
+  // for `progress_interval`.
   void SendProgress(Micros now);
-  // When SendProgress() must be called; kNoTimer: no watch wants it.
+  // Returns the time of the next required SendProgress(); kNoTimer if no watch requested progress
+  // notifications.
   [[nodiscard]] Micros NextTimer() const;
 
   [[nodiscard]] std::size_t size() const { return watches_.size(); }
@@ -52,13 +55,13 @@
   struct Watch {
     ConnectionId connection = 0;
     KeyRange range;
-    Revision next_revision = 0;  // the first that was not sent
+    Revision next_revision = 0;  // the first revision not sent yet
     bool wants_progress = false;
     bool allows_fragments = false;
     Micros last_sent_at = 0;
   };
 
-  // What every message of a watch begins with.
+  // Returns the members that are common to all messages of a watch.
   [[nodiscard]] nlohmann::json NewResult() const;
   [[nodiscard]] nlohmann::json ChangeToJson(const KeyValueStore::Change& change) const;
   void Send(ConnectionId connection, const nlohmann::json& result);
--- a/tools/registry_standin/fault_control.cpp
+++ b/tools/registry_standin/fault_control.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::uint64_t kFloodKeys = 50;
-constexpr std::uint64_t kMaxFlood = 100'000;  // changes in one request, which holds up all others
+constexpr std::uint64_t kMaxFlood = 100'000;  // changes in one request, which blocks all other requests
 
 std::uint64_t NumberIn(const http::Message& request, const char* name) {
   return std::strtoull(request.Query(name, "0").c_str(), nullptr, 10);
@@ -19,7 +19,7 @@
 
 std::string FloodNodeName(std::uint64_t number) { return "flood-" + std::to_string(number % kFloodKeys); }
 
-// The nodes are draining, so that no scheduler uses them.
+// Writes `changes` node entries. The nodes are draining, so no scheduler uses them.
 void Flood(Micros now, std::uint64_t changes, const std::string& prefix, RegistryBackend* backend) {
   job_manager::ListedNode node;
   node.address = "127.0.0.1:9";
--- a/tools/registry_standin/fault_control.hpp
+++ b/tools/registry_standin/fault_control.hpp
@@ -1,12 +1,12 @@
-// The stand-in's own request for fault injection, which the chaos test sends: PUT /v1/break with any of
-//   leader=true|false  the cluster has a leader, or none
-//   restore=N          comes back from a backup N revisions old
-//   compact=true       compacts the whole history (etcd)
-//   empty=PREFIX       deletes all keys under the prefix
-//   flood=N            writes N changes of fifty entries under prefix=P, and deletes the entries after that
-//   unless
-//                      leave=true
-// Several in one request are done in this order.
+// The fault injection request, an extension of this program that the chaos test uses: PUT /v1/break with any
+// of these query parameters.
+//   - leader=true|false: sets whether the cluster has a leader
+//   - restore=N: restores a backup that is N revisions old
+//   - compact=true: compacts the whole history (etcd only)
+//   - empty=PREFIX: deletes all keys under the prefix
+//   - flood=N: writes N changes to fifty entries under prefix=P, then deletes these entries
+//   - leave=true: keeps the entries of the flood
+// Several faults in one request are injected in this order.
 #ifndef MOUNTFLOW_TOOLS_REGISTRY_STANDIN_FAULT_CONTROL_HPP_
 #define MOUNTFLOW_TOOLS_REGISTRY_STANDIN_FAULT_CONTROL_HPP_
 
@@ -16,7 +16,9 @@
 
 namespace mountflow::registry_standin {
 
+// Reports whether the path is that of the fault injection request.
 [[nodiscard]] bool IsFaultRequest(const http::Message& request);
+// Injects all faults that `request` lists into `backend`.
 void InjectFaults(Micros now, const http::Message& request, RegistryBackend* backend);
 
 }  // namespace mountflow::registry_standin
--- a/tools/registry_standin/key_value_store.hpp
+++ b/tools/registry_standin/key_value_store.hpp
@@ -1,8 +1,8 @@
-// The keys of a stand-in registry and their revisions: what Consul calls indices. ConsulRegistry and
-// EtcdRegistry are views of it, one for each protocol.
+// The keys of a fake registry with their revisions, which Consul calls indices. ConsulRegistry and
+// EtcdRegistry provide access to this store, each through its protocol.
 //
-// The store keeps its whole history, also what was compacted, so that a test can compare a client's view with
-// the keys at any revision. Memory grows with each change.
+// The store retains its whole history, including compacted revisions, so that a test can compare a client's
+// view with the keys at any revision. Memory use grows with each change.
 #ifndef MOUNTFLOW_TOOLS_REGISTRY_STANDIN_KEY_VALUE_STORE_HPP_
 #define MOUNTFLOW_TOOLS_REGISTRY_STANDIN_KEY_VALUE_STORE_HPP_
 
@@ -16,8 +16,8 @@
 
 using Revision = std::uint64_t;
 
-// Keys from `first` up to but not including `end`, as etcd's range requests say it: an empty `end` means the
-// one key `first`, a single zero byte all keys from there on.
+// The keys from `first` up to but not including `end`, with the conventions of etcd's range requests: an
+// empty `end` selects the single key `first`, and an `end` of one zero byte selects all keys from `first` on.
 struct KeyRange {
   std::string first;
   std::string end;
@@ -25,6 +25,7 @@
   [[nodiscard]] bool Contains(const std::string& key) const;
 };
 
+// A map of keys to values in which each commit is a revision.
 class KeyValueStore {
  public:
   struct Change {
@@ -42,34 +43,35 @@
     std::string value;
     Revision create_revision = 0;
     Revision modify_revision = 0;
-    std::uint64_t version = 0;  // writes since the key was created
+    std::uint64_t version = 0;  // number of writes since the key was created
   };
   using Entries = std::map<std::string, Entry>;
 
-  // Applies all changes as this one revision, which becomes the store's. Removals of keys that do not exist
-  // are recorded as well.
+  // Applies all changes as one revision, which becomes the newest one. Removals of keys that do not exist are
+  // also recorded.
   void Commit(Revision revision, std::vector<Change> changes);
 
-  // The newest revision; a new store begins with 1.
+  // Returns the newest revision; 1 for a new store.
   [[nodiscard]] Revision revision() const { return revision_; }
   [[nodiscard]] const Entries& entries() const { return entries_; }
-  // The newest revision that removed a key; 0 when there was none.
+  // Returns the newest revision that removed a key; 0 if no key was removed.
   [[nodiscard]] Revision last_removal() const { return last_removal_; }
-  // The keys of a range as of a revision, compacted or not.
+  // Returns the keys of a range as of a revision, even if that revision was compacted.
   [[nodiscard]] Entries EntriesAt(Revision revision, const KeyRange& range) const;
   [[nodiscard]] std::vector<std::string> KeysWithPrefix(const std::string& prefix) const;
-  // All changes from this revision on, ascending.
+  // Returns all changes from this revision on, in ascending order. The pointers are valid until the next call
+  // of a non-const member function.
   [[nodiscard]] std::vector<const Change*> ChangesSince(Revision first) const;
 
-  // From now on clients are not served what was before this revision; one beyond the newest counts as the
-  // newest.
+  // Makes the revisions before this one unavailable to clients. A revision beyond the newest one is treated
+  // as the newest.
   void Compact(Revision revision);
   [[nodiscard]] Revision compacted() const { return compacted_; }
 
-  // Restores the keys of an earlier revision and drops what came after it.
+  // Restores the keys of an earlier revision and drops all later changes.
   void RestoreTo(Revision revision);
-  // Puts only the counter back: the keys stay, none modified later than this, and the history before is
-  // dropped.
+  // Moves only the revision counter back. The keys stay, with modify revisions of at most `revision`, and the
+  // history is dropped.
   void RewindTo(Revision revision);
 
  private:
--- a/tools/registry_standin/lease_table.hpp
+++ b/tools/registry_standin/lease_table.hpp
@@ -1,5 +1,5 @@
-// Leases and the keys attached to them: etcd's leases and Consul's sessions. No I/O; the caller says what
-// time it is.
+// Leases and the keys attached to them, used for etcd's leases and Consul's sessions. The table does no I/O;
+// callers pass the current time.
 #ifndef MOUNTFLOW_TOOLS_REGISTRY_STANDIN_LEASE_TABLE_HPP_
 #define MOUNTFLOW_TOOLS_REGISTRY_STANDIN_LEASE_TABLE_HPP_
 
@@ -20,30 +20,31 @@
   std::set<std::string> keys;
 };
 
-// `Id` is the protocol's type of a lease id; leases that expire in the same call do so in the order of their
-// ids.
+// Holds all leases of a registry. `Id` is the protocol's type of lease id. Leases that expire in the same
+// call do so in the order of their ids.
 template <typename Id>
 class LeaseTable {
  public:
-  // A lease that exists already keeps its keys.
+  // Creates a lease, or renews an existing one with a new `ttl`. An existing lease retains its keys.
   void Grant(Micros now, const Id& id, Micros ttl) {
     Lease& lease = leases_[id];
     lease.ttl = ttl;
     lease.expires_at = now + ttl;
   }
 
-  // Null when there is none. Valid until the next call that is not const.
+  // Returns null if the lease does not exist. The pointer is valid until the next call of a non-const member
+  // function.
   [[nodiscard]] const Lease* Find(const Id& id) const {
     const auto it = leases_.find(id);
     return it == leases_.end() ? nullptr : &it->second;
   }
 
-  // The following do nothing for a lease that does not exist.
+  // Renew(), Revoke(), Attach() and Detach() do nothing if the lease does not exist.
   void Renew(Micros now, const Id& id) {
     const auto it = leases_.find(id);
     if (it != leases_.end()) it->second.expires_at = now + it->second.ttl;
   }
-  // The next TakeExpiredKeys() ends it.
+  // Makes the lease expire at once; the next TakeExpiredKeys() removes it.
   void Revoke(Micros now, const Id& id) {
     const auto it = leases_.find(id);
     if (it != leases_.end()) it->second.expires_at = now;
@@ -57,12 +58,12 @@
     if (it != leases_.end()) it->second.keys.erase(key);
   }
 
-  // As a new leader does it: each lease runs its full time once more.
+  // Restarts the full TTL of each lease, as a newly elected leader does.
   void RenewAll(Micros now) {
     for (auto& [id, lease] : leases_) lease.expires_at = now + lease.ttl;
   }
 
-  // Removes the leases that have expired and returns their keys, in the order of leases and then of keys.
+  // Removes all expired leases and returns their keys, ordered by lease id and then by key.
   [[nodiscard]] std::vector<std::string> TakeExpiredKeys(Micros now) {
     std::vector<std::string> keys;
     std::erase_if(leases_, [now, &keys](const auto& id_and_lease) {
@@ -74,7 +75,7 @@
     return keys;
   }
 
-  // When the next lease expires; kNoTimer without any.
+  // Returns the time at which the next lease expires; kNoTimer if there are no leases.
   [[nodiscard]] Micros NextExpiry() const {
     Micros next = kNoTimer;
     for (const auto& [id, lease] : leases_) next = std::min(next, lease.expires_at);
--- a/tools/registry_standin/main.cpp
+++ b/tools/registry_standin/main.cpp
@@ -1,5 +1,5 @@
-// mountflow-registry-standin: a stand-in for the registry that holds the node list, with Consul's HTTP
-// interface or etcd's JSON gateway.
+// mountflow-registry-standin: a fake of the registry that holds the node list, with Consul's HTTP interface
+// or etcd's JSON gateway.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdio>
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-// An exception that reaches main() is a lack of memory or a fault of the program: both shall end it.
+// An exception that reaches main() means that memory ran out or that the program has a bug. Both must end it.
 // NOLINTNEXTLINE(bugprone-exception-escape): see above
 int main(int argc, char** argv) {
   CLI::App app{
@@ -59,7 +59,7 @@
   }
   loop.OnSignal(SIGTERM, [&loop] { loop.Stop(); });
   loop.OnSignal(SIGINT, [&loop] { loop.Stop(); });
-  // Scripts and tests read the port from this line: it keeps the program's former name.
+  // Scripts and tests read the port from this line, so it still contains the program's former name.
   std::printf("mountflow-list ready: %d\n", server.port());
   std::fflush(stdout);
   loop.Run();
--- a/tools/registry_standin/registry_backend.cpp
+++ b/tools/registry_standin/registry_backend.cpp
@@ -6,7 +6,7 @@
 namespace mountflow::registry_standin {
 namespace {
 
-// The first revision is 1.
+// Returns the revision that is `revisions` before `newest`, but at least 1, which is the first revision.
 Revision RevisionBefore(Revision newest, std::uint64_t revisions) {
   return newest - std::min(newest - 1, revisions);
 }
--- a/tools/registry_standin/registry_backend.hpp
+++ b/tools/registry_standin/registry_backend.hpp
@@ -1,4 +1,4 @@
-// What the server needs of a registry, whichever protocol it speaks: requests in, replies out, and the
+// The interface between the server and a registry, independent of the protocol: requests, replies, and the
 // changes and faults that tests inject.
 #ifndef MOUNTFLOW_TOOLS_REGISTRY_STANDIN_REGISTRY_BACKEND_HPP_
 #define MOUNTFLOW_TOOLS_REGISTRY_STANDIN_REGISTRY_BACKEND_HPP_
@@ -16,6 +16,7 @@
 
 namespace mountflow::registry_standin {
 
+// A registry with one protocol. The functions behave as those of ConsulRegistry and EtcdRegistry.
 class RegistryBackend {
  public:
   virtual ~RegistryBackend() = default;
@@ -30,21 +31,23 @@
   virtual void Delete(Micros now, const std::string& key) = 0;
   virtual void DeletePrefix(Micros now, const std::string& prefix) = 0;
   virtual void SetLeader(Micros now, bool known) = 0;
-  // The registry comes back from a backup that is so many revisions old, or as old as it can be.
+  // Restores a backup that is this many revisions old, or the first revision if there are fewer.
   virtual void RestoreBackup(std::uint64_t revisions) = 0;
   virtual void Compact() = 0;
 };
 
+// Consul's key-value store and catalog. The catalog handles the paths that belong to it.
 class ConsulBackend : public RegistryBackend {
  public:
-  // `delay`: until readers see a change.
+  // `delay` is the time in microseconds until a change becomes visible to readers.
   explicit ConsulBackend(Micros delay) { registry_.SetDelay(delay); }
 
   void Handle(Micros now, ConnectionId connection, const http::Message& request) override;
   void Forget(ConnectionId connection) override;
   void Tick(Micros now) override;
   [[nodiscard]] Micros NextTimer() const override;
-  // The connections stay open, also where the client asked that they be closed: it closes them itself.
+  // The replies leave the connections open, even if the client requested `Connection: close`, because the
+  // client closes them itself.
   [[nodiscard]] std::vector<Reply> Take() override;
 
   void Put(Micros now, const std::string& key, const std::string& value) override;
@@ -52,13 +55,14 @@
   void DeletePrefix(Micros now, const std::string& prefix) override;
   void SetLeader(Micros now, bool known) override;
   void RestoreBackup(std::uint64_t revisions) override;
-  void Compact() override {}  // Consul has none
+  void Compact() override {}  // Consul has no compaction
 
  private:
   ConsulRegistry registry_;
   ConsulCatalog catalog_;
 };
 
+// An etcd registry.
 class EtcdBackend : public RegistryBackend {
  public:
   void Handle(Micros now, ConnectionId connection, const http::Message& request) override;
--- a/tools/registry_standin/registry_server.hpp
+++ b/tools/registry_standin/registry_server.hpp
@@ -1,5 +1,5 @@
-// A stand-in registry on a socket: one of the protocols behind an HTTP port, with TLS where there are key
-// files.
+// A fake registry that listens on a socket: one of the protocols on an HTTP port, with TLS if key files are
+// configured.
 #ifndef MOUNTFLOW_TOOLS_REGISTRY_STANDIN_REGISTRY_SERVER_HPP_
 #define MOUNTFLOW_TOOLS_REGISTRY_STANDIN_REGISTRY_SERVER_HPP_
 
@@ -18,19 +18,19 @@
 
 namespace mountflow::registry_standin {
 
-// Why the server could not start: its key files, or the address.
+// The reason why the server could not start: an error in its key files or in the address.
 using RegistryServerError = std::variant<tls::TlsError, event_loop::EventLoopError>;
 
 [[nodiscard]] std::string Describe(const RegistryServerError& error);
 
-// Lives on the event loop's thread.
+// Serves one registry backend over HTTP. Must be used only on the event loop's thread.
 class RegistryServer : public event_loop::ConnectionHandler {
  public:
   // `loop` is not owned and must outlive the server.
   RegistryServer(event_loop::EventLoop* loop, std::unique_ptr<RegistryBackend> backend)
       : loop_(loop), backend_(std::move(backend)) {}
 
-  // Listens at IP:PORT; port 0 takes any that is free. To be called once.
+  // Listens at IP:PORT; port 0 selects any free port. Must be called at most once.
   [[nodiscard]] tl::expected<void, RegistryServerError> Start(const std::string& address,
                                                               const tls::Options& tls);
   [[nodiscard]] int port() const { return loop_->PortOf(listener_); }
@@ -42,7 +42,7 @@
 
  private:
   void Handle(event_loop::ConnId connection, const http::Message& request);
-  // Does what is due in the registry, sends its replies and sets the timer.
+  // Runs the registry's due work, sends its replies and sets the timer.
   void Dispatch();
   void SetTimer();
 
@@ -51,7 +51,7 @@
   std::unique_ptr<tls::Keys> keys_;
   event_loop::ListenerId listener_ = 0;
   std::map<event_loop::ConnId, http::Reader> readers_;
-  std::uint64_t timer_ = 0;  // 0: none is set
+  std::uint64_t timer_ = 0;  // 0: no timer is set
 };
 
 }  // namespace mountflow::registry_standin
--- a/tools/registry_standin/reply.hpp
+++ b/tools/registry_standin/reply.hpp
@@ -1,4 +1,4 @@
-// What a stand-in registry sends to a client.
+// The replies of the fake registries to their clients.
 #ifndef MOUNTFLOW_TOOLS_REGISTRY_STANDIN_REPLY_HPP_
 #define MOUNTFLOW_TOOLS_REGISTRY_STANDIN_REPLY_HPP_
 
@@ -10,17 +10,17 @@
 
 namespace mountflow::registry_standin {
 
-// Names a client's connection; the caller of a registry chooses the values.
+// Identifies a client's connection. The caller of a registry chooses the values.
 using ConnectionId = std::uint64_t;
 
-// What NextTimer() returns while no timer is due.
+// The value that NextTimer() returns if no timer is pending.
 inline constexpr Micros kNoTimer = std::numeric_limits<Micros>::max();
 
 // Bytes for one connection: a whole HTTP reply, or a part of a stream.
 struct Reply {
   ConnectionId connection = 0;
   std::string bytes;
-  bool close_after = false;  // the connection is done once these bytes are sent
+  bool close_after = false;  // close the connection once these bytes are sent
 };
 
 }  // namespace mountflow::registry_standin
