--- a/tests/fuzz/corpus_test.cpp
+++ b/tests/fuzz/corpus_test.cpp
@@ -1,4 +1,5 @@
-// The fuzz targets' corpus as plain tests, whole, cut at every byte, and with each byte changed.
+// Runs the fuzz targets on their corpus as plain tests: on whole files, on truncated files and on files with
+// one changed byte.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -12,7 +13,7 @@
 
 class Corpus : public ::testing::TestWithParam<Target> {};
 
-TEST_P(Corpus, HoldsForEveryFileEveryCutAndManyChanges) {
+TEST_P(Corpus, PassesOnWholeTruncatedAndChangedFiles) {
   std::size_t files = 0;
   for (const auto& entry :
        std::filesystem::directory_iterator(std::string(MOUNTFLOW_CORPUS) + "/" + GetParam().name)) {
@@ -22,7 +23,7 @@
     const std::string text = all.str();
     ++files;
     GetParam().run(text);
-    // The configuration's checks are slow; some cuts of it do.
+    // Checking a configuration is slow, so fewer positions of it are tried.
     const std::size_t step =
         std::string(GetParam().name) == "config" ? text.size() / 20 + 1 : text.size() / 400 + 1;
     for (std::size_t at = 0; at < text.size(); at += step) {
--- a/tools/fuzz/fuzz_main.cpp
+++ b/tools/fuzz/fuzz_main.cpp
@@ -1,11 +1,11 @@
-// One libFuzzer program a target: MOUNTFLOW_FUZZ_TARGET names it.
+// Entry point of the libFuzzer programs, one for each target. MOUNTFLOW_FUZZ_TARGET is the target's function.
 #include <cstddef>
 #include <cstdint>
 
 #include "tools/fuzz/targets.hpp"
 
-// The build gives each program its target. This one is for tools that read the file by itself, as the linter
-// does.
+// The build defines the target of each program. This default is for tools that read the file on its own, such
+// as the linter.
 #ifndef MOUNTFLOW_FUZZ_TARGET
 #define MOUNTFLOW_FUZZ_TARGET Http
 #endif
--- a/tools/fuzz/targets.cpp
+++ b/tools/fuzz/targets.cpp
@@ -19,10 +19,10 @@
 namespace mountflow::fuzz {
 namespace {
 
-// Ends the process, which the fuzzer reports together with the input.
+// Aborts the process if `holds` is false. The fuzzer then reports the input.
 void Require(bool holds, const char* what) {
   if (holds) return;
-  std::fprintf(stderr, "does not hold: %s\n", what);
+  std::fprintf(stderr, "check failed: %s\n", what);
   std::abort();
 }
 
@@ -31,17 +31,17 @@
   Message read;
   const pbs_protocol::DecodeResult parsed = pbs_protocol::Decode(bytes, &read);
   if (parsed.state == pbs_protocol::DisState::kMore)
-    Require(parsed.needs > bytes.size(), "more is needed than is there");
+    Require(parsed.needs > bytes.size(), "an incomplete message needs more bytes than the input has");
   if (parsed.state == pbs_protocol::DisState::kBad)
-    Require(!pbs_protocol::Describe(parsed.error).empty(), "what was expected is named");
+    Require(!pbs_protocol::Describe(parsed.error).empty(), "the error describes what was expected");
   if (parsed.state != pbs_protocol::DisState::kOk) return;
-  Require(parsed.used <= bytes.size(), "no more was used than is there");
+  Require(parsed.used <= bytes.size(), "the message uses at most the bytes of the input");
   std::string written;
   pbs_protocol::Encode(read, &written);
   Message reread;
   Require(pbs_protocol::Decode(written, &reread).state == pbs_protocol::DisState::kOk,
-          "what was written can be read");
-  Require(reread == read, "and is the same");
+          "an encoded message can be decoded");
+  Require(reread == read, "decoding gives the encoded message");
 }
 
 }  // namespace
@@ -67,14 +67,15 @@
   return options;
 }
 
-// From the first byte of the input.
+// Returns the piece size given by the first byte of the input.
 std::size_t PieceSize(std::string_view bytes) {
   return bytes.empty() ? 1 : 1 + static_cast<unsigned char>(bytes[0]);
 }
 
 void CheckAnswered(const job_manager::Job& job) {
   const bool is_answered = job.answer != job_manager::FinalAnswer::kNone;
-  Require(is_answered || !job.spec->hold.empty() || job.spec->due != 0, "an accepted job is answered");
+  Require(is_answered || !job.spec->hold.empty() || job.spec->due != 0,
+          "an accepted job has its final answer");
 }
 
 }  // namespace
@@ -97,7 +98,8 @@
   }
   job_manager.Tick(kPastAllDeadlines);
   server.Tick(kPastAllTimeouts);
-  // There is no node, so that each job that was accepted has its negative answer by now.
+  // There are no nodes, so by now each accepted job that is neither held nor due later must have been
+  // rejected.
   job_manager.ForEach(0, [](const job_manager::Job& job) {
     CheckAnswered(job);
     return true;
@@ -117,11 +119,12 @@
     }
     if (whole_is_valid) whole.Finish();
     for (const http::Message& message : whole.messages()) {
-      Require(message.body.size() <= kMaxBody, "a body is within its bound");
+      Require(message.body.size() <= kMaxBody, "a body is at most kMaxBody bytes long");
     }
-    Require(whole_is_valid || !whole.error().empty(), "an error is named");
+    Require(whole_is_valid || !whole.error().empty(), "an invalid message has an error text");
     if (whole_is_valid && split_is_valid && side == http::Reader::Side::kRequests) {
-      Require(whole.messages().size() == split.messages().size(), "pieces give the same messages");
+      Require(whole.messages().size() == split.messages().size(),
+              "reading byte by byte gives the same number of messages");
     }
   }
 }
@@ -137,12 +140,12 @@
 void Config(std::string_view bytes) {
   const auto loaded = config::ParseDaemon(std::string(bytes), "fuzz");
   if (loaded) {
-    Require(!loaded->job_manager.classes.empty(), "what is valid has classes");
+    Require(!loaded->job_manager.classes.empty(), "a valid configuration has classes");
     return;
   }
-  Require(!loaded.error().empty(), "what is not valid has errors");
+  Require(!loaded.error().empty(), "an invalid configuration has errors");
   for (const std::string& error : config::DescribeEach(loaded.error())) {
-    Require(error.rfind("fuzz: ", 0) == 0, "errors name the file");
+    Require(error.rfind("fuzz: ", 0) == 0, "each error starts with the file name");
   }
 }
 
@@ -150,13 +153,14 @@
   const auto node = discovery::DecodeNodeEntry(bytes);
   if (node) {
     const auto again = discovery::DecodeNodeEntry(discovery::EncodeNodeEntry(*node));
-    Require(again.has_value(), "what was written can be read");
-    Require(again->name == node->name && again->started == node->started, "and is the same");
+    Require(again.has_value(), "an encoded message can be decoded");
+    Require(again->name == node->name && again->started == node->started,
+            "decoding gives the encoded message");
   } else {
-    Require(!Describe(node.error()).empty(), "what was expected is named");
+    Require(!Describe(node.error()).empty(), "the error describes what was expected");
   }
   const auto pairs = discovery::DecodeKeyValues(bytes);
-  if (!pairs) Require(!Describe(pairs.error()).empty(), "what was expected is named");
+  if (!pairs) Require(!Describe(pairs.error()).empty(), "the error describes what was expected");
 }
 
 namespace {
@@ -177,22 +181,23 @@
   return messages;
 }
 
-// Whole and in pieces gives the same messages; each is the same when it is written and read again.
+// Checks that reading `bytes` whole and in pieces gives the same messages, and that each message survives
+// encoding and decoding.
 template <typename Reader, typename Message, typename Write>
 void CheckWire(std::string_view bytes, Write write) {
   constexpr std::size_t kMaxPieceSize = 50;
   const std::size_t piece_size = (PieceSize(bytes) - 1) % kMaxPieceSize + 1;
   const std::vector<Message> whole = ReadInPieces<Reader, Message>(bytes, bytes.size() + 1);
   const std::vector<Message> pieces = ReadInPieces<Reader, Message>(bytes, piece_size);
-  Require(whole == pieces, "any split reads the same");
+  Require(whole == pieces, "reading in pieces gives the same messages");
   for (const Message& message : whole) {
     const std::string written = write(message);
     if (written.empty() || written.size() > platform::kMaxMessageBytes) continue;
     Reader reader;
     reader.Feed(written);
     Message reread;
-    Require(reader.Next(&reread) == Reader::State::kMessage, "what was written can be read");
-    Require(reread == message, "and is the same");
+    Require(reader.Next(&reread) == Reader::State::kMessage, "an encoded message can be decoded");
+    Require(reread == message, "decoding gives the encoded message");
   }
 }
 
--- a/tools/fuzz/targets.hpp
+++ b/tools/fuzz/targets.hpp
@@ -1,5 +1,5 @@
-// The functions that are fuzzed. Each accepts any bytes, must not crash, and aborts the process when what
-// must hold for them does not.
+// The fuzz targets. Each accepts arbitrary bytes and must not crash. It aborts the process if one of its
+// checks fails.
 #ifndef MOUNTFLOW_TOOLS_FUZZ_TARGETS_HPP_
 #define MOUNTFLOW_TOOLS_FUZZ_TARGETS_HPP_
 
@@ -8,27 +8,27 @@
 
 namespace mountflow::fuzz {
 
-// Requests and replies of the batch protocol: what was read is the same when it is written and read again.
+// Decodes requests and replies of the batch protocol. A decoded message must survive encoding and decoding.
 void PbsProtocol(std::string_view bytes);
-// A connection to the PBS server, in pieces of a size that the first byte gives: each accepted job is
-// answered.
+// Feeds a connection to the PBS server in pieces whose size is given by the first byte. Each accepted job
+// that is neither held nor due at a later time must get its final answer.
 void PbsServer(std::string_view bytes);
-// HTTP requests and replies.
+// Parses HTTP requests and replies, whole and byte by byte.
 void Http(std::string_view bytes);
-// A job script; its first line is the prefix of directives.
+// Reads the directives of a job script. The first line of the input is the directive prefix.
 void Directives(std::string_view bytes);
-// A daemon's configuration.
+// Parses the configuration of a daemon.
 void Config(std::string_view bytes);
-// A node's entry in the registry, and a list of keys.
+// Decodes a node's registry entry and a list of key-value pairs.
 void Entry(std::string_view bytes);
-// The platform's JSON lines to and from clients, whole and in pieces; what was read is the same when it is
-// written and read again.
+// Reads the JSON lines between the platform and its clients, whole and in pieces. A decoded message must
+// survive encoding and decoding.
 void ClientMessages(std::string_view bytes);
-// The platform's binary messages to and from nodes, likewise.
+// Reads the binary messages between the platform and its nodes, with the same checks.
 void NodeMessages(std::string_view bytes);
 
-// `name` is the folder of the target's seeds in tools/fuzz/corpus and the name of its test; it stays when the
-// function is renamed.
+// A fuzz target. `name` is the folder of its seeds in tools/fuzz/corpus and the name of its test; it stays
+// the same if the function is renamed.
 struct Target {
   const char* name;
   void (*run)(std::string_view bytes);
