--- a/tests/load_generator/load_generator_test.cpp
+++ b/tests/load_generator/load_generator_test.cpp
@@ -1,4 +1,4 @@
-// The load tool's plan and figures, without sockets.
+// Tests of the load generator's plan and measurements, without sockets.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -38,7 +38,7 @@
   EXPECT_DOUBLE_EQ(plan.RateAt(3.0), 20.0);
 }
 
-TEST(Plan, BadTextsAreRefusedWithThePlace) {
+TEST(Plan, InvalidTextsAreRejectedWithThePosition) {
   for (const char* text : {"", "x", "10", "10x", "10x0", "10x1,", "-1x2", "1e9x2", "10x1;10x1", "nanx1"}) {
     Plan plan;
     std::string expected;
--- a/tests/load_generator/report_golden_test.cpp
+++ b/tests/load_generator/report_golden_test.cpp
@@ -1,4 +1,5 @@
-// Guard: the report of a fixed set of samples (summary, JSON lines, CSV and plot), held against tests/data.
+// Golden test: compares the report of a fixed set of samples (summary, JSON lines, CSV and plot) with
+// tests/data.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -16,7 +17,8 @@
 constexpr Micros kBegin = 100 * kSecond;
 constexpr double kSpanSeconds = 8.0;
 
-// Samples with each end, late ones, and seconds without any; the generator's numbers are the same everywhere.
+// Adds samples with each result, late ones, and seconds without samples. The random number generator gives
+// the same numbers on every platform.
 void AddSamples(load_generator::Figures* figures) {
   using load_generator::End;
   constexpr End kEnds[] = {End::kPlaced,  End::kPlaced, End::kPlaced, End::kFailed,
@@ -25,7 +27,7 @@
   for (int i = 0; i < 2'000; ++i) {
     const Micros due = kBegin + random() % static_cast<Micros>(kSpanSeconds * kSecond);
     if ((due - kBegin) / kSecond == 5) continue;
-    // One draw a statement: the order of two in one expression is the compiler's choice.
+    // One random number per statement, because the evaluation order within an expression is unspecified.
     const std::uint64_t bits = random();
     const std::uint64_t exponent = random() % 23;
     const Micros delay = 1 + bits % (Micros{1} << exponent);
--- a/tools/load_generator/figures.cpp
+++ b/tools/load_generator/figures.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t kMostSeconds = 100'000;
-constexpr unsigned kBins = 900;  // 100 a factor of ten
+constexpr unsigned kBins = 900;  // 100 per factor of 10
 constexpr double kLeast = 1.0, kMost = 1e9;
 
 std::string Text(double value) {
@@ -17,13 +17,14 @@
   return text;
 }
 
-// One panel of a plot: lines over seconds, on a linear or a logarithmic scale.
+// A line in a panel of the plot, with one value for each second.
 struct Line {
   std::string name;
   const char* colour;
-  std::vector<double> values;  // NaN: none there
+  std::vector<double> values;  // NaN: no value in this second
 };
 
+// Returns the SVG elements of one panel, with a linear or, if `log` is set, a logarithmic scale.
 std::string Panel(const std::string& title, double top, const std::vector<Line>& lines, bool log) {
   constexpr double kLeft = 70.0, kWidth = 760.0, kHeight = 180.0;
   double least = 1e300, most = 0.0;
@@ -150,7 +151,8 @@
   Second& second = At(job.due);
   ++second.ends[job.end];
   second.asks += job.asks;
-  // Who got no answer of the scheduler, or was refused, is not late: it is counted as what it is.
+  // A job that was not admitted or got no answer from the scheduler is not late; it is counted by its result
+  // only.
   if (late && (job.end == End::kPlaced || job.end == End::kFailed || job.end == End::kRefused)) ++second.late;
   if (job.end != End::kPlaced) return;
   second.placed.Add(delay);
--- a/tools/load_generator/figures.hpp
+++ b/tools/load_generator/figures.hpp
@@ -1,8 +1,8 @@
-// What the load tool saw: delays in histograms, by second and in all, as JSON lines,
-// CSV and a plot. Sans-I/O.
+// The measurements of the load generator: delay histograms for each second and for the whole run, as JSON
+// lines, CSV and a plot. The code does no I/O.
 //
-// Delays are counted from when a job was due, and belong to the second in which it was
-// due. Histograms have 100 bins a factor of ten (a figure is within 2.4%), from 1 us.
+// The delay of a job starts at the job's due time and is counted in the second of the due time. Histograms
+// have 100 bins per factor of 10 (a reported delay is accurate to 2.4%), starting at 1 us.
 #ifndef MOUNTFLOW_TOOLS_LOAD_GENERATOR_FIGURES_HPP_
 #define MOUNTFLOW_TOOLS_LOAD_GENERATOR_FIGURES_HPP_
 
@@ -18,52 +18,62 @@
 
 namespace mountflow::load_generator {
 
+// A histogram of delays.
 class Delays {
  public:
   void Add(Micros delay);
   void Add(const Delays& other);
   std::uint64_t count() const { return count_; }
-  // Of the share `q` (0 to 1) the longest, milliseconds; the very longest is exact.
+  // Returns the quantile `q` (0 to 1) in milliseconds; NaN without delays. The maximum, at `q` 1, is exact.
   double At(double q) const;
-  nlohmann::json ToJson() const;  // null without any
+  nlohmann::json ToJson() const;  // null without delays
 
  private:
   using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
-  // Made when first needed: most seconds of a long run are looked at only once.
+  // Created by the first Add(), because a long run has many objects of this class and an empty one needs no
+  // bins.
   using Bins = boost::histogram::histogram<std::tuple<Axis>, boost::histogram::dense_storage<std::uint32_t>>;
   std::unique_ptr<Bins> bins_;
   std::uint64_t count_ = 0;
   Micros most_ = 0;
 };
 
+// The result of a job, counted by the load generator. kRefused: the scheduler rejected the job. kDoor: the
+// daemon did not admit it. kGaveUp: its deadline passed before it could be sent. kBroken: there was no
+// answer.
 enum class End { kPlaced, kFailed, kRefused, kDoor, kGaveUp, kBroken };
+// Returns the name of `end` in the output.
 const char* Name(End end);
 
+// A finished job. Times are in microseconds.
 struct Job {
-  Micros due = 0, over = 0, owner_time = 0;  // owner_time 0: none stated
+  Micros due = 0, over = 0, owner_time = 0;  // owner_time 0: no deadline
   End end = End::kPlaced;
   unsigned asks = 1;
 };
 
+// The measurements of one second.
 struct Second {
-  std::uint64_t offered = 0;          // due in it
-  std::uint64_t done = 0;             // placed in it, in time
-  std::uint64_t late = 0;             // due in it, answered after the owner's time
-  std::map<End, std::uint64_t> ends;  // of those due in it
+  std::uint64_t offered = 0;          // jobs due in this second
+  std::uint64_t done = 0;             // jobs placed in this second before their deadline
+  std::uint64_t late = 0;             // jobs due in this second, answered after the deadline
+  std::map<End, std::uint64_t> ends;  // results of the jobs due in this second
   std::uint64_t asks = 0;
-  Delays placed;                         // of those due in it
-  std::map<std::string, double> cpu_us;  // by part, per job done in it
+  Delays placed;                         // delays of the placed jobs due in this second
+  std::map<std::string, double> cpu_us;  // by part of the daemon, for each job done in this second
 };
 
+// Collects the measurements of a run and formats them.
 class Figures {
  public:
   explicit Figures(Micros begin) : begin_(begin) {}
   void Offered(Micros due);
   void Over(const Job& job);
-  // A line of the daemon's `--measure`: CPU by part until then, as one JSON object. False: it is none.
+  // Reads a line that the daemon writes with `--measure`: the CPU time that each part has used so far, as one
+  // JSON object. Returns false if `line` is not such a line.
   bool TakeCpu(const std::string& line);
 
-  // Of the seconds from `from` up to `to`.
+  // Returns the totals of the seconds from `from` up to but not including `to`.
   nlohmann::json Summary(std::size_t from, std::size_t to) const;
   std::string JsonLines() const;
   std::string Csv() const;
@@ -73,9 +83,9 @@
  private:
   Second& At(Micros when);
   Micros begin_;
-  std::vector<Second> seconds_;  // at most kMostSeconds; beyond: the last one
+  std::vector<Second> seconds_;  // indices up to kMostSeconds; the last one also holds all later seconds
   Micros cpu_at_ = 0;
-  std::map<std::string, double> cpu_;  // microseconds, at cpu_at_
+  std::map<std::string, double> cpu_;  // microseconds used until cpu_at_, by part
 };
 
 }  // namespace mountflow::load_generator
--- a/tools/load_generator/ledger_bench.cpp
+++ b/tools/load_generator/ledger_bench.cpp
@@ -1,5 +1,5 @@
-// Measures the ledger on disk: postings a second by the size of a commit, and the time to read them back at a
-// start.
+// Measures the ledger on disk: postings per second for a given commit size, and the time to read the postings
+// back at startup.
 #include <CLI/CLI.hpp>
 #include <chrono>
 #include <cstdio>
--- a/tools/load_generator/main.cpp
+++ b/tools/load_generator/main.cpp
@@ -1,9 +1,10 @@
-// mountflow-load-generator: submits jobs to daemons over kept connections and measures the delay until each
-// job's answer. Figures of all go to standard output as one JSON object.
+// mountflow-load-generator: submits jobs to daemons over persistent connections and measures the delay until
+// each job's answer. The totals are written to standard output as one JSON object.
 //
-// Open loop: jobs are due at times fixed in advance (loadtool/plan.hpp), and a delay counts from the time
-// due, so that a daemon that falls behind shows it (no coordinated omission). Each owner states its deadline,
-// and gives up when it has passed before the job could even be sent. With --window a closed loop instead.
+// By default the load is an open loop: jobs are due at times fixed in advance (see plan.hpp). A delay starts
+// at the due time, so that a daemon that falls behind shows in the delays (no coordinated omission). Each
+// client states its deadline, and abandons the job if the deadline passes before the job could be sent. With
+// --window the load is a closed loop instead.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -27,12 +28,12 @@
 using load_generator::End;
 
 constexpr Micros kSecond = 1'000'000;
-constexpr std::size_t kMostWords = 16;    // of refusals, counted apart
-constexpr Micros kStormPause = 10'000;    // of owners that do not obey the wait
-constexpr Micros kUntoldPause = 500'000;  // of those that obey, where no wait was told
-constexpr Micros kConnectAgain = 100'000;
-constexpr std::size_t kMostDue = 2'000'000;  // jobs due that wait for a connection; beyond: broken
-constexpr Micros kPatience = 30 * kSecond;   // after the end of the plan; what is open then is broken
+constexpr std::size_t kMaxRejectionTexts = 16;  // distinct rejection texts that are counted
+constexpr Micros kStormPause = 10'000;          // before the retry of clients that ignore the advised wait
+constexpr Micros kDefaultRetryPause = 500'000;  // before the retry if the daemon advised no wait
+constexpr Micros kReconnectPause = 100'000;
+constexpr std::size_t kMaxDueJobs = 2'000'000;   // waiting for a connection; jobs above this are broken
+constexpr Micros kAnswerTimeout = 30 * kSecond;  // after the end of the plan; open jobs are then broken
 
 class Load : public event_loop::ConnectionHandler {
  public:
@@ -40,8 +41,8 @@
   std::string queue = "batch", life = "0.001", ncpus = "0.01", mem = "1mb", again = "no";
   std::string rates, by_second, csv, svg, cpu, title = "mountflow-load-generator";
   double rate = 1000.0, seconds = 60.0, warm_up = 0.0, owner_time = 0.0;
-  std::size_t connections = 64, window = 0;  // window: closed loop with so many jobs out, 0: open loop
-  std::size_t held = 0;                      // instead: submit so many held jobs and stop
+  std::size_t connections = 64, window = 0;  // window: jobs in flight in a closed loop; 0: open loop
+  std::size_t held = 0;                      // if not 0: submit this many held jobs and stop
 
   int Run() {
     std::string expected;
@@ -53,7 +54,7 @@
     for (std::size_t i = 0; i < connections; ++i) Connect(i % addresses.size());
     begin_ = loop_.Now() + 200'000;
     end_ = begin_ + static_cast<Micros>(plan_.seconds() * 1e6);
-    owner_ = static_cast<Micros>(owner_time * 1e6);
+    client_wait_ = static_cast<Micros>(owner_time * 1e6);
     figures_ = std::make_unique<load_generator::Figures>(begin_);
     loop_.SetAfterTurn([this] { Pump(); });
     loop_.SetMainTimer(begin_, [] {});
@@ -86,27 +87,27 @@
     if (c.busy) Over(c.job, End::kBroken);
     if (closes_++ < 10)
       std::fprintf(stderr, "mountflow-load-generator: connection closed: %s\n", reason.c_str());
-    loop_.AddTimer(loop_.Now() + kConnectAgain, [this, address = c.address] { Connect(address); });
+    loop_.AddTimer(loop_.Now() + kReconnectPause, [this, address = c.address] { Connect(address); });
   }
 
  private:
-  struct Owner {  // of one job
+  struct PendingJob {  // a job without an answer so far
     Micros due = 0;
     unsigned asks = 0;
   };
   struct Conn {
     std::size_t address = 0;
-    bool open = false, busy = false, refused = false;
+    bool open = false, busy = false, rejected = false;
     std::string input;
-    Owner job;
-    int step = 0;     // replies so far
-    Micros wait = 0;  // told with a refusal
+    PendingJob job;
+    int step = 0;     // replies received so far
+    Micros wait = 0;  // wait advised by a rejection
     std::string id;
   };
-  struct Again {
+  struct Retry {
     Micros at = 0;
-    Owner job;
-    bool operator>(const Again& other) const { return at > other.at; }
+    PendingJob job;
+    bool operator>(const Retry& other) const { return at > other.at; }
   };
 
   void Connect(std::size_t address) {
@@ -125,12 +126,12 @@
     pbs_protocol::Encode(r, out);
   }
 
-  void Start(event_loop::ConnId id, Owner job) {
+  void Start(event_loop::ConnId id, PendingJob job) {
     Conn& c = conns_.at(id);
     ++job.asks;
     c.job = job;
     c.busy = true;
-    c.refused = false;
+    c.rejected = false;
     c.step = 0;
     c.wait = 0;
     std::string bytes;
@@ -143,9 +144,9 @@
                     {"Resource_List", "ncpus", ncpus, pbs_protocol::Op::kSet},
                     {"Resource_List", "mem", mem, pbs_protocol::Op::kSet},
                     {"life", "", life, pbs_protocol::Op::kSet}};
-    if (owner_ != 0) {
+    if (client_wait_ != 0) {
       r.attributes.push_back(
-          {"owner_deadline", "", std::to_string(job.due + owner_), pbs_protocol::Op::kSet});
+          {"owner_deadline", "", std::to_string(job.due + client_wait_), pbs_protocol::Op::kSet});
     }
     if (held > 0) r.attributes.push_back({"Hold_Types", "", "u", pbs_protocol::Op::kSet});
     pbs_protocol::Encode(r, &bytes);
@@ -161,17 +162,18 @@
 
   void Take(event_loop::ConnId id, Conn& c, const pbs_protocol::Reply& reply) {
     ++c.step;
-    if (reply.code != pbs_protocol::Code::kNone && !c.refused) {
-      c.refused = true;
+    if (reply.code != pbs_protocol::Code::kNone && !c.rejected) {
+      c.rejected = true;
       c.wait = reply.auxiliary > 0 ? static_cast<Micros>(reply.auxiliary) * 1000 : 0;
-      const std::string words = reply.text.substr(0, reply.text.find(';'));
-      if (refusals_.size() < kMostWords || refusals_.count(words) > 0) ++refusals_[words];
+      const std::string rejection_text = reply.text.substr(0, reply.text.find(';'));
+      if (rejections_.size() < kMaxRejectionTexts || rejections_.count(rejection_text) > 0)
+        ++rejections_[rejection_text];
     }
     if (c.step < 4) {
       if (c.step == 1) c.id = reply.text;
       return;
     }
-    if (c.step == 4 && !c.refused) {
+    if (c.step == 4 && !c.rejected) {
       committed_.Add(loop_.Now() - c.job.due);
       if (held > 0) {
         if (committed_.count() >= held) loop_.Stop();
@@ -181,11 +183,11 @@
       Put(pbs_protocol::RequestType::kStatusJob, c.id, "wait=answer", &bytes);
       return loop_.Send(id, bytes);
     }
-    const Owner job = c.job;
-    const bool refused = c.refused;
+    const PendingJob job = c.job;
+    const bool rejected = c.rejected;
     const Micros wait = c.wait;
     Free(id, c);
-    if (refused) return AskAgain(job, wait);
+    if (rejected) return RetryOrEnd(job, wait);
     const std::string answer(
         reply.objects.empty() ? "" : pbs_protocol::ValueOf(reply.objects[0].attributes, "answer"));
     Over(job, answer == "placed" ? End::kPlaced : answer == "refused" ? End::kRefused : End::kFailed);
@@ -196,26 +198,27 @@
     free_.push_back(id);
   }
 
-  // What an owner does that was refused: obeys the wait with up to a quarter more, or storms.
-  void AskAgain(const Owner& job, Micros wait) {
-    const Micros now = loop_.Now(), deadline = job.due + owner_;
-    if (again == "no" || owner_ == 0) return Over(job, End::kDoor);
+  // Handles a rejected job as --again says: ends it, retries after the advised wait plus up to a quarter of
+  // it, or retries after kStormPause.
+  void RetryOrEnd(const PendingJob& job, Micros wait) {
+    const Micros now = loop_.Now(), deadline = job.due + client_wait_;
+    if (again == "no" || client_wait_ == 0) return Over(job, End::kDoor);
     random_ = random_ * 6364136223846793005u + 1442695040888963407u;
     const double draw = static_cast<double>(random_ >> 11) * 0x1.0p-53;
     if (again == "storm") {
       wait = kStormPause;
     } else if (wait == 0) {
-      return Over(job, End::kDoor);  // not within its time
+      return Over(job, End::kDoor);  // the daemon expects no admission before the deadline
     }
-    if (wait == 0) wait = kUntoldPause;
+    if (wait == 0) wait = kDefaultRetryPause;
     const Micros at = now + wait + static_cast<Micros>(static_cast<double>(wait) * 0.25 * draw);
     if (at >= deadline) return Over(job, End::kDoor);
-    again_.push({at, job});
+    retries_.push({at, job});
   }
 
-  void Over(const Owner& job, End end) {
+  void Over(const PendingJob& job, End end) {
     ++over_;
-    figures_->Over({job.due, loop_.Now(), owner_, end, job.asks});
+    figures_->Over({job.due, loop_.Now(), client_wait_, end, job.asks});
   }
 
   void Pump() {
@@ -242,16 +245,17 @@
         }
         figures_->Offered(at);
         ++started_;
-        if (due_.size() < kMostDue) {
+        if (due_.size() < kMaxDueJobs) {
           due_.push_back({at, 0});
         } else {
           Over({at, 0}, End::kBroken);
         }
       }
-      for (; !again_.empty() && again_.top().at <= now; again_.pop()) due_.push_back(again_.top().job);
-      if (!again_.empty()) next = std::min(next, again_.top().at);
+      for (; !retries_.empty() && retries_.top().at <= now; retries_.pop())
+        due_.push_back(retries_.top().job);
+      if (!retries_.empty()) next = std::min(next, retries_.top().at);
       while (!due_.empty()) {
-        if (owner_ != 0 && now >= due_.front().due + owner_) {
+        if (client_wait_ != 0 && now >= due_.front().due + client_wait_) {
           Over(due_.front(), End::kGaveUp);
           due_.pop_front();
           continue;
@@ -264,7 +268,7 @@
       }
       if (plan_.DueOf(started_) < 0.0 && over_ == started_) return loop_.Stop();
     }
-    if (now > end_ + kPatience && held == 0) {
+    if (now > end_ + kAnswerTimeout && held == 0) {
       for (auto& [id, c] : conns_) {
         if (c.busy) Over(c.job, End::kBroken);
       }
@@ -277,7 +281,7 @@
     if (!file.empty()) std::ofstream(file, std::ios::binary) << text;
   }
 
-  // False when a job was broken, or refused for another reason than the load.
+  // Writes all outputs. Returns false if a job was broken, except with --held.
   bool Report() {
     if (!cpu.empty()) {
       std::ifstream in(cpu);
@@ -288,7 +292,7 @@
         figures_->Summary(std::min(all, static_cast<std::size_t>(warm_up)), std::max<std::size_t>(all, 1));
     j["commit_delay"] = committed_.ToJson();
     j["open"] = started_ - std::min(started_, over_);
-    if (!refusals_.empty()) j["refusals"] = refusals_;
+    if (!rejections_.empty()) j["refusals"] = rejections_;
     std::printf("%s\n", j.dump().c_str());
     Write(by_second, figures_->JsonLines());
     Write(csv, figures_->Csv());
@@ -301,12 +305,12 @@
   std::unique_ptr<load_generator::Figures> figures_;
   std::map<event_loop::ConnId, Conn> conns_;
   std::deque<event_loop::ConnId> free_;
-  std::deque<Owner> due_;  // wait for a connection
-  std::priority_queue<Again, std::vector<Again>, std::greater<>> again_;
+  std::deque<PendingJob> due_;  // jobs waiting for a connection
+  std::priority_queue<Retry, std::vector<Retry>, std::greater<>> retries_;
   load_generator::Delays committed_;
-  std::map<std::string, std::uint64_t> refusals_;  // by their words
+  std::map<std::string, std::uint64_t> rejections_;  // by their text
   std::uint64_t started_ = 0, over_ = 0, named_ = 0, closes_ = 0, random_ = 1;
-  Micros begin_ = 0, end_ = 0, owner_ = 0;
+  Micros begin_ = 0, end_ = 0, client_wait_ = 0;
 };
 
 }  // namespace
--- a/tools/load_generator/plan.cpp
+++ b/tools/load_generator/plan.cpp
@@ -56,7 +56,7 @@
   const double left = wanted - jobs_before_;
   const double slope = (s.to - s.from) / s.seconds;
   if (std::fabs(slope) < 1e-9) return begin_ + left / s.from;
-  // The time by which so many are due: from*t + slope/2*t^2 = left.
+  // The time t by which `left` jobs of the segment are due: from*t + slope/2*t^2 = left.
   return begin_ + (std::sqrt(s.from * s.from + 2.0 * slope * left) - s.from) / slope;
 }
 
--- a/tools/load_generator/scheduler_bench.cpp
+++ b/tools/load_generator/scheduler_bench.cpp
@@ -1,8 +1,9 @@
-// Measures the module alone: what one request costs it, second by second, at a steady rate under a virtual
-// clock. A small world answers its offers: placed after 2 ms, ended after the task's life, one in a hundred
-// refused as full, a list entry each second that shows the fleet as it was two seconds before.
+// Measures the scheduler library alone: the mean time for each request, second by second, at a constant rate
+// and with a virtual clock. A small simulation answers the attempts: a task starts after 2 ms and ends
+// after its run time, 1 in 100 attempts is rejected because the node is full, and each second a node list
+// with constant free capacity arrives.
 //
-// Also prints a digest of all actions: two builds that decide alike print the same.
+// Also prints a digest of all actions: two builds that make the same decisions print the same digest.
 #include <xxhash.h>
 
 #include <CLI/CLI.hpp>
@@ -30,7 +31,7 @@
   double rate = 1000.0, cores = 0.01;
   std::uint64_t seconds = 60, seed = 1;
   Micros life = 1000;
-  std::uint64_t expect = 0;  // the digest that is wanted; 0: any
+  std::uint64_t expect = 0;  // expected digest; 0: any
 
   int Run() {
     Settings s;
@@ -51,11 +52,11 @@
     s.max_attempts = 4;
     Scheduler scheduler(s, seed);
     free_.assign(nodes, 32.0);
-    for (std::uint64_t second = 0; second <= seconds; ++second) Push(kStart + second * kSecond, kView, 0);
+    for (std::uint64_t second = 0; second <= seconds; ++second) Push(kStart + second * kSecond, kNodeList, 0);
     const auto total = static_cast<std::uint64_t>(rate * static_cast<double>(seconds));
     Push(kStart + 1, kArrival, 1);
     std::vector<double> spent(seconds + 1);
-    std::vector<std::uint64_t> asked(seconds + 1);
+    std::vector<std::uint64_t> requests(seconds + 1);
     std::vector<Action> actions;
     while (!due_.empty()) {
       const Due due = due_.top();
@@ -67,7 +68,7 @@
           const double at = static_cast<double>(due.id) * 1e6 / rate;
           Push(kStart + 1 + static_cast<Micros>(at), kArrival, due.id + 1);
         }
-        ++asked[std::min(second, seconds)];
+        ++requests[std::min(second, seconds)];
       }
       const Event event = EventOf(due);
       actions.clear();
@@ -79,7 +80,8 @@
     }
     for (std::uint64_t i = 0; i < seconds; ++i) {
       if (i % 10 != 0 && i + 1 != seconds) continue;
-      const nlohmann::json line = {{"second", i}, {"us_a_request", spent[i] / std::max<double>(1, asked[i])}};
+      const nlohmann::json line = {{"second", i},
+                                   {"us_a_request", spent[i] / std::max<double>(1, requests[i])}};
       std::printf("%s\n", line.dump().c_str());
     }
     double all = 0.0;
@@ -88,8 +90,8 @@
                                  {"rate", rate},
                                  {"seconds", seconds},
                                  {"us_a_request", all / static_cast<double>(total)},
-                                 {"offers", offers_},
-                                 {"refusals", refusals_},
+                                 {"offers", attempts_},
+                                 {"refusals", rejections_},
                                  {"digest", XXH3_64bits_digest(hash_)}};
     std::printf("%s\n", line.dump().c_str());
     if (expect == 0 || expect == XXH3_64bits_digest(hash_)) return 0;
@@ -99,7 +101,7 @@
   }
 
  private:
-  enum Kind { kView, kArrival, kPlacement, kOutcome, kAlarm };
+  enum Kind { kNodeList, kArrival, kPlacement, kOutcome, kTimer };
   struct Due {
     Micros at;
     std::uint64_t order;
@@ -110,7 +112,7 @@
   struct Out {
     unsigned attempt = 0;
     NodeId node = 0;
-    bool refused = false;
+    bool rejected = false;
   };
 
   void Push(Micros at, Kind kind, std::uint64_t id) { due_.push({at, ++order_, kind, id}); }
@@ -118,8 +120,8 @@
   Event EventOf(const Due& due) {
     const auto request = static_cast<RequestId>(due.id);
     switch (due.kind) {
-      case kView: {
-        NodeListUpdate view;
+      case kNodeList: {
+        NodeListUpdate node_list;
         for (unsigned i = 0; i < nodes; ++i) {
           NodeEntry e;
           e.node = i + 1;
@@ -127,9 +129,9 @@
           e.zone = i / 100;
           e.free_cores = free_[i];
           e.free_memory = 64.0;
-          view.nodes.push_back(e);
+          node_list.nodes.push_back(e);
         }
-        return view;
+        return node_list;
       }
       case kArrival: {
         TaskSubmitted arrival;
@@ -144,31 +146,31 @@
         o.request = request;
         o.attempt = out_[request].attempt;
         o.node = out_[request].node;
-        o.request_closed = !out_[request].refused;
-        o.result = out_[request].refused ? AttemptResult::kRejected : AttemptResult::kCompleted;
-        o.reason = out_[request].refused ? RejectionReason::kNoCores : RejectionReason::kUnspecified;
+        o.request_closed = !out_[request].rejected;
+        o.result = out_[request].rejected ? AttemptResult::kRejected : AttemptResult::kCompleted;
+        o.reason = out_[request].rejected ? RejectionReason::kNoCores : RejectionReason::kUnspecified;
         return o;
       }
-      case kAlarm:
+      case kTimer:
         break;
     }
     return TimerFired{due.id};
   }
 
   void Do(Micros now, const Action& action) {
-    if (const auto* offer = std::get_if<StartAttempt>(&action)) {
-      ++offers_;
-      Digest(offer->request);
-      Digest(offer->node);
-      const bool refused = offers_ % 100 == 0;
-      out_[offer->request] = {offer->attempt, offer->node, refused};
-      if (!refused) Push(now + 2'000, kPlacement, offer->request);
-      Push(now + 2'000 + (refused ? 0 : life), kOutcome, offer->request);
-    } else if (const auto* alarm = std::get_if<SetTimer>(&action)) {
-      Push(alarm->at, kAlarm, alarm->token);
-    } else if (const auto* refusal = std::get_if<RejectTask>(&action)) {
-      ++refusals_;
-      Digest(refusal->request);
+    if (const auto* start = std::get_if<StartAttempt>(&action)) {
+      ++attempts_;
+      Digest(start->request);
+      Digest(start->node);
+      const bool rejected = attempts_ % 100 == 0;
+      out_[start->request] = {start->attempt, start->node, rejected};
+      if (!rejected) Push(now + 2'000, kPlacement, start->request);
+      Push(now + 2'000 + (rejected ? 0 : life), kOutcome, start->request);
+    } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
+      Push(timer->at, kTimer, timer->token);
+    } else if (const auto* rejection = std::get_if<RejectTask>(&action)) {
+      ++rejections_;
+      Digest(rejection->request);
     }
   }
 
@@ -178,7 +180,7 @@
   }
 
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-  std::uint64_t order_ = 0, offers_ = 0, refusals_ = 0;
+  std::uint64_t order_ = 0, attempts_ = 0, rejections_ = 0;
   std::vector<double> free_;
   std::map<RequestId, Out> out_;
   XXH3_state_t* hash_ = [] {
