--- a/src/tls/renewal.cpp
+++ b/src/tls/renewal.cpp
@@ -57,9 +57,9 @@
     if (reached >= last.days_left) continue;
     last.days_left = reached;
     if (seconds_left <= 0) {
-      AddWarning(expiry.description + " has expired");
+      AddWarning(expiry.description + " has ended");
     } else {
-      AddWarning(expiry.description + " expires in " + std::to_string(seconds_left / kSecondsPerHour) +
+      AddWarning(expiry.description + " ends in " + std::to_string(seconds_left / kSecondsPerHour) +
                  " hours");
     }
   }
